--- /dev/null
+++ b/gateway/mirror/forward.go
@@ -0,0 +1,75 @@
+package mirror
+
+import (
+	"basilcross.example/platform"
+)
+
+func (m *Mirror) isPassive() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.passive
+}
+
+// majorChanges returns the changes that must be forwarded to other instances.
+func (m *Mirror) majorChanges(rows []platform.Row) []platform.Row {
+	if m.IsMinor == nil {
+		return rows
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	var major []platform.Row
+	forwarded := map[string]bool{}
+	for _, r := range rows {
+		if old, known := m.rows[r.Key]; forwarded[r.Key] || !known || !m.IsMinor(old, r) {
+			major = append(major, r)
+			forwarded[r.Key] = true
+		}
+	}
+	return major
+}
+
+// ForwardedUpdate holds the changes of a table after revision From up to To, without
+// minor ones. NewestChange is the revision of the newest change, minor or not.
+type ForwardedUpdate struct {
+	From, To     uint64
+	NewestChange uint64
+	Rows         []platform.Row
+}
+
+// SetPassive makes the mirror passive or polling. A passive mirror doesn't poll the
+// feed; other instances forward its changes.
+func (m *Mirror) SetPassive(passive bool) {
+	m.mu.Lock()
+	unchanged := m.passive == passive
+	m.passive = passive
+	m.mu.Unlock()
+	if !unchanged {
+		m.Refresh()
+	}
+}
+
+// ApplyForwarded applies another instance's update and reports whether the mirror is
+// not behind its beginning. A mirror that polls the feed ignores such updates: a
+// feed response holds only the newest state of each row, so the sender may have
+// left out a change that was not new to it but is new here, and this change would
+// be missing for good.
+func (m *Mirror) ApplyForwarded(u ForwardedUpdate) bool {
+	m.mu.Lock()
+	revision, loaded := m.revision, m.loaded
+	polling := !m.passive && m.failingSince.IsZero()
+	m.mu.Unlock()
+	switch {
+	case polling && loaded:
+		return true
+	case !loaded || revision < u.From:
+		return false
+	case revision >= u.To:
+		return true
+	}
+	m.apply(Update{Rows: u.Rows, Revision: u.To})
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.newestChange = max(m.newestChange, u.NewestChange)
+	m.hasPeerData = true
+	return true
+}
--- a/gateway/mirror/mirror.go
+++ b/gateway/mirror/mirror.go
@@ -1,5 +1,6 @@
-// Package mirror keeps a copy of a table of the store, by its change feed, and
-// by other instances' copies while the store is out of reach.
+// Package mirror keeps a local copy of a table in the store. The copy is updated
+// from the table's change feed, or from the copies of other instances while the
+// store is unreachable.
 package mirror
 
 import (
@@ -15,168 +16,173 @@
 )
 
 const (
-	// feedWait is how long the store holds a feed open without news. Each call
-	// is paid, and a dead connection is found by keep-alive probes, so it is
-	// long.
+	// feedWait is how long the store holds a feed call open while nothing changes.
+	// It is long because each call is charged and keep-alive probes detect dead
+	// connections.
 	feedWait = 25 * time.Second
-	// feedGrace is how much later than feedWait an answer may come.
+	// feedGrace is how much later than feedWait a response may arrive.
 	feedGrace = 3 * time.Second
-	// readTimeout bounds the reading of a whole table. A call that the store
-	// took while it was silent is never answered; the store's slowest answers
-	// take half a second.
+	// readTimeout bounds the read of a whole table. The store's slowest responses
+	// take half a second, and a call that it accepted while it was unresponsive is
+	// never answered.
 	readTimeout = 1500 * time.Millisecond
-	// proofWait is the same for the first feed after a failure: the store may
-	// have taken the call without ever answering it, and a long wait would not
-	// tell that from having no news.
-	proofWait  = 300 * time.Millisecond
-	proofGrace = 1200 * time.Millisecond
-	// proveEvery is how long a feed waits while its answers are needed as a proof.
-	proveEvery = 600 * time.Millisecond
-	// seriesGap is how long a feed waits at least for news that are not part of
-	// a series.
-	seriesGap = 500 * time.Millisecond
-	// firstRetry and lastRetry bound the pause after a call that failed, unless
-	// Retry is set.
-	firstRetry = 100 * time.Millisecond
-	lastRetry  = 1600 * time.Millisecond
+	// probeWait and probeGrace replace feedWait and feedGrace in the first feed
+	// call after a failure. The store may have accepted the call without ever
+	// answering it; a long wait could not be distinguished from a quiet table.
+	probeWait  = 300 * time.Millisecond
+	probeGrace = 1200 * time.Millisecond
+	// freshnessWait replaces feedWait while frequent responses are needed to show
+	// that the mirror is up to date.
+	freshnessWait = 600 * time.Millisecond
+	// burstGap is the least wait for a change that is not part of a burst.
+	burstGap = 500 * time.Millisecond
+	// minBackoff and maxBackoff bound the pause after a failed call, unless
+	// Backoff is set.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 1600 * time.Millisecond
 )
 
-// Change is news of a table.
-type Change struct {
-	// Rows are the rows that changed; all that there are, if Whole is set.
-	Rows     []platform.Row
-	Whole    bool
+// Update is a set of row changes of a table, or its whole content.
+type Update struct {
+	// Rows are the changed rows, or all rows of the table if Full is set.
+	Rows []platform.Row
+	Full bool
+	// Revision is the revision up to which the update is complete; 0 for a single
+	// row that another instance announced.
 	Revision uint64
 }
 
-// Mirror is the copy of a table. Table, Store, Log and Changed must be set.
+// Mirror is the local copy of a table. Table, Store, Log and OnUpdate must be set.
 type Mirror struct {
 	Table string
-	// Pace is the pause after an answer with news, so that a series of changes
-	// costs one call instead of one each. It adds to the age of news.
-	Pace time.Duration
-	// MostPace, if set, bounds how much the pause grows while news come without
-	// a break: it doubles each time.
-	MostPace time.Duration
-	// QuietPace is the pause after news that Minor says nobody waits for.
-	QuietPace time.Duration
-	// Minor, if set, tells of a change that others need not hear of, and that
-	// can wait.
-	Minor func(old, next platform.Row) bool
-	// OnDemand tables are not followed: they are read at the start, and when
-	// Again is called. Others bring their news.
+	// BatchDelay is the pause after a response with changes, so that a burst of
+	// changes costs one call instead of one each. It adds to the age of the data.
+	BatchDelay time.Duration
+	// MaxBatchDelay, if set, lets the pause double with each response of a burst,
+	// up to this value.
+	MaxBatchDelay time.Duration
+	// MinorDelay is the pause after a response with minor changes only.
+	MinorDelay time.Duration
+	// IsMinor, if set, reports whether a change of a row can wait and need not be
+	// forwarded to other instances.
+	IsMinor func(old, next platform.Row) bool
+	// OnDemand tables are not polled: they are read at the start and on Refresh.
+	// Other instances send their changes.
 	OnDemand bool
-	// Late is how long the first read waits for Again.
-	Late time.Duration
-	// Retry, if set, returns the first and the longest pause after calls that failed.
-	Retry func() (first, most time.Duration)
-	Store *platform.Store
-	Log   *slog.Logger
-	// Changed is told of news, one call at a time.
-	Changed func(c Change)
-	// Encode returns the present row of a key that was injected without its value.
-	Encode func(key string) platform.Row
-	// Passed, if set, is told of what the feed brought: the changes after one
-	// revision up to another.
-	Passed func(p Passage)
+	// InitialWait bounds how long the first read is delayed until Refresh is called
+	// or another instance's copy arrives.
+	InitialWait time.Duration
+	// Backoff, if set, returns the first and the longest pause after failed calls.
+	Backoff func() (first, longest time.Duration)
+	Store   *platform.Store
+	Log     *slog.Logger
+	// OnUpdate receives each applied update, one call at a time.
+	OnUpdate func(u Update)
+	// EncodeRow returns the current row of a key that ApplyRow added without a value.
+	EncodeRow func(key string) platform.Row
+	// Forward, if set, receives each response of the feed that other instances need.
+	Forward func(u ForwardedUpdate)
 
 	mu       sync.Mutex
 	rows     map[string]platform.Row
 	revision uint64
-	// newest is the revision of the newest change taken in.
-	newest  uint64
-	loaded  bool
-	failing time.Time
-	// answeredAt is when the store answered last.
-	answeredAt time.Time
-	// proving is set while the store's answers are needed as a proof.
-	proving  bool
-	interest chan struct{}
-	// filled is closed when the first copy has come.
-	filled chan struct{}
-	// listening is set while others pass the feed's news on.
-	listening bool
-	// passed is set if others passed on changes since the table was read whole,
-	// and reload if it is to be read so.
-	passed, reload bool
-	once           sync.Once
-	// series counts the answers with news that came without a break. It belongs
-	// to Serve.
-	series int
+	// newestChange is the revision of the newest applied change.
+	newestChange uint64
+	loaded       bool
+	failingSince time.Time
+	// lastResponse is when the store last answered.
+	lastResponse time.Time
+	// checkingFreshness is set while feed calls are kept short by CheckFreshness.
+	checkingFreshness bool
+	refreshRequests   chan struct{}
+	// firstLoad is closed when the first copy has been applied.
+	firstLoad chan struct{}
+	// passive is set while other instances forward the feed's changes.
+	passive bool
+	// hasPeerData is set if data of other instances was applied since the last full
+	// read; reloadRequested, if a full read is due.
+	hasPeerData, reloadRequested bool
+	once                         sync.Once
+	// burst counts the responses with changes that came without a break. Only Serve
+	// accesses it.
+	burst int
 }
 
-// Serve follows the table until the context ends.
+// Serve keeps the mirror up to date until the context ends.
 func (m *Mirror) Serve(ctx context.Context) error {
-	retry := time.Duration(0)
+	backoff := time.Duration(0)
 	for ctx.Err() == nil {
-		began := time.Now()
-		pace, err := m.next(ctx)
+		start := time.Now()
+		delay, err := m.step(ctx)
 		if err != nil {
-			m.failed(err)
-			first, most := m.retries()
-			retry = min(max(2*retry, first), most)
-			m.rest(ctx, retry/2+rand.N(retry))
+			m.recordFailure(err)
+			first, longest := m.backoffBounds()
+			backoff = min(max(2*backoff, first), longest)
+			m.sleepUntilRefresh(ctx, backoff/2+rand.N(backoff))
 			continue
 		}
-		retry = 0
-		m.answered()
-		m.pause(ctx, m.slower(began, pace))
+		backoff = 0
+		m.recordResponse()
+		m.sleep(ctx, m.batchDelay(start, delay))
 	}
 	return ctx.Err()
 }
 
-func (m *Mirror) retries() (first, most time.Duration) {
-	if m.Retry == nil {
-		return firstRetry, lastRetry
+func (m *Mirror) backoffBounds() (first, longest time.Duration) {
+	if m.Backoff == nil {
+		return minBackoff, maxBackoff
 	}
-	return m.Retry()
+	return m.Backoff()
 }
 
-// slower returns the pause after a call that began at a time. News that were
-// there at once, again and again, come in a series: each answer is paid, and a
-// longer pause puts more of them into one.
-func (m *Mirror) slower(began time.Time, pace time.Duration) time.Duration {
-	if pace != m.Pace || m.MostPace == 0 || time.Since(began) > seriesGap {
-		m.series = 0
-		return pace
+// batchDelay returns the pause after a feed call that began at start. Calls that
+// repeatedly return changes at once are part of a burst: each response is charged,
+// and a longer pause collects more changes in one.
+func (m *Mirror) batchDelay(start time.Time, delay time.Duration) time.Duration {
+	if delay != m.BatchDelay || m.MaxBatchDelay == 0 || time.Since(start) > burstGap {
+		m.burst = 0
+		return delay
 	}
-	pace = min(pace<<min(m.series, 10), m.MostPace)
-	m.series++
-	return pace
+	delay = min(delay<<min(m.burst, 10), m.MaxBatchDelay)
+	m.burst++
+	return delay
 }
 
-// Again ends a pause or a feed, because others have newer news.
-func (m *Mirror) Again() {
+// Refresh ends a pause or a pending feed call, because other instances have newer
+// data. A passive mirror polls the feed once; an OnDemand one reads the table.
+func (m *Mirror) Refresh() {
 	m.init()
 	select {
-	case m.interest <- struct{}{}:
+	case m.refreshRequests <- struct{}{}:
 	default:
 	}
 }
 
-// Reload reads the whole table, because the copy is not like others.
+// Reload requests a read of the whole table, because the copy differs from those of
+// other instances.
 func (m *Mirror) Reload() {
 	m.mu.Lock()
-	m.reload = true
+	m.reloadRequested = true
 	m.mu.Unlock()
-	m.Again()
+	m.Refresh()
 }
 
-// takeReload tells once that the whole table is to be read: if that was asked
-// for, or before a copy that others kept up is followed by the feed again.
-func (m *Mirror) takeReload() bool {
+// consumeReload reports whether the whole table must be read, and clears the request
+// for it. It must be if Reload was called, and before a mirror that applied data of
+// other instances polls the feed.
+func (m *Mirror) consumeReload() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	reload := m.reload || m.passed && !m.listening && !m.OnDemand
-	m.reload = false
+	reload := m.reloadRequested || m.hasPeerData && !m.passive && !m.OnDemand
+	m.reloadRequested = false
 	return reload
 }
 
 func (m *Mirror) init() {
-	m.once.Do(func() { m.interest, m.filled = make(chan struct{}, 1), make(chan struct{}) })
+	m.once.Do(func() { m.refreshRequests, m.firstLoad = make(chan struct{}, 1), make(chan struct{}) })
 }
 
-func (m *Mirror) pause(ctx context.Context, d time.Duration) {
+func (m *Mirror) sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -185,85 +191,87 @@
 	}
 }
 
-// rest is a pause that Again ends: others may know that the store is back.
-func (m *Mirror) rest(ctx context.Context, d time.Duration) {
+// sleepUntilRefresh sleeps for d or until Refresh is called, which happens when
+// another instance reports that the store is back.
+func (m *Mirror) sleepUntilRefresh(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-m.interest:
-		if m.listens() || m.OnDemand && m.isLoaded() {
-			// What waits for Again next must hear it as well.
-			m.Again()
+	case <-m.refreshRequests:
+		if m.isPassive() || m.OnDemand && m.isLoaded() {
+			// The next step waits for a refresh too.
+			m.Refresh()
 		}
 	}
 }
 
-// next reads the table, or waits for its next change. It returns the pause that
-// is due then.
-func (m *Mirror) next(ctx context.Context) (pace time.Duration, err error) {
+// step reads the table or waits for its next change. It returns the pause before
+// the next step.
+func (m *Mirror) step(ctx context.Context) (delay time.Duration, err error) {
 	m.init()
 	loaded := m.isLoaded()
-	if !loaded && m.Late > 0 {
-		m.await(ctx)
+	if !loaded && m.InitialWait > 0 {
+		m.awaitFirstLoad(ctx)
 		loaded = m.isLoaded()
 	}
-	whole, wait := m.takeReload() || !loaded, feedWait
-	if !whole && (m.OnDemand || m.listens()) {
+	full, wait := m.consumeReload() || !loaded, feedWait
+	if !full && (m.OnDemand || m.isPassive()) {
 		select {
-		case <-m.interest:
+		case <-m.refreshRequests:
 		case <-ctx.Done():
 			return 0, ctx.Err()
 		}
-		whole, wait = m.OnDemand || m.takeReload(), 0
+		full, wait = m.OnDemand || m.consumeReload(), 0
 	}
-	if whole {
-		return m.Pace, m.read(ctx)
+	if full {
+		return m.BatchDelay, m.readTable(ctx)
 	}
-	return m.follow(ctx, wait)
+	return m.pollFeed(ctx, wait)
 }
 
-// follow asks the feed for what has changed, and waits for it.
-func (m *Mirror) follow(ctx context.Context, wait time.Duration) (pace time.Duration, err error) {
+// pollFeed waits for changes up to the given time, applies them and forwards them.
+// It returns the pause before the next step.
+func (m *Mirror) pollFeed(ctx context.Context, wait time.Duration) (delay time.Duration, err error) {
 	m.mu.Lock()
-	after, listening, failing, proving := m.revision, m.listening, !m.failing.IsZero(), m.proving
+	after, passive, failing, checking := m.revision, m.passive, !m.failingSince.IsZero(), m.checkingFreshness
 	m.mu.Unlock()
 	grace := feedGrace
 	switch {
 	case failing:
-		wait, grace = min(wait, proofWait), proofGrace
-	case proving:
-		wait, grace = min(wait, proveEvery), proofGrace
+		wait, grace = min(wait, probeWait), probeGrace
+	case checking:
+		wait, grace = min(wait, freshnessWait), probeGrace
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+grace)
 	defer cancel()
-	if !listening {
-		stop := m.wake(ctx, cancel)
+	if !passive {
+		stop := m.cancelOnRefresh(ctx, cancel)
 		defer stop()
 	}
 	got, err := m.Store.Feed(ctx, m.Table, after, wait)
 	var compacted *platform.CompactedError
 	if errors.As(err, &compacted) {
 		event.HistoryLost.Log(m.Log, "table", m.Table, "after", after)
-		return m.Pace, m.read(ctx)
+		return m.BatchDelay, m.readTable(ctx)
 	}
 	if err != nil {
 		return 0, err
 	}
-	major := m.major(got.Rows)
-	m.apply(Change{Rows: got.Rows, Revision: got.Revision})
-	if m.Passed != nil && !listening {
-		// Also without rows: who listens must know that there was nothing.
-		m.Passed(Passage{From: after, To: got.Revision, Newest: m.Newest(), Rows: major})
+	major := m.majorChanges(got.Rows)
+	m.apply(Update{Rows: got.Rows, Revision: got.Revision})
+	if m.Forward != nil && !passive {
+		// Also without rows: passive mirrors advance their revision by it.
+		m.Forward(ForwardedUpdate{From: after, To: got.Revision, NewestChange: m.NewestChange(), Rows: major})
 	}
 	switch {
 	case len(got.Rows) == 0:
 		return 0, nil
 	case len(major) == 0:
-		return m.QuietPace, nil
+		return m.MinorDelay, nil
 	}
-	return m.Pace, nil
+	return m.BatchDelay, nil
 }
 
 func (m *Mirror) isLoaded() bool {
@@ -272,32 +280,33 @@
 	return m.loaded
 }
 
-// AwaitOthers has the copy wait for another instance's before it is read, as one
-// that others keep up. It must be called before Serve.
-func (m *Mirror) AwaitOthers(atMost time.Duration) {
-	m.Late, m.listening = atMost, !m.OnDemand
+// AwaitPeerCopy delays the first read by up to maxWait, for another instance's copy
+// to arrive, and makes the mirror passive. It must be called before Serve.
+func (m *Mirror) AwaitPeerCopy(maxWait time.Duration) {
+	m.InitialWait, m.passive = maxWait, !m.OnDemand
 }
 
-// await waits for the first Again or another instance's copy, but not for long.
-func (m *Mirror) await(ctx context.Context) {
-	timer := time.NewTimer(m.Late)
+// awaitFirstLoad waits for Refresh or another instance's copy, for up to InitialWait.
+func (m *Mirror) awaitFirstLoad(ctx context.Context) {
+	timer := time.NewTimer(m.InitialWait)
 	defer timer.Stop()
 	select {
-	case <-m.interest:
-	case <-m.filled:
+	case <-m.refreshRequests:
+	case <-m.firstLoad:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	m.Late = 0
+	m.InitialWait = 0
 }
 
-// wake cancels the feed on Again.
-func (m *Mirror) wake(ctx context.Context, cancel func()) (stop func()) {
+// cancelOnRefresh calls cancel when Refresh is called. The caller must call stop when
+// the feed call has ended.
+func (m *Mirror) cancelOnRefresh(ctx context.Context, cancel func()) (stop func()) {
 	done := make(chan struct{})
 	group := &sync.WaitGroup{}
 	group.Go(func() {
 		select {
-		case <-m.interest:
+		case <-m.refreshRequests:
 			cancel()
 		case <-ctx.Done():
 		case <-done:
@@ -306,43 +315,44 @@
 	return func() { close(done); group.Wait() }
 }
 
-// read takes the whole table. Pages are from different moments; the feed goes
-// on from the first one's and brings again what changed in between.
-func (m *Mirror) read(ctx context.Context) error {
+// readTable reads the whole table, page by page. The pages have different revisions;
+// the feed continues from the first page's and repeats the changes made in between.
+func (m *Mirror) readTable(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	whole := Change{Whole: true}
+	update := Update{Full: true}
 	after := ""
 	for {
 		got, err := m.Store.Range(ctx, m.Table, "", after)
 		if err != nil {
 			return err
 		}
-		if whole.Revision == 0 {
-			whole.Revision = got.Revision
+		if update.Revision == 0 {
+			update.Revision = got.Revision
 		}
-		whole.Rows = append(whole.Rows, got.Rows...)
+		update.Rows = append(update.Rows, got.Rows...)
 		if !got.More || len(got.Rows) == 0 {
 			break
 		}
 		after = got.Rows[len(got.Rows)-1].Key
 	}
-	m.apply(whole)
+	m.apply(update)
 	return nil
 }
 
-// apply takes in news unless it is older than what is known.
-func (m *Mirror) apply(c Change) {
+// apply applies an update and reports it to OnUpdate. A full update that is older
+// than the mirror is ignored.
+func (m *Mirror) apply(u Update) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if c.Whole && m.loaded && c.Revision < m.revision {
+	if u.Full && m.loaded && u.Revision < m.revision {
 		return
 	}
-	if m.rows == nil || c.Whole {
+	if m.rows == nil || u.Full {
 		m.rows = map[string]platform.Row{}
 	}
-	for _, r := range c.Rows {
-		m.newest = max(m.newest, r.Revision)
+	for _, r := range u.Rows {
+		m.newestChange = max(m.newestChange, r.Revision)
 		if r.Removed {
 			delete(m.rows, r.Key)
 			continue
@@ -351,33 +361,33 @@
 	}
 	if !m.loaded {
 		m.init()
-		close(m.filled)
+		close(m.firstLoad)
 	}
 	m.loaded = true
-	m.passed = m.passed && !c.Whole
-	m.revision = max(m.revision, c.Revision)
-	if c.Whole || len(c.Rows) > 0 {
-		m.Changed(c)
+	m.hasPeerData = m.hasPeerData && !u.Full
+	m.revision = max(m.revision, u.Revision)
+	if u.Full || len(u.Rows) > 0 {
+		m.OnUpdate(u)
 	}
 }
 
-func (m *Mirror) failed(err error) {
+func (m *Mirror) recordFailure(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.failing.IsZero() || errors.Is(err, context.Canceled) {
+	if !m.failingSince.IsZero() || errors.Is(err, context.Canceled) {
 		return
 	}
-	m.failing = time.Now()
+	m.failingSince = time.Now()
 	event.TableLost.Log(m.Log, "table", m.Table, "revision", m.revision, "error", err)
 }
 
-func (m *Mirror) answered() {
+func (m *Mirror) recordResponse() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.answeredAt = time.Now()
-	if m.failing.IsZero() {
+	m.lastResponse = time.Now()
+	if m.failingSince.IsZero() {
 		return
 	}
-	event.TableBack.Log(m.Log, "table", m.Table, "revision", m.revision, "afterMs", time.Since(m.failing).Milliseconds())
-	m.failing = time.Time{}
+	event.TableBack.Log(m.Log, "table", m.Table, "revision", m.revision, "afterMs", time.Since(m.failingSince).Milliseconds())
+	m.failingSince = time.Time{}
 }
--- a/gateway/mirror/mirror_test.go
+++ b/gateway/mirror/mirror_test.go
@@ -21,34 +21,34 @@
 	"gotest.tools/v3/poll"
 )
 
-type copyOf struct {
+type testMirror struct {
 	*mirror.Mirror
 	mu   sync.Mutex
 	rows map[string]string
 }
 
-func (c *copyOf) value(key string) string {
+func (c *testMirror) value(key string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rows[key]
 }
 
-func start(t *testing.T, onDemand bool) (*standin.Store, *copyOf) {
+func start(t *testing.T, onDemand bool) (*standin.Store, *testMirror) {
 	t.Helper()
 	fake := &standin.Store{}
 	server := httptest.NewServer(fake)
 	t.Cleanup(server.Close)
-	c := &copyOf{rows: map[string]string{}}
+	c := &testMirror{rows: map[string]string{}}
 	c.Mirror = &mirror.Mirror{
 		Table: "mine", OnDemand: onDemand, Log: slog.New(slog.DiscardHandler),
 		Store: &platform.Store{Address: strings.TrimPrefix(server.URL, "http://"), HTTP: server.Client()},
-		Changed: func(change mirror.Change) {
+		OnUpdate: func(u mirror.Update) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			if change.Whole {
+			if u.Full {
 				c.rows = map[string]string{}
 			}
-			for _, r := range change.Rows {
+			for _, r := range u.Rows {
 				if r.Removed {
 					delete(c.rows, r.Key)
 					continue
@@ -58,13 +58,13 @@
 		},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { defer close(ended); _ = c.Serve(ctx) }()
-	t.Cleanup(func() { cancel(); server.CloseClientConnections(); <-ended })
+	done := make(chan struct{})
+	go func() { defer close(done); _ = c.Serve(ctx) }()
+	t.Cleanup(func() { cancel(); server.CloseClientConnections(); <-done })
 	return fake, c
 }
 
-func await(t *testing.T, c *copyOf, key, want string) {
+func await(t *testing.T, c *testMirror, key, want string) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if got := c.value(key); got != want {
@@ -84,9 +84,9 @@
 	await(t, c, "a", "")
 }
 
-// The store forgets its history while this instance was not told of a change
-// and a removal. The table is read whole: nothing stale may remain.
-func TestHistoryLost(t *testing.T) {
+// The store compacts its history while this mirror has not received a change and a
+// removal. It must read the whole table, or stale rows would remain.
+func TestFullReadAfterHistoryIsCompacted(t *testing.T) {
 	fake, c := start(t, false)
 	fake.Put("mine", "a", []byte("1"))
 	fake.Put("mine", "b", []byte("1"))
@@ -100,37 +100,37 @@
 	await(t, c, "b", "")
 }
 
-func TestOnDemandIsReadWhenAsked(t *testing.T) {
+func TestOnDemandTableIsReadOnRefresh(t *testing.T) {
 	fake, c := start(t, true)
 	fake.Put("mine", "a", []byte("1"))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		c.Again()
+		c.Refresh()
 		if c.value("a") == "1" {
 			return poll.Success()
 		}
-		return poll.Continue("not read")
+		return poll.Continue("the table is not read yet")
 	}, poll.WithTimeout(30*time.Second))
 }
 
-// Another instance offers its copy while the store is away. A newer one is
-// taken, an older one must not undo what is known.
-func TestOffersOfOthers(t *testing.T) {
+// Another instance sends its snapshot while the store is unreachable. A newer one is
+// applied; an older one must not undo later changes.
+func TestOnlyNewerSnapshotsAreApplied(t *testing.T) {
 	fake, c := start(t, false)
 	fake.Put("mine", "a", []byte("1"))
 	await(t, c, "a", "1")
-	s, ok := c.State()
+	s, ok := c.Snapshot()
 	assert.Assert(t, ok)
-	newer := mirror.State{Table: "mine", Revision: s.Revision + 5, Rows: []platform.Row{{Table: "mine", Key: "a", Value: []byte("5"), Revision: s.Revision + 5}}}
-	assert.Assert(t, c.Offer(newer))
+	newer := mirror.Snapshot{Table: "mine", Revision: s.Revision + 5, Rows: []platform.Row{{Table: "mine", Key: "a", Value: []byte("5"), Revision: s.Revision + 5}}}
+	assert.Assert(t, c.ApplySnapshot(newer))
 	assert.Equal(t, c.value("a"), "5")
-	assert.Assert(t, !c.Offer(s))
+	assert.Assert(t, !c.ApplySnapshot(s))
 	assert.Equal(t, c.value("a"), "5")
 }
 
-// The store takes a feed's call while it is silent, and never answers it. It is
-// back soon, and a configuration is written: waiting for the feed's usual half
+// The store accepts a feed call while it is unresponsive and never answers it. It
+// recovers soon and a configuration is written: waiting for the feed's usual half
 // minute would leave the old one in force.
-func TestFeedTakenInSilenceIsGivenUp(t *testing.T) {
+func TestUnansweredFeedCallTimesOut(t *testing.T) {
 	fake, c := start(t, false)
 	fake.Put("mine", "a", []byte("1"))
 	await(t, c, "a", "1")
@@ -139,7 +139,7 @@
 		if c.Failing() {
 			return poll.Success()
 		}
-		return poll.Continue("still well")
+		return poll.Continue("the mirror is not failing yet")
 	}, poll.WithTimeout(30*time.Second))
 	fake.Silence(true)
 	fake.Refuse(0)
@@ -148,7 +148,7 @@
 		if fake.Calls() > calls {
 			return poll.Success()
 		}
-		return poll.Continue("no call in the silence yet")
+		return poll.Continue("no call to the unresponsive store yet")
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(5*time.Millisecond))
 	fake.Silence(false)
 	fake.Put("mine", "a", []byte("2"))
@@ -156,40 +156,40 @@
 		if c.value("a") == "2" {
 			return poll.Success()
 		}
-		return poll.Continue("old")
+		return poll.Continue("a has the old value")
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-// Two readers pass on what their feeds bring. A feed read in parts tells of a
-// row only its newest state, so a reader may not know yet what is nothing new
-// to the other one. It must not take its word, or some targets stay unknown to
-// it and to all who listen to it.
-func TestFollowerTakesNothingFromOthers(t *testing.T) {
+// Two polling mirrors forward their changes. A feed response holds only the newest
+// state of each row, so one may not have a change yet that is not new to the other,
+// which leaves it out. If it applied such an update, some targets would stay unknown
+// to it and to all passive mirrors that it forwards to.
+func TestPollingMirrorIgnoresForwardedUpdates(t *testing.T) {
 	fake, c := start(t, false)
 	fake.Put("mine", "a", []byte("1"))
 	await(t, c, "a", "1")
-	reached := c.Reached()
-	assert.Assert(t, c.Pass(mirror.Passage{From: reached, To: reached + 100}))
-	assert.Equal(t, c.Reached(), reached)
+	revision := c.Revision()
+	assert.Assert(t, c.ApplyForwarded(mirror.ForwardedUpdate{From: revision, To: revision + 100}))
+	assert.Equal(t, c.Revision(), revision)
 	fake.Put("mine", "b", []byte("2"))
 	await(t, c, "b", "2")
 }
 
-// direct reaches the stand-in without a network, so that time can be virtual.
-type direct struct{ *standin.Store }
+// storeTransport calls the stand-in without a network, so that time can be virtual.
+type storeTransport struct{ *standin.Store }
 
-func (d direct) RoundTrip(r *http.Request) (*http.Response, error) {
-	answer := httptest.NewRecorder()
-	d.ServeHTTP(answer, r)
+func (t storeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	response := httptest.NewRecorder()
+	t.ServeHTTP(response, r)
 	if err := r.Context().Err(); err != nil {
 		return nil, err
 	}
-	return answer.Result(), nil
+	return response.Result(), nil
 }
 
-// virtual plays a copy in virtual time. Every sleep lasts until nothing is under
-// way any more.
-func virtual(t *testing.T, play func(t *testing.T, fake *standin.Store, m *mirror.Mirror, knows func(key string) bool)) {
+// runInBubble runs a mirror in virtual time. Every sleep lasts until all goroutines
+// are blocked.
+func runInBubble(t *testing.T, test func(t *testing.T, fake *standin.Store, m *mirror.Mirror, has func(key string) bool)) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := &standin.Store{}
 		fake.Put("mine", "a", []byte("1"))
@@ -197,11 +197,11 @@
 		known := map[string]bool{}
 		m := &mirror.Mirror{
 			Table: "mine", Log: slog.New(slog.DiscardHandler),
-			Store: &platform.Store{Address: "store", HTTP: &http.Client{Transport: direct{fake}}},
-			Changed: func(c mirror.Change) {
+			Store: &platform.Store{Address: "store", HTTP: &http.Client{Transport: storeTransport{fake}}},
+			OnUpdate: func(u mirror.Update) {
 				mu.Lock()
 				defer mu.Unlock()
-				for _, r := range c.Rows {
+				for _, r := range u.Rows {
 					known[r.Key] = true
 				}
 			},
@@ -212,7 +212,7 @@
 		defer group.Wait()
 		defer cancel()
 		time.Sleep(time.Second)
-		play(t, fake, m, func(key string) bool {
+		test(t, fake, m, func(key string) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			return known[key]
@@ -220,46 +220,46 @@
 	})
 }
 
-// Whoever listened and follows the feed again reads the whole table first,
-// since others left out what was nothing new to them.
-func TestListenerReadsAllBeforeItFollows(t *testing.T) {
-	virtual(t, func(t *testing.T, fake *standin.Store, m *mirror.Mirror, knows func(string) bool) {
-		m.Listen(true)
+// A passive mirror that polls again must read the whole table first, since other
+// instances left out changes that were not new to them.
+func TestPassiveMirrorReadsTableBeforePolling(t *testing.T) {
+	runInBubble(t, func(t *testing.T, fake *standin.Store, m *mirror.Mirror, has func(string) bool) {
+		m.SetPassive(true)
 		time.Sleep(time.Minute)
 		fake.Put("mine", "b", []byte("2"))
-		to := fake.Put("other", "x", nil)
-		assert.Check(t, m.Pass(mirror.Passage{From: m.Reached(), To: to}))
+		revision := fake.Put("other", "x", nil)
+		assert.Check(t, m.ApplyForwarded(mirror.ForwardedUpdate{From: m.Revision(), To: revision}))
 		time.Sleep(time.Minute)
-		assert.Check(t, !knows("b"))
-		m.Listen(false)
+		assert.Check(t, !has("b"))
+		m.SetPassive(false)
 		time.Sleep(time.Second)
-		assert.Check(t, knows("b"))
+		assert.Check(t, has("b"))
 	})
 }
 
-// A listener asks the feed for a gap long after its last call. It must ask from
-// where the others' passages have brought it, not from where it stood when it
-// began to listen: that history may be gone.
-func TestListenerAsksFromWhereItIs(t *testing.T) {
-	virtual(t, func(t *testing.T, fake *standin.Store, m *mirror.Mirror, knows func(string) bool) {
-		m.Listen(true)
+// A passive mirror polls the feed for a gap long after its last call. It must poll
+// from the revision of the last forwarded update, not from the one at which it became
+// passive: that history may be gone.
+func TestPassiveMirrorPollsFromForwardedRevision(t *testing.T) {
+	runInBubble(t, func(t *testing.T, fake *standin.Store, m *mirror.Mirror, has func(string) bool) {
+		m.SetPassive(true)
 		time.Sleep(time.Minute)
-		to := fake.Put("mine", "b", []byte("2"))
-		assert.Check(t, m.Pass(mirror.Passage{From: m.Reached(), To: to}))
+		revision := fake.Put("mine", "b", []byte("2"))
+		assert.Check(t, m.ApplyForwarded(mirror.ForwardedUpdate{From: m.Revision(), To: revision}))
 		fake.Compact()
 		fake.Put("mine", "c", []byte("3"))
 		reads := fake.Reads("mine")
-		m.Again()
+		m.Refresh()
 		time.Sleep(time.Second)
-		assert.Check(t, knows("c"))
+		assert.Check(t, has("c"))
 		assert.Check(t, fake.Reads("mine") == reads, "the whole table was read again")
 	})
 }
 
-// answers is a store that is down until it is told otherwise.
-type answers struct{ up atomic.Bool }
+// switchableStore is a store that is down until up is set.
+type switchableStore struct{ up atomic.Bool }
 
-func (a *answers) RoundTrip(r *http.Request) (*http.Response, error) {
+func (a *switchableStore) RoundTrip(r *http.Request) (*http.Response, error) {
 	res := &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody, Request: r}
 	if a.up.Load() {
 		res.StatusCode = http.StatusOK
@@ -268,17 +268,17 @@
 	return res, nil
 }
 
-// The store was down for long, so the pauses between calls are long too. Another
-// instance tells that it is back; the rest of the pause would only make news
-// older, and the users count their time from the store's return.
-func TestAgainEndsThePauseAfterFailures(t *testing.T) {
+// The store was down for long, so the backoff is long too. Another instance reports
+// that it is back; waiting for the rest of the backoff would delay updates, and the
+// users' time limit runs from the store's return.
+func TestRefreshEndsBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &answers{}
+		store := &switchableStore{}
 		changed := make(chan time.Time, 1)
 		m := &mirror.Mirror{
 			Table: "mine", OnDemand: true, Log: slog.New(slog.DiscardHandler),
-			Store:   &platform.Store{Address: "store", HTTP: &http.Client{Transport: store}},
-			Changed: func(mirror.Change) { changed <- time.Now() },
+			Store:    &platform.Store{Address: "store", HTTP: &http.Client{Transport: store}},
+			OnUpdate: func(mirror.Update) { changed <- time.Now() },
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		var group sync.WaitGroup
@@ -287,7 +287,7 @@
 		synctest.Wait()
 		store.up.Store(true)
 		back := time.Now()
-		m.Again()
+		m.Refresh()
 		took := (<-changed).Sub(back)
 		cancel()
 		group.Wait()
@@ -295,28 +295,28 @@
 	})
 }
 
-// stream is a store whose table changes all the time.
-type stream struct{ calls atomic.Int64 }
+// changingStore is a store whose table has changed at every call.
+type changingStore struct{ calls atomic.Int64 }
 
-func (s *stream) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *changingStore) RoundTrip(r *http.Request) (*http.Response, error) {
 	n := strconv.FormatInt(s.calls.Add(1), 10)
 	text := `{"rows":[{"table":"mine","key":"a","value":"MQ==","ver":` + n + `}],"ver":` + n + `,"now":"1s"}`
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text)), Request: r}, nil
 }
 
-// Configurations come every few milliseconds. Each instance would call for each
-// of them; the pause grows instead, and never beyond what callers may wait.
-func TestSeriesOfChangesCostsFewCalls(t *testing.T) {
+// Configurations change every few milliseconds, and each instance would make a call
+// for each change. The pause grows instead, but never beyond what callers may wait.
+func TestBurstOfChangesCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &stream{}
+		store := &changingStore{}
 		var last time.Time
-		var most time.Duration
+		var longest time.Duration
 		m := &mirror.Mirror{
-			Table: "mine", Pace: 60 * time.Millisecond, MostPace: 480 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
+			Table: "mine", BatchDelay: 60 * time.Millisecond, MaxBatchDelay: 480 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
 			Store: &platform.Store{Address: "store", HTTP: &http.Client{Transport: store}},
-			Changed: func(mirror.Change) {
+			OnUpdate: func(mirror.Update) {
 				if !last.IsZero() {
-					most = max(most, time.Since(last))
+					longest = max(longest, time.Since(last))
 				}
 				last = time.Now()
 			},
@@ -324,7 +324,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		_ = m.Serve(ctx)
-		assert.Equal(t, most, 480*time.Millisecond)
-		assert.Assert(t, store.calls.Load() <= 16, "%d calls in five seconds", store.calls.Load())
+		assert.Equal(t, longest, 480*time.Millisecond)
+		assert.Assert(t, store.calls.Load() <= 16, "%d calls in five seconds, want at most 16", store.calls.Load())
 	})
 }
--- /dev/null
+++ b/gateway/mirror/snapshot.go
@@ -0,0 +1,92 @@
+package mirror
+
+import (
+	"time"
+
+	"basilcross.example/platform"
+)
+
+// Revision returns the revision up to which the mirror is complete.
+func (m *Mirror) Revision() uint64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.revision
+}
+
+// LastResponse returns when the store last answered; zero if it never did.
+func (m *Mirror) LastResponse() time.Time {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.lastResponse
+}
+
+// CheckFreshness shortens the feed's wait while on, so that frequent responses show
+// that the mirror is up to date.
+func (m *Mirror) CheckFreshness(on bool) {
+	m.mu.Lock()
+	enabled := on && !m.checkingFreshness
+	m.checkingFreshness = on
+	m.mu.Unlock()
+	if enabled {
+		m.Refresh()
+	}
+}
+
+// Snapshot is the content of a mirror at one moment.
+type Snapshot struct {
+	Table string
+	// Revision is the revision up to which the rows are complete.
+	Revision uint64
+	Rows     []platform.Row
+}
+
+// Snapshot returns the content of the mirror and whether it has been loaded.
+func (m *Mirror) Snapshot() (Snapshot, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	s := Snapshot{Table: m.Table, Revision: m.revision}
+	for _, r := range m.rows {
+		if r.Value == nil {
+			r = m.EncodeRow(r.Key)
+		}
+		s.Rows = append(s.Rows, r)
+	}
+	return s, m.loaded
+}
+
+// NewestChange returns the revision of the newest applied change. Mirrors with the
+// same newest change have the same rows, even if their revisions differ.
+func (m *Mirror) NewestChange() uint64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.newestChange
+}
+
+// Failing reports whether the mirror is not loaded or its last store call failed.
+func (m *Mirror) Failing() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return !m.loaded || !m.failingSince.IsZero()
+}
+
+// ApplyRow applies a row that another instance wrote and announced. The value may be
+// nil if EncodeRow is set, which then supplies it for snapshots.
+func (m *Mirror) ApplyRow(r platform.Row) {
+	m.apply(Update{Rows: []platform.Row{r}})
+}
+
+// ApplySnapshot applies another instance's snapshot if it is newer, and reports
+// whether it did.
+func (m *Mirror) ApplySnapshot(s Snapshot) bool {
+	m.mu.Lock()
+	current := m.loaded && s.Revision <= m.revision
+	m.mu.Unlock()
+	if current {
+		return false
+	}
+	m.apply(Update{Rows: s.Rows, Full: true, Revision: s.Revision})
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.hasPeerData = true
+	return true
+}
