--- a/gateway/broker/broker.go
+++ b/gateway/broker/broker.go
@@ -1,7 +1,7 @@
-// Package broker reserves targets' slots for requests. For each target, and for
-// each zone's targets of a service, one instance of that zone decides: its
-// scheduler. Others ask it by datagram. While a scheduler does not answer, each
-// instance decides for itself, with what it knows.
+// Package broker reserves slots of targets for requests. For each target, and for
+// each zone's targets of a service, one instance of that zone assigns the slots:
+// the scheduler. Other instances send it requests by datagram. While a scheduler is
+// unresponsive, each instance assigns slots by its own state.
 package broker
 
 import (
@@ -22,28 +22,31 @@
 )
 
 const (
-	// resendAfter is when a message without a reply is sent again: several times
-	// the way there and back between regions.
-	resendAfter = 50 * time.Millisecond
-	// resendQueuedAfter is the same once the scheduler has said that the request
-	// waits: it replies by itself, so this only covers the loss of that datagram.
-	resendQueuedAfter = 300 * time.Millisecond
-	// giveUpAfter is how many messages without any reply make a scheduler suspect.
-	giveUpAfter = 3
-	// firstSuspicion is how long a silent scheduler is not asked; it doubles each
-	// time up to lastSuspicion.
-	firstSuspicion = time.Second
-	lastSuspicion  = 8 * time.Second
-	// fullFor is how long a zone that had no room is not asked again.
-	fullFor = 60 * time.Millisecond
-	// keptBeyond is how long a slot is kept after its request's time is over,
-	// in case the word of its end is lost.
-	keptBeyond = 200 * time.Millisecond
+	// resendInterval is the time after which a message without a reply is sent again:
+	// several round-trip times between regions.
+	resendInterval = 50 * time.Millisecond
+	// queuedResendInterval replaces it once the scheduler has replied that the request
+	// is queued. The scheduler sends the result unasked, so that resending only
+	// covers the loss of that datagram.
+	queuedResendInterval = 300 * time.Millisecond
+	// maxUnanswered is how many messages in a row without a reply mark a scheduler as
+	// unresponsive.
+	maxUnanswered = 3
+	// minBackoff is how long an unresponsive scheduler is not used; the time doubles
+	// with each failure, up to maxBackoff.
+	minBackoff = time.Second
+	maxBackoff = 8 * time.Second
+	// fullTTL is how long a zone without free slots is skipped.
+	fullTTL = 60 * time.Millisecond
+	// releaseGrace is how long after its request's deadline a slot is released, in
+	// case the release message is lost.
+	releaseGrace = 200 * time.Millisecond
 )
 
-// Options are what a Broker needs; all must be set.
+// Options are the dependencies of a Broker; all must be set.
 type Options struct {
-	Self       peers.Instance
+	Self peers.Instance
+	// Regions maps each zone to its region.
 	Regions    map[string]string
 	Peers      *peers.Peers
 	Dispatcher *dispatch.Dispatcher
@@ -51,85 +54,86 @@
 	Log        *slog.Logger
 }
 
-// Broker asks schedulers, and is one. Create it with New.
+// Broker reserves slots at schedulers, and serves as one. Create it with New.
 type Broker struct {
 	Options
 
-	group    errgroup.Group
-	mu       sync.Mutex
-	seq      uint64
-	pending  map[uint64]chan *peers.Reserved
-	remotes  map[remoteKey]*remote
-	suspects map[string]suspicion
-	full     map[fullKey]time.Time
-	// transits are the times of a message to other instances, one way.
-	transits map[string]time.Duration
+	group          errgroup.Group
+	mu             sync.Mutex
+	seq            uint64
+	pending        map[uint64]chan *peers.Reserved
+	remoteRequests map[remoteKey]*remoteRequest
+	unresponsive   map[string]backoff
+	fullUntil      map[fullKey]time.Time
+	// transitTimes are the one-way times of messages to other instances.
+	transitTimes map[string]time.Duration
 }
 
 type fullKey struct{ service, zone string }
 
-type suspicion struct {
-	until time.Time
-	next  time.Duration
+type backoff struct {
+	until    time.Time
+	duration time.Duration
 }
 
-// Reservation is a request's right to a target's slot. Release must be called once.
+// Reservation holds a target's slot for a request. Release must be called once.
 type Reservation struct {
 	Target  *roster.Target
 	release func(schedule.Result)
 }
 
-// Release gives the slot back.
-func (p *Reservation) Release(r schedule.Result) { p.release(r) }
+// Release returns the slot and reports how the request ended.
+func (r *Reservation) Release(result schedule.Result) { r.release(result) }
 
 // New returns a broker.
 func New(o Options) *Broker {
 	return &Broker{
-		// Numbers that begin anew with each life would let replies to a former
-		// one find a request of this one.
-		Options: o, seq: uint64(rand.Uint32()), pending: map[uint64]chan *peers.Reserved{}, remotes: map[remoteKey]*remote{},
-		suspects: map[string]suspicion{}, full: map[fullKey]time.Time{},
-		transits: map[string]time.Duration{},
+		// Sequence numbers start at random: if each incarnation began with the same
+		// ones, a reply to an earlier incarnation could match a request of this one.
+		Options: o, seq: uint64(rand.Uint32()), pending: map[uint64]chan *peers.Reserved{}, remoteRequests: map[remoteKey]*remoteRequest{},
+		unresponsive: map[string]backoff{}, fullUntil: map[fullKey]time.Time{},
+		transitTimes: map[string]time.Duration{},
 	}
 }
 
-// Acquire returns a reservation for a request. Of a service without keys the zone's
-// own targets come first, then those of the region, then others: bytes between
-// them are paid, so they are used only for what would be late nearer by. The
-// error is a *schedule.BusyError, a *schedule.NoTargetError or the context's.
-func (b *Broker) Acquire(ctx context.Context, a schedule.Request) (*Reservation, error) {
-	if a.Target != "" {
-		t := b.Roster.Load().Targets[a.Target]
+// Acquire reserves a slot for a request. If the request names no target (its service
+// has no keys), those of the own zone are tried first, then those of the region, then
+// others: traffic between zones is charged, so a farther zone is used only if a nearer
+// one would answer too late. The error is a *schedule.BusyError, a
+// *schedule.NoTargetError or the context's.
+func (b *Broker) Acquire(ctx context.Context, req schedule.Request) (*Reservation, error) {
+	if req.Target != "" {
+		t := b.Roster.Load().Targets[req.Target]
 		if t == nil {
-			return nil, &schedule.NoTargetError{Service: a.Service}
+			return nil, &schedule.NoTargetError{Service: req.Service}
 		}
-		a.Zone = t.Zone
-		return b.at(ctx, a)
+		req.Zone = t.Zone
+		return b.acquireInZone(ctx, req)
 	}
-	zones := b.zones(a.Service)
+	zones := b.zonesByDistance(req.Service)
 	if len(zones) == 0 {
-		return nil, &schedule.NoTargetError{Service: a.Service}
+		return nil, &schedule.NoTargetError{Service: req.Service}
 	}
 	var busy *schedule.BusyError
 	for _, zone := range zones {
-		if b.isFull(a.Service, zone) && zone != b.Self.Zone {
+		if b.isFull(req.Service, zone) && zone != b.Self.Zone {
 			continue
 		}
-		a.Zone, a.OnTime = zone, true
-		p, err := b.at(ctx, a)
+		req.Zone, req.OnTime = zone, true
+		res, err := b.acquireInZone(ctx, req)
 		if err == nil || ctx.Err() != nil {
-			return p, err
+			return res, err
 		}
 		if errors.As(err, &busy) {
-			b.noteFull(a.Service, zone)
+			b.markFull(req.Service, zone)
 		}
 	}
-	a.Zone, a.OnTime = zones[0], false
-	return b.at(ctx, a)
+	req.Zone, req.OnTime = zones[0], false
+	return b.acquireInZone(ctx, req)
 }
 
-// zones returns the zones that have targets of the service, the nearest first.
-func (b *Broker) zones(service string) []string {
+// zonesByDistance returns the zones with targets of the service, nearest first.
+func (b *Broker) zonesByDistance(service string) []string {
 	var tiers [3][]string
 	seen := map[string]bool{}
 	for _, t := range b.Roster.Load().Services[service] {
@@ -152,82 +156,85 @@
 func (b *Broker) isFull(service, zone string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return time.Now().Before(b.full[fullKey{service, zone}])
+	return time.Now().Before(b.fullUntil[fullKey{service, zone}])
 }
 
-func (b *Broker) noteFull(service, zone string) {
+func (b *Broker) markFull(service, zone string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.full[fullKey{service, zone}] = time.Now().Add(fullFor)
+	b.fullUntil[fullKey{service, zone}] = time.Now().Add(fullTTL)
 }
 
-// at asks the scheduler of the request's target, or of its zone.
-func (b *Broker) at(ctx context.Context, a schedule.Request) (*Reservation, error) {
-	scheduler := b.Scheduler(&a)
+// acquireInZone reserves a slot at the scheduler of the request's target or zone, or
+// locally if this instance is the scheduler or the scheduler does not answer.
+func (b *Broker) acquireInZone(ctx context.Context, req schedule.Request) (*Reservation, error) {
+	scheduler := b.Scheduler(&req)
 	if scheduler != "" && scheduler != b.Self.Name {
-		p, err := b.ask(ctx, scheduler, a)
-		var silent *SilentError
-		if !errors.As(err, &silent) {
-			return p, err
+		res, err := b.reserveAt(ctx, scheduler, req)
+		var unresponsive *UnresponsiveError
+		if !errors.As(err, &unresponsive) {
+			return res, err
 		}
-		b.suspect(scheduler)
+		b.markUnresponsive(scheduler)
 	}
-	p, err := b.Dispatcher.Acquire(ctx, a)
+	res, err := b.Dispatcher.Acquire(ctx, req)
 	if err != nil {
 		return nil, err
 	}
-	return &Reservation{Target: p.Target, release: p.Release}, nil
+	return &Reservation{Target: res.Target, release: res.Release}, nil
 }
 
-// Scheduler names the instance that decides, by rendezvous hashing: if one goes,
-// only what it decided moves. A zone's targets of a service are decided for by
-// one with the most of a processor, since all the zone's requests ask it.
-func (b *Broker) Scheduler(a *schedule.Request) string {
-	key := a.Target
+// Scheduler returns the name of the instance that assigns the slots for a request. It
+// is chosen by rendezvous hashing: if an instance leaves, only what it scheduled
+// moves. Of a zone's targets of a service, the scheduler is an instance with the most
+// cores, since all requests of the zone go to it.
+func (b *Broker) Scheduler(req *schedule.Request) string {
+	key := req.Target
 	if key == "" {
-		key = a.Service
+		key = req.Service
 	}
 	now := time.Now()
-	best, most, cores := "", uint64(0), 0.0
+	best, bestHash, bestCores := "", uint64(0), 0.0
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, i := range b.Peers.Zone(a.Zone) {
-		if len(b.suspects) > 0 && now.Before(b.suspects[i.Name].until) {
+	for _, i := range b.Peers.Zone(req.Zone) {
+		if len(b.unresponsive) > 0 && now.Before(b.unresponsive[i.Name].until) {
 			continue
 		}
-		strength := 0.0
-		if a.Target == "" {
-			strength = i.Cores
+		cores := 0.0
+		if req.Target == "" {
+			cores = i.Cores
 		}
 		h := xxhash.Sum64String(i.Name + "\x00" + key)
-		if best == "" || strength > cores || strength == cores && h > most {
-			best, most, cores = i.Name, h, strength
+		if best == "" || cores > bestCores || cores == bestCores && h > bestHash {
+			best, bestHash, bestCores = i.Name, h, cores
 		}
 	}
 	return best
 }
 
-func (b *Broker) suspect(scheduler string) {
+func (b *Broker) markUnresponsive(scheduler string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	s := b.suspects[scheduler]
+	s := b.unresponsive[scheduler]
 	if now.Before(s.until) {
 		return
 	}
-	s.next = min(max(firstSuspicion, 2*s.next), lastSuspicion)
-	s.until = now.Add(s.next)
-	b.suspects[scheduler] = s
-	event.SchedulerSilent.Log(b.Log, "scheduler", scheduler, "forMs", s.next.Milliseconds())
+	s.duration = min(max(minBackoff, 2*s.duration), maxBackoff)
+	s.until = now.Add(s.duration)
+	b.unresponsive[scheduler] = s
+	event.SchedulerSilent.Log(b.Log, "scheduler", scheduler, "forMs", s.duration.Milliseconds())
 }
 
-// SilentError says that a scheduler did not answer.
-type SilentError struct{ Scheduler string }
+// UnresponsiveError reports that a scheduler did not reply.
+type UnresponsiveError struct{ Scheduler string }
 
-func (e *SilentError) Error() string { return "broker: no reply from " + e.Scheduler }
+func (e *UnresponsiveError) Error() string { return "broker: no reply from scheduler " + e.Scheduler }
 
-// ask asks another instance, and asks again until it replies.
-func (b *Broker) ask(ctx context.Context, scheduler string, a schedule.Request) (*Reservation, error) {
+// reserveAt reserves a slot at another instance. It sends the request again until the
+// scheduler replies, counts as unresponsive or the context ends.
+func (b *Broker) reserveAt(ctx context.Context, scheduler string, req schedule.Request) (*Reservation, error) {
 	b.mu.Lock()
 	b.seq++
 	seq := b.seq
@@ -239,80 +246,80 @@
 		delete(b.pending, seq)
 		b.mu.Unlock()
 	}()
-	b.Peers.Send(scheduler, &peers.Message{Reserve: encode(seq, &a)})
-	timer := time.NewTimer(resendAfter)
+	b.Peers.Send(scheduler, &peers.Message{Reserve: encodeReserve(seq, &req)})
+	timer := time.NewTimer(resendInterval)
 	defer timer.Stop()
-	for silent := 0; ; {
+	for unanswered := 0; ; {
 		select {
 		case r := <-replies:
-			if b.isForeign(&a, r) {
+			if b.isMisdirected(&req, r) {
 				continue
 			}
 			if !r.Queued {
-				b.trust(scheduler)
-				return b.replied(scheduler, seq, &a, r)
+				b.markResponsive(scheduler)
+				return b.toReservation(scheduler, seq, &req, r)
 			}
-			silent = 0
-			timer.Reset(resendQueuedAfter)
+			unanswered = 0
+			timer.Reset(queuedResendInterval)
 		case <-timer.C:
-			if silent++; silent >= giveUpAfter {
-				b.done(scheduler, seq, schedule.Abandoned, 0)
-				return nil, &SilentError{Scheduler: scheduler}
+			if unanswered++; unanswered >= maxUnanswered {
+				b.sendRelease(scheduler, seq, schedule.Abandoned, 0)
+				return nil, &UnresponsiveError{Scheduler: scheduler}
 			}
-			b.Peers.Send(scheduler, &peers.Message{Reserve: encode(seq, &a)})
-			timer.Reset(resendAfter)
+			b.Peers.Send(scheduler, &peers.Message{Reserve: encodeReserve(seq, &req)})
+			timer.Reset(resendInterval)
 		case <-ctx.Done():
-			b.done(scheduler, seq, schedule.Abandoned, 0)
+			b.sendRelease(scheduler, seq, schedule.Abandoned, 0)
 			return nil, ctx.Err()
 		}
 	}
 }
 
-func (b *Broker) trust(scheduler string) {
+func (b *Broker) markResponsive(scheduler string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	delete(b.suspects, scheduler)
+	delete(b.unresponsive, scheduler)
 }
 
-// isForeign tells whether a reply answers another request: of this instance's former
-// life, under the same number. Its target would run the request, since it is
-// called by its own name, though the request's service has no part in it.
-func (b *Broker) isForeign(a *schedule.Request, r *peers.Reserved) bool {
+// isMisdirected reports whether a reply belongs to a request of an earlier incarnation
+// of this instance with the same sequence number. Its target would run this request,
+// since it is addressed by its own name, although it is of another service.
+func (b *Broker) isMisdirected(req *schedule.Request, r *peers.Reserved) bool {
 	if r.Target == "" {
 		return false
 	}
 	t := b.Roster.Load().Targets[r.Target]
-	return a.Target != "" && r.Target != a.Target || t != nil && t.Service != a.Service
+	return req.Target != "" && r.Target != req.Target || t != nil && t.Service != req.Service
 }
 
-func (b *Broker) replied(scheduler string, seq uint64, a *schedule.Request, r *peers.Reserved) (*Reservation, error) {
+func (b *Broker) toReservation(scheduler string, seq uint64, req *schedule.Request, r *peers.Reserved) (*Reservation, error) {
 	switch {
 	case r.NoTarget:
-		return nil, &schedule.NoTargetError{Service: a.Service}
+		return nil, &schedule.NoTargetError{Service: req.Service}
 	case r.Target == "":
-		return nil, &schedule.BusyError{Service: a.Service, Wait: time.Duration(r.WaitMs) * time.Millisecond, Queued: r.Waiting}
+		return nil, &schedule.BusyError{Service: req.Service, Wait: time.Duration(r.WaitMs) * time.Millisecond, Queued: r.Waiting}
 	}
 	t := b.Roster.Load().Targets[r.Target]
-	if t == nil || t.Born != r.Born || a.Target == "" && t.Draining {
-		b.done(scheduler, seq, schedule.Abandoned, 0)
-		return nil, &schedule.NoTargetError{Service: a.Service}
+	if t == nil || t.Born != r.Born || req.Target == "" && t.Draining {
+		b.sendRelease(scheduler, seq, schedule.Abandoned, 0)
+		return nil, &schedule.NoTargetError{Service: req.Service}
 	}
-	began := time.Now()
-	return &Reservation{Target: t, release: func(out schedule.Result) { b.done(scheduler, seq, out, time.Since(began)) }}, nil
+	start := time.Now()
+	return &Reservation{Target: t, release: func(result schedule.Result) { b.sendRelease(scheduler, seq, result, time.Since(start)) }}, nil
 }
 
-func (b *Broker) done(scheduler string, seq uint64, out schedule.Result, took time.Duration) {
-	b.Peers.Send(scheduler, &peers.Message{Release: &peers.Release{Seq: seq, Result: int(out), TookUs: took.Microseconds()}})
+func (b *Broker) sendRelease(scheduler string, seq uint64, result schedule.Result, took time.Duration) {
+	b.Peers.Send(scheduler, &peers.Message{Release: &peers.Release{Seq: seq, Result: int(result), TookUs: took.Microseconds()}})
 }
 
-func encode(seq uint64, a *schedule.Request) *peers.Reserve {
+func encodeReserve(seq uint64, req *schedule.Request) *peers.Reserve {
 	now := time.Now()
-	w := &peers.Reserve{
-		Seq: seq, Service: a.Service, Kind: a.Kind, Target: a.Target, Zone: a.Zone, Priority: a.Priority, OnTime: a.OnTime,
-		ObjectiveMs: a.Objective.Sub(now).Milliseconds(), DeadlineMs: a.Deadline.Sub(now).Milliseconds(),
+	msg := &peers.Reserve{
+		Seq: seq, Service: req.Service, Kind: req.Kind, Target: req.Target, Zone: req.Zone, Priority: req.Priority, OnTime: req.OnTime,
+		ObjectiveMs: req.Objective.Sub(now).Milliseconds(), DeadlineMs: req.Deadline.Sub(now).Milliseconds(),
 	}
-	for id := range a.Excluded {
-		w.Excluded = append(w.Excluded, id)
+	for id := range req.Excluded {
+		msg.Excluded = append(msg.Excluded, id)
 	}
-	return w
+	return msg
 }
--- a/gateway/broker/broker_test.go
+++ b/gateway/broker/broker_test.go
@@ -19,49 +19,50 @@
 	"gotest.tools/v3/poll"
 )
 
-type node struct {
+type testInstance struct {
 	broker *broker.Broker
 	peers  *peers.Peers
-	list   *roster.Roster
-	// instead, if set, takes messages in place of the broker.
-	instead atomic.Pointer[func(*peers.Message)]
-	stop    func()
+	roster *roster.Roster
+	// receiveHook, if set, receives messages in place of the broker.
+	receiveHook atomic.Pointer[func(*peers.Message)]
+	stop        func()
 }
 
-// nodes are instances of one zone that know each other and the same targets.
-func nodes(t *testing.T, names ...string) map[string]*node {
+// startInstances starts instances of one zone that have each other and the same
+// targets in their lists.
+func startInstances(t *testing.T, names ...string) map[string]*testInstance {
 	t.Helper()
-	list := &roster.Roster{}
-	list.Replace(time.Now(), []*roster.Target{{ID: "t", Born: 1, Service: "s", Zone: "z", Slots: 1}}, 1)
-	all, known := map[string]*node{}, map[string]peers.Instance{}
+	targets := &roster.Roster{}
+	targets.Replace(time.Now(), []*roster.Target{{ID: "t", Born: 1, Service: "s", Zone: "z", Slots: 1}}, 1)
+	all, members := map[string]*testInstance{}, map[string]peers.Instance{}
 	log := slog.New(slog.DiscardHandler)
 	for _, name := range names {
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		assert.NilError(t, err)
 		address := c.LocalAddr().String()
 		assert.NilError(t, c.Close())
-		n := &node{list: list}
+		n := &testInstance{roster: targets}
 		n.peers = &peers.Peers{Self: peers.Instance{Name: name, Life: "1", Zone: "z", Datagram: address}, Log: log}
 		n.peers.Receive = func(m *peers.Message) {
-			if f := n.instead.Load(); f != nil {
+			if f := n.receiveHook.Load(); f != nil {
 				(*f)(m)
 				return
 			}
 			n.broker.Receive(m)
 		}
 		n.broker = broker.New(broker.Options{
-			Self: n.peers.Self, Peers: n.peers, Dispatcher: &dispatch.Dispatcher{Roster: list}, Roster: list, Log: log,
+			Self: n.peers.Self, Peers: n.peers, Dispatcher: &dispatch.Dispatcher{Roster: targets}, Roster: targets, Log: log,
 		})
 		assert.NilError(t, n.peers.Listen())
 		ctx, cancel := context.WithCancel(context.Background())
-		ended := make(chan struct{})
-		go func() { defer close(ended); _ = n.peers.Serve(ctx) }()
-		n.stop = func() { cancel(); <-ended }
+		done := make(chan struct{})
+		go func() { defer close(done); _ = n.peers.Serve(ctx) }()
+		n.stop = func() { cancel(); <-done }
 		t.Cleanup(n.stop)
-		all[name], known[name] = n, n.peers.Self
+		all[name], members[name] = n, n.peers.Self
 	}
 	for _, n := range all {
-		n.peers.Know(known)
+		n.peers.Know(members)
 	}
 	return all
 }
@@ -71,76 +72,78 @@
 	return schedule.Request{Service: "s", Zone: "z", Objective: now.Add(objective), Deadline: now.Add(deadline)}
 }
 
-// A target has one slot. Whichever instance sent, one of them counts: of three
-// instances' requests only one has room.
-func TestSlotsAreCountedOnceForAll(t *testing.T) {
-	all := nodes(t, "a", "b", "c")
-	var places []*broker.Reservation
+// A target has one slot, and three instances request it. One scheduler must count it
+// for all of them: only one request gets the slot.
+func TestSlotIsReservedOnceAcrossInstances(t *testing.T) {
+	all := startInstances(t, "a", "b", "c")
+	var reservations []*broker.Reservation
 	for _, n := range all {
-		p, err := n.broker.Acquire(t.Context(), request(time.Millisecond, 50*time.Millisecond))
+		res, err := n.broker.Acquire(t.Context(), request(time.Millisecond, 50*time.Millisecond))
 		if err != nil {
 			var busy *schedule.BusyError
 			assert.Assert(t, errors.As(err, &busy), err)
 			continue
 		}
-		places = append(places, p)
+		reservations = append(reservations, res)
 	}
-	assert.Equal(t, len(places), 1)
-	for _, p := range places {
-		p.Release(schedule.Answered)
+	assert.Equal(t, len(reservations), 1)
+	for _, res := range reservations {
+		res.Release(schedule.Answered)
 	}
 	for _, n := range all {
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
-			p, err := n.broker.Acquire(t.Context(), request(time.Second, 3*time.Second))
+			res, err := n.broker.Acquire(t.Context(), request(time.Second, 3*time.Second))
 			if err != nil {
 				return poll.Continue("%v", err)
 			}
-			p.Release(schedule.Answered)
+			res.Release(schedule.Answered)
 			return poll.Success()
 		}, poll.WithTimeout(30*time.Second))
 	}
 }
 
-// The instance that decides is gone without a word. The others decide by
-// themselves: a request waits a little and is not refused.
-func TestSilentSchedulerIsGoneRound(t *testing.T) {
-	all := nodes(t, "a", "b", "c")
+// The scheduler stops without notice. The other instances must assign slots by
+// themselves: a request is delayed a little and not refused.
+func TestUnresponsiveSchedulerIsBypassed(t *testing.T) {
+	all := startInstances(t, "a", "b", "c")
 	for _, n := range all {
 		n.stop()
 	}
 	for _, n := range all {
-		p, err := n.broker.Acquire(t.Context(), request(20*time.Second, 60*time.Second))
+		res, err := n.broker.Acquire(t.Context(), request(20*time.Second, 60*time.Second))
 		assert.NilError(t, err)
-		p.Release(schedule.Answered)
+		res.Release(schedule.Answered)
 	}
 }
 
-func TestCallerThatGoesAwayWithdrawsItsRequest(t *testing.T) {
-	all := nodes(t, "a", "b", "c")
+// The callers of many requests go away. A request that stayed at its scheduler would
+// hold the only slot.
+func TestCanceledRequestIsWithdrawn(t *testing.T) {
+	all := startInstances(t, "a", "b", "c")
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for _, n := range all {
 		for range 5 {
-			if p, err := n.broker.Acquire(ctx, request(time.Second, time.Minute)); err == nil {
-				p.Release(schedule.Abandoned)
+			if res, err := n.broker.Acquire(ctx, request(time.Second, time.Minute)); err == nil {
+				res.Release(schedule.Abandoned)
 			}
 		}
 	}
 	for _, n := range all {
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
-			p, err := n.broker.Acquire(t.Context(), request(time.Second, 3*time.Second))
+			res, err := n.broker.Acquire(t.Context(), request(time.Second, 3*time.Second))
 			if err != nil {
 				return poll.Continue("%v", err)
 			}
-			p.Release(schedule.Answered)
+			res.Release(schedule.Answered)
 			return poll.Success()
 		}, poll.WithTimeout(30*time.Second))
 	}
 }
 
-// All requests of a zone ask the scheduler of a service. It is one of the instances
-// with the most of a processor; for single targets all take their part.
-func TestStrongInstanceIsSchedulerOfService(t *testing.T) {
+// All requests of a zone go to the scheduler of a service, so it must be an instance
+// with the most cores. The schedulers of single targets are spread over all instances.
+func TestServiceSchedulerHasMostCores(t *testing.T) {
 	all := map[string]peers.Instance{}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		all[name] = peers.Instance{Name: name, Zone: "z", Cores: 0.16, Datagram: "127.0.0.1:9"}
@@ -149,18 +152,18 @@
 	p := &peers.Peers{Self: all["a"], Log: slog.New(slog.DiscardHandler)}
 	p.Know(all)
 	b := broker.New(broker.Options{Self: p.Self, Peers: p})
-	schedulers := map[string]bool{}
+	schedulersOfTargets := map[string]bool{}
 	for _, id := range []string{"t1", "t2", "t3", "t4", "t5", "t6", "t7", "t8"} {
 		assert.Equal(t, b.Scheduler(&schedule.Request{Service: id, Zone: "z"}), "strong")
-		schedulers[b.Scheduler(&schedule.Request{Service: "s", Zone: "z", Target: id})] = true
+		schedulersOfTargets[b.Scheduler(&schedule.Request{Service: "s", Zone: "z", Target: id})] = true
 	}
-	assert.Assert(t, len(schedulers) > 2)
+	assert.Assert(t, len(schedulersOfTargets) > 2)
 }
 
-// A request waits at its scheduler for most of a second, as many do when targets
-// are busy. Asking again every 50 ms was most of what went between regions.
-func TestWaitingRequestAsksSeldom(t *testing.T) {
-	all := nodes(t, "a", "scheduler")
+// A request is queued at its scheduler for most of a second, as many are when targets
+// are busy. Resending it every 50 ms would be most of the traffic between regions.
+func TestQueuedRequestIsRarelyResent(t *testing.T) {
+	all := startInstances(t, "a", "scheduler")
 	var sent atomic.Int64
 	scheduler := all["scheduler"].peers
 	queue := func(m *peers.Message) {
@@ -169,71 +172,71 @@
 			scheduler.Send(m.From, &peers.Message{Reserved: &peers.Reserved{Seq: m.Reserve.Seq, Queued: true}})
 		}
 	}
-	all["scheduler"].instead.Store(&queue)
+	all["scheduler"].receiveHook.Store(&queue)
 	id := ""
 	for i := 0; id == ""; i++ {
-		if a := (&schedule.Request{Service: "s", Zone: "z", Target: "t" + strconv.Itoa(i)}); all["a"].broker.Scheduler(a) == "scheduler" {
-			id = a.Target
+		if req := (&schedule.Request{Service: "s", Zone: "z", Target: "t" + strconv.Itoa(i)}); all["a"].broker.Scheduler(req) == "scheduler" {
+			id = req.Target
 		}
 	}
-	all["a"].list.Replace(time.Now(), []*roster.Target{{ID: id, Born: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
+	all["a"].roster.Replace(time.Now(), []*roster.Target{{ID: id, Born: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
 	ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
 	defer cancel()
-	began := time.Now()
-	a := request(time.Second, time.Minute)
-	a.Target = id
-	_, err := all["a"].broker.Acquire(ctx, a)
+	start := time.Now()
+	req := request(time.Second, time.Minute)
+	req.Target = id
+	_, err := all["a"].broker.Acquire(ctx, req)
 	assert.Assert(t, errors.Is(err, context.DeadlineExceeded), "%v", err)
-	most := 2 + int64(time.Since(began)/(300*time.Millisecond))
-	assert.Assert(t, sent.Load() <= most, "%d sent, at most %d", sent.Load(), most)
+	limit := 2 + int64(time.Since(start)/(300*time.Millisecond))
+	assert.Assert(t, sent.Load() <= limit, "%d sent, at most %d", sent.Load(), limit)
 }
 
-// An instance was killed and is back under its name. A reply to its former life
-// arrives, for an ask that had the same number: it names a target of another
-// service. That target would run the request, since it is called by its own
-// name. The reply is passed over, and the right one is waited for.
-func TestReplyToAFormerLifeIsPassedOver(t *testing.T) {
-	for name, stray := range map[string]*peers.Reserved{
+// An instance was killed and restarted under its name. A reply to a request of its
+// earlier incarnation with the same sequence number arrives and names another target,
+// which would run the request, since it is addressed by its own name. The reply must
+// be ignored until the right one arrives.
+func TestReplyToEarlierIncarnationIsIgnored(t *testing.T) {
+	for name, misdirected := range map[string]*peers.Reserved{
 		"another service's target": {Target: "other", Born: 7},
 		"another target":           {Target: "second", Born: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			all := nodes(t, "a", "scheduler")
+			all := startInstances(t, "a", "scheduler")
 			scheduler := all["scheduler"].peers
-			answer := func(m *peers.Message) {
+			reply := func(m *peers.Message) {
 				if m.Reserve == nil {
 					return
 				}
-				r := *stray
+				r := *misdirected
 				r.Seq = m.Reserve.Seq
 				scheduler.Send(m.From, &peers.Message{Reserved: &r})
 				scheduler.Send(m.From, &peers.Message{Reserved: &peers.Reserved{Seq: m.Reserve.Seq, Target: m.Reserve.Target, Born: 1}})
 			}
-			all["scheduler"].instead.Store(&answer)
-			a := request(time.Second, time.Minute)
-			for i := 0; a.Target == "" || all["a"].broker.Scheduler(&a) != "scheduler"; i++ {
-				a.Target = "t" + strconv.Itoa(i)
+			all["scheduler"].receiveHook.Store(&reply)
+			req := request(time.Second, time.Minute)
+			for i := 0; req.Target == "" || all["a"].broker.Scheduler(&req) != "scheduler"; i++ {
+				req.Target = "t" + strconv.Itoa(i)
 			}
-			all["a"].list.Replace(time.Now(), []*roster.Target{
-				{ID: a.Target, Born: 1, Service: "s", Zone: "z", Slots: 1},
+			all["a"].roster.Replace(time.Now(), []*roster.Target{
+				{ID: req.Target, Born: 1, Service: "s", Zone: "z", Slots: 1},
 				{ID: "second", Born: 1, Service: "s", Zone: "z", Slots: 1},
 				{ID: "other", Born: 7, Service: "elsewhere", Zone: "z", Slots: 1},
 			}, 2)
-			p, err := all["a"].broker.Acquire(t.Context(), a)
+			res, err := all["a"].broker.Acquire(t.Context(), req)
 			assert.NilError(t, err)
-			assert.Equal(t, p.Target.ID, a.Target)
+			assert.Equal(t, res.Target.ID, req.Target)
 		})
 	}
 }
 
-// Guards against a reply to a former life that finds a pending request under its
-// number: numbers start at random in each life.
-func TestNumbersOfRequestsDifferBetweenLives(t *testing.T) {
+// A reply to an earlier incarnation must not match a pending request by its sequence
+// number: the numbers start at random in each incarnation.
+func TestSequenceNumbersDifferBetweenIncarnations(t *testing.T) {
 	var first []uint64
 	for range 2 {
-		all := nodes(t, "a", "scheduler")
+		all := startInstances(t, "a", "scheduler")
 		seen := make(chan uint64, 1)
-		note := func(m *peers.Message) {
+		record := func(m *peers.Message) {
 			if m.Reserve != nil {
 				select {
 				case seen <- m.Reserve.Seq:
@@ -241,14 +244,14 @@
 				}
 			}
 		}
-		all["scheduler"].instead.Store(&note)
-		a := request(time.Second, time.Minute)
-		for i := 0; a.Target == "" || all["a"].broker.Scheduler(&a) != "scheduler"; i++ {
-			a.Target = "t" + strconv.Itoa(i)
+		all["scheduler"].receiveHook.Store(&record)
+		req := request(time.Second, time.Minute)
+		for i := 0; req.Target == "" || all["a"].broker.Scheduler(&req) != "scheduler"; i++ {
+			req.Target = "t" + strconv.Itoa(i)
 		}
-		all["a"].list.Replace(time.Now(), []*roster.Target{{ID: a.Target, Born: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
+		all["a"].roster.Replace(time.Now(), []*roster.Target{{ID: req.Target, Born: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
-		_, err := all["a"].broker.Acquire(ctx, a)
+		_, err := all["a"].broker.Acquire(ctx, req)
 		cancel()
 		assert.Assert(t, err != nil)
 		first = append(first, <-seen)
--- a/gateway/broker/scheduler.go
+++ b/gateway/broker/scheduler.go
@@ -10,23 +10,23 @@
 	"basilcross.example/gateway/peers"
 )
 
-// remoteKey names a request of another instance.
+// remoteKey identifies a request of another instance.
 type remoteKey struct {
-	from, life string
-	seq        uint64
+	from, incarnation string
+	seq               uint64
 }
 
-// remote is a request of another instance that waits or has a slot. All but the
-// context is guarded by the broker's lock.
-type remote struct {
+// remoteRequest is a request of another instance that waits for a slot or has one.
+// Broker.mu guards all fields but cancel.
+type remoteRequest struct {
 	cancel      context.CancelFunc
 	reservation *dispatch.Reservation
 	reply       *peers.Reserved
-	// replied is when the reply was sent.
-	replied time.Time
+	// repliedAt is when the reply was sent.
+	repliedAt time.Time
 }
 
-// Receive takes in a datagram about slots, and tells whether it was one.
+// Receive handles a message about slots, and reports whether it was one.
 func (b *Broker) Receive(m *peers.Message) bool {
 	switch {
 	case m.Reserve != nil:
@@ -46,7 +46,7 @@
 	replies := b.pending[r.Seq]
 	b.mu.Unlock()
 	if replies == nil {
-		// Nobody waits for it any more; whoever did has said so.
+		// The request has ended and a release was sent.
 		return
 	}
 	select {
@@ -58,7 +58,7 @@
 func (b *Broker) handleReserve(m *peers.Message) {
 	key := remoteKey{m.From, m.Life, m.Reserve.Seq}
 	b.mu.Lock()
-	r := b.remotes[key]
+	r := b.remoteRequests[key]
 	if r != nil {
 		reply := r.reply
 		b.mu.Unlock()
@@ -69,106 +69,107 @@
 		return
 	}
 	now := time.Now()
-	a := decode(now, m.Reserve)
-	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline)
-	r = &remote{cancel: cancel}
-	b.remotes[key] = r
-	a.Transit = b.transits[m.From]
+	req := decodeReserve(now, m.Reserve)
+	ctx, cancel := context.WithDeadline(context.Background(), req.Deadline)
+	r = &remoteRequest{cancel: cancel}
+	b.remoteRequests[key] = r
+	req.Transit = b.transitTimes[m.From]
 	b.mu.Unlock()
-	time.AfterFunc(time.Until(a.Deadline)+keptBeyond, func() { b.end(key, schedule.Abandoned) })
+	time.AfterFunc(time.Until(req.Deadline)+releaseGrace, func() { b.releaseRemote(key, schedule.Abandoned) })
 	b.group.Go(func() error {
-		b.decide(ctx, key, r, a)
+		b.reserveFor(ctx, key, r, req)
 		return nil
 	})
 }
 
-// decode returns the request that another instance asks a slot for.
-func decode(now time.Time, m *peers.Reserve) schedule.Request {
-	a := schedule.Request{
+// decodeReserve returns the request of another instance's message.
+func decodeReserve(now time.Time, m *peers.Reserve) schedule.Request {
+	req := schedule.Request{
 		Service: m.Service, Kind: m.Kind, Target: m.Target, Zone: m.Zone, Priority: m.Priority, OnTime: m.OnTime,
 		Objective: now.Add(time.Duration(m.ObjectiveMs) * time.Millisecond),
 		Deadline:  now.Add(time.Duration(m.DeadlineMs) * time.Millisecond),
 	}
 	if len(m.Excluded) > 0 {
-		a.Excluded = map[string]bool{}
+		req.Excluded = map[string]bool{}
 		for _, id := range m.Excluded {
-			a.Excluded[id] = true
+			req.Excluded[id] = true
 		}
 	}
-	return a
+	return req
 }
 
-// decide finds a slot for another instance's request and tells it.
-func (b *Broker) decide(ctx context.Context, key remoteKey, r *remote, a schedule.Request) {
-	p, err := b.Dispatcher.Acquire(ctx, a)
+// reserveFor reserves a slot for another instance's request and sends the reply.
+func (b *Broker) reserveFor(ctx context.Context, key remoteKey, r *remoteRequest, req schedule.Request) {
+	res, err := b.Dispatcher.Acquire(ctx, req)
 	reply := &peers.Reserved{Seq: key.seq}
 	var busy *schedule.BusyError
-	var none *schedule.NoTargetError
+	var noTarget *schedule.NoTargetError
 	switch {
 	case err == nil:
-		reply.Target, reply.Born = p.Target.ID, p.Target.Born
+		reply.Target, reply.Born = res.Target.ID, res.Target.Born
 	case errors.As(err, &busy):
 		reply.WaitMs, reply.Waiting = busy.Wait.Milliseconds(), busy.Queued
-	case errors.As(err, &none):
+	case errors.As(err, &noTarget):
 		reply.NoTarget = true
 	}
 	b.mu.Lock()
-	if b.remotes[key] != r {
-		// It was withdrawn meanwhile.
+	if b.remoteRequests[key] != r {
+		// The request was withdrawn meanwhile.
 		b.mu.Unlock()
-		if p != nil {
-			p.Release(schedule.Abandoned)
+		if res != nil {
+			res.Release(schedule.Abandoned)
 		}
 		return
 	}
-	r.reservation, r.reply, r.replied = p, reply, time.Now()
+	r.reservation, r.reply, r.repliedAt = res, reply, time.Now()
 	b.mu.Unlock()
 	b.Peers.Send(key.from, &peers.Message{Reserved: reply})
 }
 
 func (b *Broker) handleRelease(m *peers.Message) {
-	key, out := remoteKey{m.From, m.Life, m.Release.Seq}, schedule.Result(m.Release.Result)
-	if out == schedule.Answered {
-		b.learnTransit(key, time.Duration(m.Release.TookUs)*time.Microsecond)
+	key, result := remoteKey{m.From, m.Life, m.Release.Seq}, schedule.Result(m.Release.Result)
+	if result == schedule.Answered {
+		b.updateTransitTime(key, time.Duration(m.Release.TookUs)*time.Microsecond)
 	}
-	b.end(key, out)
+	b.releaseRemote(key, result)
 }
 
 const (
-	// transitShare is the weight of the newest message's time.
-	transitShare = 0.1
-	// mostTransit is taken for messages that were held up.
-	mostTransit = 50 * time.Millisecond
+	// transitWeight is the weight of the newest sample in the moving average.
+	transitWeight = 0.1
+	// maxTransit bounds a sample, for messages that were delayed.
+	maxTransit = 50 * time.Millisecond
 )
 
-// learnTransit learns how long a message to another instance takes: half of what
-// a slot was away for beyond the time for which that instance had it.
-func (b *Broker) learnTransit(key remoteKey, took time.Duration) {
+// updateTransitTime estimates the one-way time of messages to another instance: half of
+// the time between reply and release that exceeds the time for which that instance
+// held the slot.
+func (b *Broker) updateTransitTime(key remoteKey, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.remotes[key]
+	r := b.remoteRequests[key]
 	if r == nil || r.reservation == nil {
 		return
 	}
-	transit := min(max(time.Since(r.replied)-took, 0)/2, mostTransit)
-	known, ok := b.transits[key.from]
+	transit := min(max(time.Since(r.repliedAt)-took, 0)/2, maxTransit)
+	average, ok := b.transitTimes[key.from]
 	if !ok {
-		known = transit
+		average = transit
 	}
-	b.transits[key.from] = known + time.Duration(transitShare*float64(transit-known))
+	b.transitTimes[key.from] = average + time.Duration(transitWeight*float64(transit-average))
 }
 
-// end gives back the slot of another instance's request.
-func (b *Broker) end(key remoteKey, out schedule.Result) {
+// releaseRemote releases the slot of another instance's request, or withdraws it.
+func (b *Broker) releaseRemote(key remoteKey, result schedule.Result) {
 	b.mu.Lock()
-	r := b.remotes[key]
-	delete(b.remotes, key)
+	r := b.remoteRequests[key]
+	delete(b.remoteRequests, key)
 	b.mu.Unlock()
 	if r == nil {
 		return
 	}
 	r.cancel()
 	if r.reservation != nil {
-		r.reservation.Release(out)
+		r.reservation.Release(result)
 	}
 }
