--- a/gateway/channel/channel.go
+++ b/gateway/channel/channel.go
@@ -6,32 +6,35 @@
 	"time"
 )
 
-// Channel is one connection. It carries one call at a time, and belongs to who
-// took it until it is given back.
+// Channel is one connection. It carries one call at a time, and belongs to the caller
+// of Set.Acquire until Release.
 type Channel struct {
-	// Number names the channel in its set. It is above 0 and never used again.
+	// Number identifies the channel in its set. It is above 0 and never reused.
 	Number  uint64
 	Address string
-	// Opened is when the connection was open.
+	// Opened is when the connection was established.
 	Opened time.Time
-	// Target is who has told its name on the connection; empty if nobody was
-	// asked. It belongs to whoever has the channel.
+	// Target is the target that has identified itself on the connection; empty if it
+	// was not asked to. Only the holder of the channel may access it.
 	Target string
 
 	set *Set
-	// semaphore has room for the one that may use the channel.
+	// semaphore has capacity 1 and holds an element while the channel is in use.
 	semaphore chan struct{}
-	// The rest is guarded by the set: the connection, nil while it is opened;
-	// why it could not be; whether the channel was closed by us; how many use
-	// it or wait to; and when it was given back last.
-	conn   *http.ClientConn
+	// Set.mu guards the fields below. conn is nil until the connection is established;
+	// dialErr is why it was not.
+	conn    *http.ClientConn
 	dialErr error
+	// closing is set if the channel must not be used for further calls.
 	closing bool
-	users  int
+	// users counts the holder and those that wait for the channel.
+	users int
+	// lastUsed is when the channel was last released.
 	lastUsed time.Time
 }
 
-// open connects a fresh channel. Others may wait for it already.
+// open establishes the connection of a new channel, for which other callers may
+// wait already.
 func (c *Channel) open(ctx context.Context) error {
 	conn, err := c.set.transport.NewClientConn(ctx, "http", c.Address)
 	c.set.mu.Lock()
@@ -47,7 +50,7 @@
 	return nil
 }
 
-// check returns why the channel cannot be used.
+// check returns the error why the channel cannot be used.
 func (c *Channel) check() error {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
@@ -60,12 +63,12 @@
 	return nil
 }
 
-// isClosed tells whether the channel cannot be used any more.
+// isClosed reports whether the channel cannot be used any more. Set.mu must be held.
 func (c *Channel) isClosed() bool {
 	return c.closing || c.dialErr != nil || c.conn != nil && c.conn.Err() != nil
 }
 
-// close closes the channel for good.
+// close closes the channel permanently. Set.mu must be held.
 func (c *Channel) close() {
 	c.closing = true
 	if c.conn != nil {
@@ -73,12 +76,12 @@
 	}
 }
 
-// Client sends calls on the channel and on no other connection. The channel is
-// closed for good by a call that fails or is given up, and by an answer that
-// ends the connection.
+// Client returns a client that uses this connection only. A call that fails or is
+// canceled closes the channel permanently, and so does a response that ends the
+// connection.
 func (c *Channel) Client() *http.Client { return &http.Client{Transport: c} }
 
-// RoundTrip carries out one call.
+// RoundTrip sends a request on the connection.
 func (c *Channel) RoundTrip(r *http.Request) (*http.Response, error) {
 	res, err := c.conn.RoundTrip(r)
 	if err != nil || res.Close {
@@ -89,7 +92,8 @@
 	return res, err
 }
 
-// Release gives the channel back, after the answer was read.
+// Release makes the channel available to other callers. The response must have been
+// read.
 func (c *Channel) Release() {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
--- a/gateway/channel/channel_test.go
+++ b/gateway/channel/channel_test.go
@@ -31,7 +31,7 @@
 	return string(text)
 }
 
-// startServer answers with a name at an address; the zero port takes any.
+// startServer starts a server that responds with its name. Port 0 selects a free one.
 func startServer(t *testing.T, name, address string) (string, *http.Server) {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
@@ -45,8 +45,8 @@
 	return l.Addr().String(), s
 }
 
-// Another process comes to the address. The number of a channel to the one
-// before never leads to it: the channel is lost, though the address answers.
+// A new process takes over an address. The number of a channel to the former one must
+// not lead to it: the channel is closed, although the address answers.
 func TestChannelNumberNeverReachesAnotherProcess(t *testing.T) {
 	ctx := context.Background()
 	set := newSet()
@@ -56,23 +56,23 @@
 	assert.NilError(t, err)
 	assert.Equal(t, call(t, c), "first")
 	c.Release()
-	again, err := set.Acquire(ctx, address, c.Number)
+	c2, err := set.Acquire(ctx, address, c.Number)
 	assert.NilError(t, err)
-	assert.Equal(t, call(t, again), "first")
-	again.Release()
+	assert.Equal(t, call(t, c2), "first")
+	c2.Release()
 	assert.NilError(t, first.Close())
 	startServer(t, "second", address)
-	var lost *channel.ClosedError
-	for end := time.Now().Add(5 * time.Second); !errors.As(err, &lost); {
+	var closed *channel.ClosedError
+	for end := time.Now().Add(5 * time.Second); !errors.As(err, &closed); {
 		assert.Assert(t, time.Now().Before(end))
-		if again, err = set.Acquire(ctx, address, c.Number); err == nil {
-			// Its end was not noticed yet: the call fails, on this channel.
-			_, err := again.Client().Get("http://" + address)
+		if c2, err = set.Acquire(ctx, address, c.Number); err == nil {
+			// The end of the connection is not detected yet: the call on it fails.
+			_, err := c2.Client().Get("http://" + address)
 			assert.Assert(t, err != nil)
-			again.Release()
+			c2.Release()
 		}
 	}
-	assert.Equal(t, lost.Number, c.Number)
+	assert.Equal(t, closed.Number, c.Number)
 	next, err := set.Acquire(ctx, address, 0)
 	assert.NilError(t, err)
 	assert.Assert(t, next.Number != c.Number)
@@ -80,8 +80,8 @@
 	next.Release()
 }
 
-// A call is given up. Its answer may come later, so the channel is closed, and
-// who waits for it is told.
+// A call times out. Its response may arrive later, so the channel is closed and a
+// caller that waits for it gets an error.
 func TestTimedOutCallClosesChannel(t *testing.T) {
 	hang := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hang }))
@@ -104,13 +104,13 @@
 	_, err = c.Client().Do(r)
 	assert.Assert(t, errors.Is(err, context.DeadlineExceeded))
 	c.Release()
-	var lost *channel.ClosedError
-	assert.Assert(t, errors.As(group.Wait(), &lost))
+	var closed *channel.ClosedError
+	assert.Assert(t, errors.As(group.Wait(), &closed))
 }
 
-// Forty calls to one address come at once, and nothing is open yet, as at the
-// beginning of a coordinator's term. They share a few connections, one at a time
-// on each: a target takes a limited number from all callers.
+// Forty calls to one address start at once and no connection is open, as at the
+// beginning of a coordinator's term. They must share a few connections, one call at a
+// time on each: a target accepts a limited number from all callers.
 func TestConcurrentCallsShareFewChannels(t *testing.T) {
 	var now, most atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -151,8 +151,8 @@
 	assert.Assert(t, most.Load() <= int64(used))
 }
 
-// The other end says that it closes the connection. Whoever takes the channel
-// next is told before a call, not by a call whose outcome is unknown.
+// The server announces that it closes the connection. The next Acquire of the channel
+// must fail, before a call whose outcome would be unknown.
 func TestConnectionCloseResponseClosesChannel(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close")
@@ -165,19 +165,19 @@
 		assert.NilError(t, err)
 		call(t, c)
 		c.Release()
-		var lost *channel.ClosedError
+		var closed *channel.ClosedError
 		_, err = set.Acquire(context.Background(), c.Address, c.Number)
-		assert.Assert(t, errors.As(err, &lost), "%v", err)
+		assert.Assert(t, errors.As(err, &closed), "%v", err)
 	}
 }
 
-// The set is closed while a connection is opened: nothing of it stays open.
+// The set is closed while a connection is being established, which must not stay open.
 func TestSetCloseDuringDial(t *testing.T) {
 	address, _ := startServer(t, "one", "127.0.0.1:0")
-	dialing, goOn := make(chan struct{}), make(chan struct{})
+	dialing, resume := make(chan struct{}), make(chan struct{})
 	set := &channel.Set{Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 		close(dialing)
-		<-goOn
+		<-resume
 		return (&net.Dialer{}).DialContext(ctx, network, address)
 	}}
 	var group errgroup.Group
@@ -187,11 +187,12 @@
 	})
 	<-dialing
 	set.Close()
-	close(goOn)
-	var lost *channel.ClosedError
-	assert.Assert(t, errors.As(group.Wait(), &lost))
+	close(resume)
+	var closed *channel.ClosedError
+	assert.Assert(t, errors.As(group.Wait(), &closed))
 }
 
+// A caller that stops waiting for a channel must leave it usable for others.
 func TestAcquireStopsWithContext(t *testing.T) {
 	address, _ := startServer(t, "one", "127.0.0.1:0")
 	set := newSet()
@@ -212,7 +213,7 @@
 
 func TestDialErrorReachesAllWaiters(t *testing.T) {
 	set := newSet()
-	// Also those that wait for another one's connection hear that.
+	// Callers that wait for a connection that another one opens get the error too.
 	var group errgroup.Group
 	for range 20 {
 		group.Go(func() error {
--- a/gateway/channel/set.go
+++ b/gateway/channel/set.go
@@ -1,6 +1,5 @@
-// Package channel keeps connections to addresses and tells them apart. Who lives
-// at an address may change between two calls; behind one connection there is one
-// process, for as long as it lasts.
+// Package channel pools connections whose identity matters. The process at an address
+// may change between two calls, but one connection always leads to the same process.
 package channel
 
 import (
@@ -13,29 +12,29 @@
 )
 
 const (
-	// maxPerAddress bounds the connections to one address. More calls than that
-	// wait for each other, which costs a few milliseconds each.
+	// maxPerAddress bounds the connections to one address. Further concurrent calls
+	// wait, which costs a few milliseconds each.
 	maxPerAddress = 3
-	// idleTimeout is when a connection without calls is closed: before the other
-	// end does so.
+	// idleTimeout is how long an unused connection stays open. It ends before the
+	// peer's own idle timeout.
 	idleTimeout = 5 * time.Second
-	// sweepInterval is the least time between two looks for idle connections.
+	// sweepInterval is the least time between two searches for idle connections.
 	sweepInterval = time.Second
 )
 
-// Set holds the open channels. Dial must be set; what it opens must be reset,
-// not closed, when it is closed.
+// Set is a pool of channels. Dial must be set. Close of its connections must reset
+// them (RST) rather than end them with a FIN.
 type Set struct {
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	mu        sync.Mutex
-	transport *http.Transport
-	lastNumber      uint64
-	channels  map[string][]*Channel
-	lastSweep   time.Time
+	mu         sync.Mutex
+	transport  *http.Transport
+	lastNumber uint64
+	channels   map[string][]*Channel
+	lastSweep  time.Time
 }
 
-// ClosedError says that a channel is closed. Nothing was sent on it.
+// ClosedError reports that a channel is closed. Nothing was sent on it.
 type ClosedError struct {
 	Address string
 	Number  uint64
@@ -45,16 +44,15 @@
 	return fmt.Sprintf("channel %d to %s is closed", e.Number, e.Address)
 }
 
-// Acquire waits for the channel with the number, or, if that is 0, for any one to
-// the address, which may be opened for it. It fails with a LostError if the
-// channel is closed, and otherwise as Dial does. Whoever gets a channel must
-// give it back.
+// Acquire waits for the channel with the given number or, if that is 0, for any
+// channel to the address, and opens one if needed. The error is a *ClosedError if the
+// channel is closed, the context's, or Dial's. The caller must release the channel.
 func (s *Set) Acquire(ctx context.Context, address string, number uint64) (*Channel, error) {
-	c, fresh := s.choose(address, number)
+	c, isNew := s.choose(address, number)
 	switch {
 	case c == nil:
 		return nil, &ClosedError{Address: address, Number: number}
-	case fresh:
+	case isNew:
 		if err := c.open(ctx); err != nil {
 			return nil, err
 		}
@@ -75,9 +73,9 @@
 	return c, nil
 }
 
-// choose returns the channel to wait for, or a fresh one that is to be opened,
-// whose turn the caller has. It returns nil if the one with the number is closed.
-func (s *Set) choose(address string, number uint64) (c *Channel, fresh bool) {
+// choose returns the channel to wait for, or a new one that the caller holds and must
+// open. It returns nil if the channel with the number is closed.
+func (s *Set) choose(address string, number uint64) (c *Channel, isNew bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sweep()
@@ -113,7 +111,7 @@
 	return c
 }
 
-// sweep closes what is not used any more.
+// sweep closes idle channels and forgets closed ones.
 func (s *Set) sweep() {
 	now := time.Now()
 	if now.Sub(s.lastSweep) < sweepInterval {
@@ -136,7 +134,7 @@
 	}
 }
 
-// Close closes all channels. Others may be opened afterwards.
+// Close closes all channels. New ones may be opened afterwards.
 func (s *Set) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
