--- a/gateway/hop/hop.go
+++ b/gateway/hop/hop.go
@@ -1,4 +1,4 @@
-// Package hop removes the headers that concern one connection only.
+// Package hop removes hop-by-hop headers, which a proxy must not forward.
 package hop
 
 import (
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// hopByHopHeaders are the hop-by-hop headers of RFC 9110, 7.6.1.
+// hopByHopHeaders are those of RFC 9110, section 7.6.1.
 var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Remove deletes the hop-by-hop headers, and those that the message names as such.
+// Remove deletes the hop-by-hop headers and those that the Connection header lists.
 func Remove(h http.Header) {
 	for _, list := range h.Values("Connection") {
 		for _, name := range strings.Split(list, ",") {
--- a/gateway/lograte/lograte.go
+++ b/gateway/lograte/lograte.go
@@ -1,6 +1,5 @@
-// Package lograte bounds how many log lines each event may write, so that one
-// event that repeats under load neither costs the processor nor pushes the
-// others' lines out.
+// Package lograte limits the rate of log lines per event, so that an event that repeats
+// under load neither uses much CPU time nor displaces the lines of other events.
 package lograte
 
 import (
@@ -13,58 +12,59 @@
 )
 
 const (
-	// defaultLimit is how many lines an event may write in a window where Limit
-	// is zero: more than an instance answers requests at the load it is made for.
+	// defaultLimit is the lines per event and window if Limit is zero: more than the
+	// requests that an instance answers in that time at its design load.
 	defaultLimit = 400
-	// window is the time in which lines are counted.
+	// window is the time over which lines are counted.
 	window = time.Second
 )
 
-// Handler is a slog.Handler that passes on a limited number of lines for each
-// event, and counts the others in a line of their own. Next must be set.
+// Handler is a slog.Handler that passes a limited number of lines per event to Next,
+// and logs the number of dropped ones. Next must be set.
 type Handler struct {
 	Next slog.Handler
-	// Limit is how many lines an event may write in a second; zero is 400.
+	// Limit is the lines per second and event; zero means 400.
 	Limit int
 
 	counts *windowCounts
 	once   sync.Once
 }
 
-// windowCounts are the lines of each event in the present window.
+// windowCounts counts the lines of each event number in the current window.
 type windowCounts struct {
 	mu    sync.Mutex
 	start time.Time
-	lines  map[int64]int
+	lines map[int64]int
 }
 
-// Enabled passes the question on.
+// Enabled reports whether Next handles records of the level.
 func (h *Handler) Enabled(ctx context.Context, l slog.Level) bool { return h.Next.Enabled(ctx, l) }
 
-// WithAttrs returns a handler that counts together with this one.
+// WithAttrs returns a handler with the attributes that shares the counts of this one.
 func (h *Handler) WithAttrs(a []slog.Attr) slog.Handler {
 	return &Handler{Next: h.Next.WithAttrs(a), Limit: h.Limit, counts: h.sharedCounts()}
 }
 
-// WithGroup returns a handler that counts together with this one.
+// WithGroup returns a handler with the group that shares the counts of this one.
 func (h *Handler) WithGroup(name string) slog.Handler {
 	return &Handler{Next: h.Next.WithGroup(name), Limit: h.Limit, counts: h.sharedCounts()}
 }
 
-// Handle writes the line unless its event has written too many.
+// Handle passes the record to Next unless its event has reached the limit. Records
+// without an event number are not limited.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
 	c := h.sharedCounts()
 	number := eventNumber(r)
 	c.mu.Lock()
-	left := c.rotate(r.Time, h.effectiveLimit())
+	dropped := c.rotate(r.Time, h.effectiveLimit())
 	c.lines[number]++
-	over := number != 0 && c.lines[number] > h.effectiveLimit()
+	limited := number != 0 && c.lines[number] > h.effectiveLimit()
 	c.mu.Unlock()
 	log := slog.New(h.Next)
-	for n, lines := range left {
+	for n, lines := range dropped {
 		event.LinesLeftOut.Log(log, "of", n, "lines", lines)
 	}
-	if over {
+	if limited {
 		return nil
 	}
 	return h.Next.Handle(ctx, r)
@@ -86,28 +86,28 @@
 	return h.counts
 }
 
-// rotate begins a new window if the present one is over, and returns how many
-// lines of which events were left out in that.
+// rotate starts a new window if the current one is over, and returns how many lines of
+// each event were dropped in that one.
 func (c *windowCounts) rotate(now time.Time, limit int) map[int64]int {
 	if now.Sub(c.start) < window {
 		return nil
 	}
-	var left map[int64]int
-	for n, seen := range c.lines {
-		if n == 0 || seen <= limit {
+	var dropped map[int64]int
+	for n, lines := range c.lines {
+		if n == 0 || lines <= limit {
 			continue
 		}
-		if left == nil {
-			left = map[int64]int{}
+		if dropped == nil {
+			dropped = map[int64]int{}
 		}
-		left[n] = seen - limit
+		dropped[n] = lines - limit
 	}
 	c.start = now
 	clear(c.lines)
-	return left
+	return dropped
 }
 
-// eventNumber returns the event's number; 0 if the line has none.
+// eventNumber returns the event number of a record; 0 if it has none.
 func eventNumber(r slog.Record) (number int64) {
 	r.Attrs(func(a slog.Attr) bool {
 		if a.Key == event.NumberKey {
--- a/gateway/lograte/lograte_test.go
+++ b/gateway/lograte/lograte_test.go
@@ -14,8 +14,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A target answers nothing, and each of thousands of attempts writes a line.
-// Other events' lines come through, and what was left out is counted.
+// A target does not answer, and each of thousands of attempts logs a line. The lines of
+// other events must still be written, and the number of dropped lines is logged.
 func TestFrequentEventDoesNotSuppressOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
--- a/gateway/logsink/logsink.go
+++ b/gateway/logsink/logsink.go
@@ -1,4 +1,4 @@
-// Package logsink writes log lines without ever making their writers wait.
+// Package logsink writes log lines without blocking the goroutines that log.
 package logsink
 
 import (
@@ -13,33 +13,34 @@
 )
 
 const (
-	// queueCapacity is how many lines may wait for a slow reader.
+	// queueCapacity is how many lines may wait for a slow output.
 	queueCapacity = 2048
-	// reportInterval is how often lines left out are counted in a line of their own.
+	// reportInterval is how often the number of dropped lines is logged.
 	reportInterval = time.Second
 )
 
-// Sink is an io.Writer for one line each. Create it with New.
+// Sink is an io.Writer that queues lines, one per Write. Create it with New.
 type Sink struct {
 	out   io.Writer
 	lines *ring.Ring[[]byte]
-	reportedDrops  uint64
-	// BytesWritten counts the bytes handed on.
+	// reportedDrops is how many dropped lines have been logged.
+	reportedDrops uint64
+	// BytesWritten counts the bytes written to the output.
 	BytesWritten atomic.Uint64
 }
 
-// New returns a sink that writes to out as long as Serve runs.
+// New returns a sink that writes to out while Serve runs.
 func New(out io.Writer) *Sink {
 	return &Sink{out: out, lines: ring.New[[]byte](queueCapacity)}
 }
 
-// Write takes a line, or drops and counts it if too many wait.
+// Write queues a line, or drops and counts it if the queue is full. It never fails.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.lines.Offer(append([]byte(nil), line...))
 	return len(line), nil
 }
 
-// Serve writes lines until the context ends, and then those that wait.
+// Serve writes queued lines until the context ends, and then those still queued.
 func (s *Sink) Serve(ctx context.Context) error {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
@@ -68,7 +69,7 @@
 	}
 }
 
-// writeOut writes a line. An error has nobody to be told to.
+// writeOut writes a line. It ignores errors, since they could not be logged.
 func (s *Sink) writeOut(line []byte) {
 	n, _ := s.out.Write(line)
 	s.BytesWritten.Add(uint64(max(n, 0)))
--- a/gateway/logsink/logsink_test.go
+++ b/gateway/logsink/logsink_test.go
@@ -12,11 +12,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// blockedWriter is a reader that takes nothing until it is let go.
+// blockedWriter blocks every Write until unblock is closed.
 type blockedWriter struct {
 	unblock chan struct{}
-	mu   sync.Mutex
-	text bytes.Buffer
+	mu      sync.Mutex
+	text    bytes.Buffer
 }
 
 func (s *blockedWriter) Write(p []byte) (int, error) {
@@ -26,21 +26,21 @@
 	return s.text.Write(p)
 }
 
-// Whoever reads the log stops reading. Requests must go on; what was left out
-// is counted once the reader is back.
+// The reader of the log stops reading. Logging must not block; the number of dropped
+// lines is logged once the output accepts data again.
 func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	out := &blockedWriter{unblock: make(chan struct{})}
 	sink := logsink.New(out)
 	log := slog.New(slog.NewJSONHandler(sink, nil))
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { defer close(ended); _ = sink.Serve(ctx) }()
+	done := make(chan struct{})
+	go func() { defer close(done); _ = sink.Serve(ctx) }()
 	for range 5000 {
 		log.Info("line")
 	}
 	close(out.unblock)
 	cancel()
-	<-ended
+	<-done
 	out.mu.Lock()
 	defer out.mu.Unlock()
 	assert.Assert(t, strings.Contains(out.text.String(), "linesLeftOut"))
--- a/gateway/operator/operator.go
+++ b/gateway/operator/operator.go
@@ -1,4 +1,4 @@
-// Package operator decides what a call to the admin address may do.
+// Package operator authorizes requests to the admin address.
 package operator
 
 import (
@@ -11,17 +11,18 @@
 	"strings"
 )
 
-// Authorizer lets calls through by bearer token. A file that is not set asks for
-// nothing: the admin address is then only as safe as its network. The files
-// are read at each call, so tokens change without a restart.
+// Authorizer checks bearer tokens. It permits requests to which no file applies: without
+// files the admin address is only as safe as its network. The files are read at each
+// request, so tokens can be replaced without a restart.
 type Authorizer struct {
-	// ReadFile holds the token that may read, ChangeFile the one that may
-	// read and change.
+	// ReadFile holds the token that permits GET requests, ChangeFile the one that
+	// permits all. An empty name means that there is no such token.
 	ReadFile   string
 	ChangeFile string
 }
 
-// DeniedError says why a call was turned away; it never holds a token.
+// DeniedError holds the HTTP status and the reason of a rejected request, never a
+// token.
 type DeniedError struct {
 	Status int
 	Reason string
@@ -29,7 +30,7 @@
 
 func (e *DeniedError) Error() string { return e.Reason }
 
-// Authorize tells whether the request may go on.
+// Authorize returns a *DeniedError unless the request is permitted.
 func (g *Authorizer) Authorize(r *http.Request) error {
 	files := []string{g.ChangeFile}
 	if r.Method == http.MethodGet {
@@ -60,19 +61,19 @@
 	}
 }
 
-// fileHoldsToken compares hashes in constant time, so that neither the length nor the
-// beginning of the token can be found out by timing.
+// fileHoldsToken reports whether a file holds the given token. It compares hashes in
+// constant time, so that timing reveals neither the length nor a prefix of the token.
 func fileHoldsToken(file, given string) (bool, error) {
 	content, err := os.ReadFile(file) //nolint:gosec // named in the settings
 	if err != nil {
 		return false, fmt.Errorf("token file is not readable: %w", err)
 	}
 	token := strings.TrimSpace(string(content))
-	want, have := sha256.Sum256([]byte(token)), sha256.Sum256([]byte(given))
-	return token != "" && subtle.ConstantTimeCompare(want[:], have[:]) == 1, nil
+	want, got := sha256.Sum256([]byte(token)), sha256.Sum256([]byte(given))
+	return token != "" && subtle.ConstantTimeCompare(want[:], got[:]) == 1, nil
 }
 
-// Wrap wraps a handler.
+// Wrap returns a handler that calls next for permitted requests only.
 func (g *Authorizer) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if err := g.Authorize(r); err != nil {
--- a/gateway/operator/operator_test.go
+++ b/gateway/operator/operator_test.go
@@ -28,6 +28,7 @@
 	return w.Code
 }
 
+// The read token must permit reading only, and a prefix of a token nothing.
 func TestTokenPermissions(t *testing.T) {
 	g := &operator.Authorizer{ReadFile: tokenFile(t, "look"), ChangeFile: tokenFile(t, "touch")}
 	for _, tt := range []struct {
@@ -45,8 +46,8 @@
 	}
 }
 
-// The token file is empty, as after a failed replacement. An empty token must
-// not open the door.
+// The token file is empty, as after a failed replacement. It must not permit requests
+// without a token or with an empty one.
 func TestEmptyTokenFileDeniesAccess(t *testing.T) {
 	g := &operator.Authorizer{ReadFile: tokenFile(t, ""), ChangeFile: tokenFile(t, "")}
 	assert.Equal(t, statusOf(g, http.MethodPost, ""), http.StatusUnauthorized)
--- a/gateway/relay/relay.go
+++ b/gateway/relay/relay.go
@@ -1,8 +1,8 @@
-// Package relay reaches the table service through other zones' leaders while
-// the direct way fails.
+// Package relay calls the table service through the leaders of other zones while direct
+// calls fail.
 //
-// A transaction sent twice by two ways does no harm: its conditions let it take
-// effect once, and its token shows whose it was.
+// A transaction may be sent both directly and through a leader: its conditions let it
+// take effect only once, and its token identifies the transaction that did.
 package relay
 
 import (
@@ -21,27 +21,30 @@
 )
 
 const (
-	// directTimeout bounds the direct try where another way is left.
+	// directTimeout bounds a direct call that can be followed by a relayed one.
 	directTimeout = 400 * time.Millisecond
-	// directBackoff is how long the direct way is not tried after it failed
-	// and a relay worked.
+	// directBackoff is how long direct calls are avoided after one failed and the
+	// relayed one succeeded.
 	directBackoff = 2 * time.Second
 )
 
-// Client is a table client with a second way. All fields must be set.
+// Client is a table client that falls back to a relay. All fields must be set.
 type Client struct {
 	Direct table.Client
 	// Peers returns the control addresses of other zones' leaders.
 	Peers func() []string
+	// Caller calls the leaders that relay.
 	Caller *peer.Caller
-	Log   *slog.Logger
+	Log    *slog.Logger
 
-	mu      sync.Mutex
-	avoidDirectUntil   time.Time
+	mu               sync.Mutex
+	avoidDirectUntil time.Time
+	// relaying is set if the last call that succeeded was relayed.
 	relaying bool
 }
 
-// Transact tries the direct way, then one other leader.
+// Transact sends the transaction directly and, if that fails, through the leader of
+// another zone. The order is reversed for a while after a direct call failed.
 func (c *Client) Transact(ctx context.Context, tx table.Transaction) (table.Result, error) {
 	peers := c.Peers()
 	if len(peers) == 0 {
@@ -54,15 +57,15 @@
 		}
 	}
 	directCtx, cancel := context.WithTimeout(ctx, directTimeout)
-	res, direct := c.Direct.Transact(directCtx, tx)
+	res, directErr := c.Direct.Transact(directCtx, tx)
 	cancel()
-	if direct == nil {
+	if directErr == nil {
 		c.recordPath(false)
 		return res, nil
 	}
 	res, err := c.transactVia(ctx, peer, tx)
 	if err != nil {
-		return table.Result{}, fmt.Errorf("%w; through %s: %w", direct, peer, err)
+		return table.Result{}, fmt.Errorf("%w; through %s: %w", directErr, peer, err)
 	}
 	c.recordPath(true)
 	return res, nil
@@ -88,13 +91,13 @@
 
 func (c *Client) transactVia(ctx context.Context, address string, tx table.Transaction) (table.Result, error) {
 	var res table.Result
-	content, err := json.Marshal(tx)
+	body, err := json.Marshal(tx)
 	if err != nil {
 		return res, err
 	}
-	answer, err := c.Caller.Zone(address).Transact(ctx, &control.TransactRequest{Transaction: content})
+	response, err := c.Caller.Zone(address).Transact(ctx, &control.TransactRequest{Transaction: body})
 	if err != nil {
 		return res, err
 	}
-	return res, json.Unmarshal(answer.GetResult(), &res)
+	return res, json.Unmarshal(response.GetResult(), &res)
 }
--- a/gateway/settings/settings.go
+++ b/gateway/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings has the daemon's settings: flags, and the same by
+// Package settings defines the daemon's settings, which are read from flags and
 // environment variables.
 package settings
 
@@ -15,36 +15,37 @@
 	"github.com/spf13/pflag"
 )
 
-// EnvPrefix begins the environment variable of every flag: --callers-listen
-// is BASILCROSS_CALLERS_LISTEN.
+// EnvPrefix is the prefix of the environment variables. The variable of
+// --callers-listen is BASILCROSS_CALLERS_LISTEN.
 const EnvPrefix = "BASILCROSS_"
 
-// Settings are what an instance must know before it can ask anybody.
+// Settings configure an instance that runs as a daemon. The flags' usage texts describe
+// the fields.
 type Settings struct {
-	Instance      string
-	Zone          string
-	Region        string
-	CallersListen string
-	ControlListen string
-	AdminListen   string
-	Advertise     string
+	Instance         string
+	Zone             string
+	Region           string
+	CallersListen    string
+	ControlListen    string
+	AdminListen      string
+	Advertise        string
 	PlatformURL      string
-	Peers         []string
-	EgressProxy   string
-	Targets    []string
-	LogFormat     string
-	LogLevel      string
-	Pprof         bool
-	ReadTokenFile     string
-	ChangeTokenFile   string
-	TLSCertFile       string
-	TLSKeyFile        string
-	TLSAuthorityFile  string
-	DrainWait     time.Duration
-	StopTimeout   time.Duration
+	Peers            []string
+	EgressProxy      string
+	Targets          []string
+	LogFormat        string
+	LogLevel         string
+	Pprof            bool
+	ReadTokenFile    string
+	ChangeTokenFile  string
+	TLSCertFile      string
+	TLSKeyFile       string
+	TLSAuthorityFile string
+	DrainWait        time.Duration
+	StopTimeout      time.Duration
 }
 
-// Defaults returns settings with which one instance starts on its own.
+// Defaults returns settings for a single instance without a platform.
 func Defaults() Settings {
 	host, err := os.Hostname()
 	if err != nil || host == "" {
@@ -64,7 +65,7 @@
 	}
 }
 
-// Bind adds a flag for each setting, with the present values as defaults.
+// Bind adds a flag for each setting, with the current values as defaults.
 func (s *Settings) Bind(f *pflag.FlagSet) {
 	f.StringVar(&s.Instance, "instance", s.Instance, "name of this instance, unique in the fleet")
 	f.StringVar(&s.Zone, "zone", s.Zone, "availability zone of this instance")
@@ -72,26 +73,27 @@
 	f.StringVar(&s.CallersListen, "callers-listen", s.CallersListen, "address for callers")
 	f.StringVar(&s.ControlListen, "control-listen", s.ControlListen, "address for other instances")
 	f.StringVar(&s.AdminListen, "admin-listen", s.AdminListen, "address for operators, metrics and health")
-	f.StringVar(&s.Advertise, "advertise", s.Advertise, "address under which other instances reach control-listen; empty: the same")
+	f.StringVar(&s.Advertise, "advertise", s.Advertise, "address at which other instances reach control-listen; empty: control-listen itself")
 	f.StringVar(&s.PlatformURL, "platform", s.PlatformURL, "URL of the platform's table service; empty: a table in memory, for one instance")
-	f.StringSliceVar(&s.Peers, "peers", s.Peers, "control addresses to ask while the platform is out of reach")
+	f.StringSliceVar(&s.Peers, "peers", s.Peers, "control addresses of other instances, called while the platform is unreachable")
 	f.StringVar(&s.EgressProxy, "egress-proxy", s.EgressProxy, "address of an HTTP CONNECT proxy for outgoing connections")
 	f.StringSliceVar(&s.Targets, "target", s.Targets, "without a platform: a target as service/id=host:port")
 	f.StringVar(&s.LogFormat, "log-format", s.LogFormat, "json or text")
 	f.StringVar(&s.LogLevel, "log-level", s.LogLevel, "debug, info, warn or error")
-	f.StringVar(&s.ReadTokenFile, "read-token-file", s.ReadTokenFile, "file with the bearer token that may read on the admin address; empty: nothing is asked for")
-	f.StringVar(&s.ChangeTokenFile, "change-token-file", s.ChangeTokenFile, "file with the bearer token that may read and change")
+	f.StringVar(&s.ReadTokenFile, "read-token-file", s.ReadTokenFile, "file with a bearer token for reads only on the admin address; empty: there is none")
+	f.StringVar(&s.ChangeTokenFile, "change-token-file", s.ChangeTokenFile, "file with the bearer token for reads and changes on the admin address; empty: no token is required")
 	f.StringVar(&s.TLSCertFile, "tls-cert", s.TLSCertFile, "certificate for calls between instances, PEM; empty: no TLS")
 	f.StringVar(&s.TLSKeyFile, "tls-key", s.TLSKeyFile, "key of the certificate, PEM")
-	f.StringVar(&s.TLSAuthorityFile, "tls-authority", s.TLSAuthorityFile, "certificate of the authority that all instances' certificates come from, PEM")
+	f.StringVar(&s.TLSAuthorityFile, "tls-authority", s.TLSAuthorityFile, "certificate of the authority that issued all instances' certificates, PEM")
 	f.BoolVar(&s.Pprof, "pprof", s.Pprof, "serve profiles on the admin address")
 	f.DurationVar(&s.DrainWait, "drain-wait", s.DrainWait, "time between failing readiness and closing the listener")
 	f.DurationVar(&s.StopTimeout, "stop-timeout", s.StopTimeout, "longest wait for requests in flight at shutdown")
 }
 
-// ApplyEnvironment sets each flag that was not given from its variable.
+// ApplyEnvironment sets each flag that was not given on the command line from its
+// environment variable. The error joins a *FieldError for each invalid value.
 func ApplyEnvironment(f *pflag.FlagSet, lookup func(string) (string, bool)) error {
-	var faults []error
+	var errs []error
 	f.VisitAll(func(flag *pflag.Flag) {
 		name := EnvPrefix + strings.ToUpper(strings.ReplaceAll(flag.Name, "-", "_"))
 		value, ok := lookup(name)
@@ -99,13 +101,13 @@
 			return
 		}
 		if err := flag.Value.Set(value); err != nil {
-			faults = append(faults, &FieldError{Field: name, Value: value, Want: err.Error()})
+			errs = append(errs, &FieldError{Field: name, Value: value, Want: err.Error()})
 		}
 	})
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// FieldError is one fault in the settings.
+// FieldError reports an invalid value of a setting, and what values are valid.
 type FieldError struct {
 	Field string
 	Value any
@@ -121,12 +123,12 @@
 	maxStopTimeout = time.Hour
 )
 
-// Validate reports every fault, joined.
+// Validate checks all settings. The error joins a *FieldError for each invalid one.
 func (s *Settings) Validate() error {
-	var faults []error
+	var errs []error
 	check := func(ok bool, field string, value any, want string) {
 		if !ok {
-			faults = append(faults, &FieldError{Field: field, Value: value, Want: want})
+			errs = append(errs, &FieldError{Field: field, Value: value, Want: want})
 		}
 	}
 	check(isName(s.Instance), "instance", s.Instance, "1 to 63 letters, digits, dots or dashes")
@@ -149,17 +151,17 @@
 	check(slices.Contains([]string{"debug", "info", "warn", "error"}, s.LogLevel), "log-level", s.LogLevel, "debug, info, warn or error")
 	check(s.DrainWait >= 0 && s.DrainWait <= maxDrainWait, "drain-wait", s.DrainWait, "0s to 5m")
 	check(s.StopTimeout > 0 && s.StopTimeout <= maxStopTimeout, "stop-timeout", s.StopTimeout, "more than 0s and at most 1h")
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-func allOrNone(texts ...string) bool {
+func allOrNone(values ...string) bool {
 	set := 0
-	for _, t := range texts {
+	for _, t := range values {
 		if t != "" {
 			set++
 		}
 	}
-	return set == 0 || set == len(texts)
+	return set == 0 || set == len(values)
 }
 
 func isName(s string) bool {
@@ -177,7 +179,7 @@
 	return err == nil && port != ""
 }
 
-// AdvertisedAddress returns the address under which other instances reach this one.
+// AdvertisedAddress returns the address at which other instances reach this one.
 func (s *Settings) AdvertisedAddress() string {
 	if s.Advertise != "" {
 		return s.Advertise
@@ -185,22 +187,23 @@
 	return s.ControlListen
 }
 
-// defaultSlots is what a target on the command line is taken to have.
+// defaultSlots is the number of slots of a target given on the command line.
 const defaultSlots = 4
 
-// ParseTargets parses the targets given without a platform.
+// ParseTargets parses the targets given on the command line. The error is a
+// *FieldError.
 func (s *Settings) ParseTargets() ([]platform.Instance, error) {
-	listed := make([]platform.Instance, 0, len(s.Targets))
+	targets := make([]platform.Instance, 0, len(s.Targets))
 	for _, text := range s.Targets {
 		name, address, hasAddress := strings.Cut(text, "=")
 		service, id, hasID := strings.Cut(name, "/")
 		if !hasAddress || !hasID || !isAddress(address) {
 			return nil, &FieldError{Field: "target", Value: text, Want: "service/id=host:port"}
 		}
-		listed = append(listed, platform.Instance{
+		targets = append(targets, platform.Instance{
 			ID: id, Zone: s.Zone, Region: s.Region, Address: address,
 			Role: platform.TargetRole, Service: service, Slots: defaultSlots, Fenced: true,
 		})
 	}
-	return listed, nil
+	return targets, nil
 }
