--- a/gateway/broker/broker.go
+++ b/gateway/broker/broker.go
@@ -65,8 +65,8 @@
 	remoteRequests map[remoteKey]*remoteRequest
 	unresponsive   map[string]backoff
 	fullUntil      map[fullKey]time.Time
-	// transitTimes are the one-way times of messages to other instances.
-	transitTimes map[string]time.Duration
+	// oneWayDelays are the estimated network delays of messages to other instances.
+	oneWayDelays map[string]time.Duration
 }
 
 type fullKey struct{ service, zone string }
@@ -92,7 +92,7 @@
 		// ones, a reply to an earlier incarnation could match a request of this one.
 		Options: o, seq: uint64(rand.Uint32()), pending: map[uint64]chan *peers.Reserved{}, remoteRequests: map[remoteKey]*remoteRequest{},
 		unresponsive: map[string]backoff{}, fullUntil: map[fullKey]time.Time{},
-		transitTimes: map[string]time.Duration{},
+		oneWayDelays: map[string]time.Duration{},
 	}
 }
 
@@ -246,7 +246,7 @@
 		delete(b.pending, seq)
 		b.mu.Unlock()
 	}()
-	b.Peers.Send(scheduler, &peers.Message{Reserve: encodeReserve(seq, &req)})
+	b.Peers.Send(scheduler, &peers.Message{Reserve: encodeReserveRequest(seq, &req)})
 	timer := time.NewTimer(resendInterval)
 	defer timer.Stop()
 	for unanswered := 0; ; {
@@ -257,7 +257,7 @@
 			}
 			if !r.Queued {
 				b.markResponsive(scheduler)
-				return b.toReservation(scheduler, seq, &req, r)
+				return b.reservationFrom(scheduler, seq, &req, r)
 			}
 			unanswered = 0
 			timer.Reset(queuedResendInterval)
@@ -266,7 +266,7 @@
 				b.sendRelease(scheduler, seq, schedule.Abandoned, 0)
 				return nil, &UnresponsiveError{Scheduler: scheduler}
 			}
-			b.Peers.Send(scheduler, &peers.Message{Reserve: encodeReserve(seq, &req)})
+			b.Peers.Send(scheduler, &peers.Message{Reserve: encodeReserveRequest(seq, &req)})
 			timer.Reset(resendInterval)
 		case <-ctx.Done():
 			b.sendRelease(scheduler, seq, schedule.Abandoned, 0)
@@ -292,7 +292,7 @@
 	return req.Target != "" && r.Target != req.Target || t != nil && t.Service != req.Service
 }
 
-func (b *Broker) toReservation(scheduler string, seq uint64, req *schedule.Request, r *peers.Reserved) (*Reservation, error) {
+func (b *Broker) reservationFrom(scheduler string, seq uint64, req *schedule.Request, r *peers.Reserved) (*Reservation, error) {
 	switch {
 	case r.NoTarget:
 		return nil, &schedule.NoTargetError{Service: req.Service}
@@ -308,11 +308,11 @@
 	return &Reservation{Target: t, release: func(result schedule.Result) { b.sendRelease(scheduler, seq, result, time.Since(start)) }}, nil
 }
 
-func (b *Broker) sendRelease(scheduler string, seq uint64, result schedule.Result, took time.Duration) {
-	b.Peers.Send(scheduler, &peers.Message{Release: &peers.Release{Seq: seq, Result: int(result), TookUs: took.Microseconds()}})
+func (b *Broker) sendRelease(scheduler string, seq uint64, result schedule.Result, held time.Duration) {
+	b.Peers.Send(scheduler, &peers.Message{Release: &peers.Release{Seq: seq, Result: int(result), TookUs: held.Microseconds()}})
 }
 
-func encodeReserve(seq uint64, req *schedule.Request) *peers.Reserve {
+func encodeReserveRequest(seq uint64, req *schedule.Request) *peers.Reserve {
 	now := time.Now()
 	msg := &peers.Reserve{
 		Seq: seq, Service: req.Service, Kind: req.Kind, Target: req.Target, Zone: req.Zone, Priority: req.Priority, OnTime: req.OnTime,
--- a/gateway/broker/scheduler.go
+++ b/gateway/broker/scheduler.go
@@ -30,9 +30,9 @@
 func (b *Broker) Receive(m *peers.Message) bool {
 	switch {
 	case m.Reserve != nil:
-		b.handleReserve(m)
+		b.handleReserveRequest(m)
 	case m.Reserved != nil:
-		b.handleReserved(m.Reserved)
+		b.handleReserveResponse(m.Reserved)
 	case m.Release != nil:
 		b.handleRelease(m)
 	default:
@@ -41,7 +41,7 @@
 	return true
 }
 
-func (b *Broker) handleReserved(r *peers.Reserved) {
+func (b *Broker) handleReserveResponse(r *peers.Reserved) {
 	b.mu.Lock()
 	replies := b.pending[r.Seq]
 	b.mu.Unlock()
@@ -55,7 +55,7 @@
 	}
 }
 
-func (b *Broker) handleReserve(m *peers.Message) {
+func (b *Broker) handleReserveRequest(m *peers.Message) {
 	key := remoteKey{m.From, m.Life, m.Reserve.Seq}
 	b.mu.Lock()
 	r := b.remoteRequests[key]
@@ -69,11 +69,11 @@
 		return
 	}
 	now := time.Now()
-	req := decodeReserve(now, m.Reserve)
+	req := decodeReserveRequest(now, m.Reserve)
 	ctx, cancel := context.WithDeadline(context.Background(), req.Deadline)
 	r = &remoteRequest{cancel: cancel}
 	b.remoteRequests[key] = r
-	req.Transit = b.transitTimes[m.From]
+	req.Transit = b.oneWayDelays[m.From]
 	b.mu.Unlock()
 	time.AfterFunc(time.Until(req.Deadline)+releaseGrace, func() { b.releaseRemote(key, schedule.Abandoned) })
 	b.group.Go(func() error {
@@ -82,8 +82,8 @@
 	})
 }
 
-// decodeReserve returns the request of another instance's message.
-func decodeReserve(now time.Time, m *peers.Reserve) schedule.Request {
+// decodeReserveRequest returns the request of another instance's message.
+func decodeReserveRequest(now time.Time, m *peers.Reserve) schedule.Request {
 	req := schedule.Request{
 		Service: m.Service, Kind: m.Kind, Target: m.Target, Zone: m.Zone, Priority: m.Priority, OnTime: m.OnTime,
 		Objective: now.Add(time.Duration(m.ObjectiveMs) * time.Millisecond),
@@ -129,34 +129,34 @@
 func (b *Broker) handleRelease(m *peers.Message) {
 	key, result := remoteKey{m.From, m.Life, m.Release.Seq}, schedule.Result(m.Release.Result)
 	if result == schedule.Answered {
-		b.updateTransitTime(key, time.Duration(m.Release.TookUs)*time.Microsecond)
+		b.updateOneWayDelay(key, time.Duration(m.Release.TookUs)*time.Microsecond)
 	}
 	b.releaseRemote(key, result)
 }
 
 const (
-	// transitWeight is the weight of the newest sample in the moving average.
-	transitWeight = 0.1
-	// maxTransit bounds a sample, for messages that were delayed.
-	maxTransit = 50 * time.Millisecond
+	// oneWayDelayWeight is the weight of the newest sample in the moving average.
+	oneWayDelayWeight = 0.1
+	// maxOneWayDelay bounds a sample, for messages that were delayed.
+	maxOneWayDelay = 50 * time.Millisecond
 )
 
-// updateTransitTime estimates the one-way time of messages to another instance: half of
-// the time between reply and release that exceeds the time for which that instance
-// held the slot.
-func (b *Broker) updateTransitTime(key remoteKey, took time.Duration) {
+// updateOneWayDelay updates the estimated one-way network delay of messages to another
+// instance. A sample is half of the time between reply and release that exceeds the
+// time for which that instance held the slot.
+func (b *Broker) updateOneWayDelay(key remoteKey, held time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.remoteRequests[key]
 	if r == nil || r.reservation == nil {
 		return
 	}
-	transit := min(max(time.Since(r.repliedAt)-took, 0)/2, maxTransit)
-	average, ok := b.transitTimes[key.from]
+	delay := min(max(time.Since(r.repliedAt)-held, 0)/2, maxOneWayDelay)
+	average, ok := b.oneWayDelays[key.from]
 	if !ok {
-		average = transit
+		average = delay
 	}
-	b.transitTimes[key.from] = average + time.Duration(transitWeight*float64(transit-average))
+	b.oneWayDelays[key.from] = average + time.Duration(oneWayDelayWeight*float64(delay-average))
 }
 
 // releaseRemote releases the slot of another instance's request, or withdraws it.
--- a/gateway/mirror/mirror.go
+++ b/gateway/mirror/mirror.go
@@ -80,7 +80,8 @@
 	OnUpdate func(u Update)
 	// EncodeRow returns the current row of a key that ApplyRow added without a value.
 	EncodeRow func(key string) platform.Row
-	// Forward, if set, receives each response of the feed that other instances need.
+	// Forward, if set, receives the changes of each feed response, to be sent to other
+	// instances. It is not called while the mirror is passive.
 	Forward func(u ForwardedUpdate)
 
 	mu       sync.Mutex
@@ -89,6 +90,7 @@
 	// newestChange is the revision of the newest applied change.
 	newestChange uint64
 	loaded       bool
+	// failingSince is when store calls began to fail; zero after a successful one.
 	failingSince time.Time
 	// lastResponse is when the store last answered.
 	lastResponse time.Time
--- a/gateway/operator/operator.go
+++ b/gateway/operator/operator.go
@@ -31,19 +31,19 @@
 func (e *DeniedError) Error() string { return e.Reason }
 
 // Authorize returns a *DeniedError unless the request is permitted.
-func (g *Authorizer) Authorize(r *http.Request) error {
-	files := []string{g.ChangeFile}
+func (a *Authorizer) Authorize(r *http.Request) error {
+	files := []string{a.ChangeFile}
 	if r.Method == http.MethodGet {
-		files = append(files, g.ReadFile)
+		files = append(files, a.ReadFile)
 	}
-	given, hasToken := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
+	token, hasToken := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	open := true
 	for _, file := range files {
 		if file == "" {
 			continue
 		}
 		open = false
-		match, err := fileHoldsToken(file, given)
+		match, err := fileHoldsToken(file, token)
 		if err != nil {
 			return &DeniedError{Status: http.StatusServiceUnavailable, Reason: err.Error()}
 		}
@@ -74,9 +74,9 @@
 }
 
 // Wrap returns a handler that calls next for permitted requests only.
-func (g *Authorizer) Wrap(next http.Handler) http.Handler {
+func (a *Authorizer) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if err := g.Authorize(r); err != nil {
+		if err := a.Authorize(r); err != nil {
 			status := http.StatusForbidden
 			var denied *DeniedError
 			if errors.As(err, &denied) {
