--- a/gateway/broker/scheduler.go
+++ b/gateway/broker/scheduler.go
@@ -10,14 +10,14 @@
 	"basilcross.example/gateway/peers"
 )
 
-// remoteKey names a request of another instance.
+// remoteKey identifies a request of another instance.
 type remoteKey struct {
 	from, incarnation string
-	seq        uint64
+	seq               uint64
 }
 
-// remoteRequest is a request of another instance that waits or has a slot. All but the
-// context is guarded by the broker's lock.
+// remoteRequest is a request of another instance that waits for a slot or has one.
+// Broker.mu guards all fields but cancel.
 type remoteRequest struct {
 	cancel      context.CancelFunc
 	reservation *dispatch.Reservation
@@ -26,7 +26,7 @@
 	repliedAt time.Time
 }
 
-// Receive takes in a datagram about slots, and tells whether it was one.
+// Receive handles a message about slots, and reports whether it was one.
 func (b *Broker) Receive(m *peers.Message) bool {
 	switch {
 	case m.Reserve != nil:
@@ -46,7 +46,7 @@
 	replies := b.pending[r.Seq]
 	b.mu.Unlock()
 	if replies == nil {
-		// Nobody waits for it any more; whoever did has said so.
+		// The request has ended and a release was sent.
 		return
 	}
 	select {
@@ -69,97 +69,98 @@
 		return
 	}
 	now := time.Now()
-	a := decodeReserveRequest(now, m.Reserve)
-	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline)
+	req := decodeReserveRequest(now, m.Reserve)
+	ctx, cancel := context.WithDeadline(context.Background(), req.Deadline)
 	r = &remoteRequest{cancel: cancel}
 	b.remoteRequests[key] = r
-	a.Transit = b.oneWayDelays[m.From]
+	req.Transit = b.oneWayDelays[m.From]
 	b.mu.Unlock()
-	time.AfterFunc(time.Until(a.Deadline)+releaseGrace, func() { b.releaseRemote(key, schedule.Abandoned) })
+	time.AfterFunc(time.Until(req.Deadline)+releaseGrace, func() { b.releaseRemote(key, schedule.Abandoned) })
 	b.group.Go(func() error {
-		b.reserveFor(ctx, key, r, a)
+		b.reserveFor(ctx, key, r, req)
 		return nil
 	})
 }
 
-// decodeReserveRequest returns the request that another instance asks a slot for.
+// decodeReserveRequest returns the request of another instance's message.
 func decodeReserveRequest(now time.Time, m *peers.Reserve) schedule.Request {
-	a := schedule.Request{
+	req := schedule.Request{
 		Service: m.Service, Kind: m.Kind, Target: m.Target, Zone: m.Zone, Priority: m.Priority, OnTime: m.OnTime,
 		Objective: now.Add(time.Duration(m.ObjectiveMs) * time.Millisecond),
 		Deadline:  now.Add(time.Duration(m.DeadlineMs) * time.Millisecond),
 	}
 	if len(m.Excluded) > 0 {
-		a.Excluded = map[string]bool{}
+		req.Excluded = map[string]bool{}
 		for _, id := range m.Excluded {
-			a.Excluded[id] = true
+			req.Excluded[id] = true
 		}
 	}
-	return a
+	return req
 }
 
-// reserveFor finds a slot for another instance's request and tells it.
-func (b *Broker) reserveFor(ctx context.Context, key remoteKey, r *remoteRequest, a schedule.Request) {
-	p, err := b.Dispatcher.Acquire(ctx, a)
+// reserveFor reserves a slot for another instance's request and sends the reply.
+func (b *Broker) reserveFor(ctx context.Context, key remoteKey, r *remoteRequest, req schedule.Request) {
+	res, err := b.Dispatcher.Acquire(ctx, req)
 	reply := &peers.Reserved{Seq: key.seq}
 	var busy *schedule.BusyError
-	var none *schedule.NoTargetError
+	var noTarget *schedule.NoTargetError
 	switch {
 	case err == nil:
-		reply.Target, reply.Born = p.Target.ID, p.Target.Born
+		reply.Target, reply.Born = res.Target.ID, res.Target.Born
 	case errors.As(err, &busy):
 		reply.WaitMs, reply.Waiting = busy.Wait.Milliseconds(), busy.Queued
-	case errors.As(err, &none):
+	case errors.As(err, &noTarget):
 		reply.NoTarget = true
 	}
 	b.mu.Lock()
 	if b.remoteRequests[key] != r {
-		// It was withdrawn meanwhile.
+		// The request was withdrawn meanwhile.
 		b.mu.Unlock()
-		if p != nil {
-			p.Release(schedule.Abandoned)
+		if res != nil {
+			res.Release(schedule.Abandoned)
 		}
 		return
 	}
-	r.reservation, r.reply, r.repliedAt = p, reply, time.Now()
+	r.reservation, r.reply, r.repliedAt = res, reply, time.Now()
 	b.mu.Unlock()
 	b.Peers.Send(key.from, &peers.Message{Reserved: reply})
 }
 
 func (b *Broker) handleRelease(m *peers.Message) {
-	key, out := remoteKey{m.From, m.Life, m.Release.Seq}, schedule.Result(m.Release.Result)
-	if out == schedule.Answered {
+	key, result := remoteKey{m.From, m.Life, m.Release.Seq}, schedule.Result(m.Release.Result)
+	if result == schedule.Answered {
 		b.updateOneWayDelay(key, time.Duration(m.Release.TookUs)*time.Microsecond)
 	}
-	b.releaseRemote(key, out)
+	b.releaseRemote(key, result)
 }
 
 const (
-	// oneWayDelayWeight is the weight of the newest message's time.
+	// oneWayDelayWeight is the weight of the newest sample in the moving average.
 	oneWayDelayWeight = 0.1
-	// maxOneWayDelay is taken for messages that were held up.
+	// maxOneWayDelay bounds a sample, for messages that were delayed.
 	maxOneWayDelay = 50 * time.Millisecond
 )
 
-// updateOneWayDelay learns how long a message to another instance takes: half of what
-// a slot was away for beyond the time for which that instance had it.
-func (b *Broker) updateOneWayDelay(key remoteKey, took time.Duration) {
+// updateOneWayDelay updates the estimated one-way network delay of messages to another
+// instance. A sample is half of the time between reply and release that exceeds the
+// time for which that instance held the slot.
+func (b *Broker) updateOneWayDelay(key remoteKey, held time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.remoteRequests[key]
 	if r == nil || r.reservation == nil {
 		return
 	}
-	transit := min(max(time.Since(r.repliedAt)-took, 0)/2, maxOneWayDelay)
-	known, ok := b.oneWayDelays[key.from]
+	delay := min(max(time.Since(r.repliedAt)-held, 0)/2, maxOneWayDelay)
+	average, ok := b.oneWayDelays[key.from]
 	if !ok {
-		known = transit
+		average = delay
 	}
-	b.oneWayDelays[key.from] = known + time.Duration(oneWayDelayWeight*float64(transit-known))
+	b.oneWayDelays[key.from] = average + time.Duration(oneWayDelayWeight*float64(delay-average))
 }
 
-// releaseRemote gives back the slot of another instance's request.
-func (b *Broker) releaseRemote(key remoteKey, out schedule.Result) {
+// releaseRemote releases the slot of another instance's request, or withdraws it.
+func (b *Broker) releaseRemote(key remoteKey, result schedule.Result) {
 	b.mu.Lock()
 	r := b.remoteRequests[key]
 	delete(b.remoteRequests, key)
@@ -169,6 +170,6 @@
 	}
 	r.cancel()
 	if r.reservation != nil {
-		r.reservation.Release(out)
+		r.reservation.Release(result)
 	}
 }
--- a/gateway/mirror/state.go
+++ b/gateway/mirror/snapshot.go
@@ -6,41 +6,41 @@
 	"basilcross.example/platform"
 )
 
-// Revision returns how far the copy is complete.
+// Revision returns the revision up to which the mirror is complete.
 func (m *Mirror) Revision() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.revision
 }
 
-// LastResponse returns when the store answered last; zero if it never did.
+// LastResponse returns when the store last answered; zero if it never did.
 func (m *Mirror) LastResponse() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.lastResponse
 }
 
-// CheckFreshness has the feed wait only shortly for news, since its answers are needed as a
-// proof that the copy is kept up; or ends that.
+// CheckFreshness shortens the feed's wait while on, so that frequent responses show
+// that the mirror is up to date.
 func (m *Mirror) CheckFreshness(on bool) {
 	m.mu.Lock()
-	begins := on && !m.checkingFreshness
+	enabled := on && !m.checkingFreshness
 	m.checkingFreshness = on
 	m.mu.Unlock()
-	if begins {
+	if enabled {
 		m.Refresh()
 	}
 }
 
-// Snapshot is a copy of a table at one moment.
+// Snapshot is the content of a mirror at one moment.
 type Snapshot struct {
 	Table string
-	// Revision is how far the copy goes.
+	// Revision is the revision up to which the rows are complete.
 	Revision uint64
 	Rows     []platform.Row
 }
 
-// Snapshot returns the copy, and whether there is one.
+// Snapshot returns the content of the mirror and whether it has been loaded.
 func (m *Mirror) Snapshot() (Snapshot, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -54,33 +54,34 @@
 	return s, m.loaded
 }
 
-// NewestChange returns the revision of the newest change taken in. Copies of two
-// instances are alike if it is, however far each one has read.
+// NewestChange returns the revision of the newest applied change. Mirrors with the
+// same newest change have the same rows, even if their revisions differ.
 func (m *Mirror) NewestChange() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.newestChange
 }
 
-// Failing tells whether the copy cannot be kept up from the store.
+// Failing reports whether the mirror is not loaded or its last store call failed.
 func (m *Mirror) Failing() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !m.loaded || !m.failingSince.IsZero()
 }
 
-// ApplyRow takes in a row that another instance wrote and told of. Without a value it
-// is encoded when the copy is asked for; Encode must be set then.
+// ApplyRow applies a row that another instance wrote and announced. The value may be
+// nil if EncodeRow is set, which then supplies it for snapshots.
 func (m *Mirror) ApplyRow(r platform.Row) {
 	m.apply(Update{Rows: []platform.Row{r}})
 }
 
-// ApplySnapshot takes in another instance's copy if it is newer, and tells whether.
+// ApplySnapshot applies another instance's snapshot if it is newer, and reports
+// whether it did.
 func (m *Mirror) ApplySnapshot(s Snapshot) bool {
 	m.mu.Lock()
-	known := m.loaded && s.Revision <= m.revision
+	current := m.loaded && s.Revision <= m.revision
 	m.mu.Unlock()
-	if known {
+	if current {
 		return false
 	}
 	m.apply(Update{Rows: s.Rows, Full: true, Revision: s.Revision})
