--- a/basilcross/ownership/address_test.go
+++ b/basilcross/ownership/address_test.go
@@ -9,79 +9,81 @@
 	"gotest.tools/v3/assert"
 )
 
-// spot plays a manager by hand: orders to t0 end as told, all others are carried
-// out at once.
-type spot struct {
+// scriptedManager drives a manager whose grants to t0 end with a scripted
+// outcome; other orders succeed at once.
+type scriptedManager struct {
 	manager *ownership.Manager
 	now     time.Time
-	list    []*roster.Target
-	// answer ends a grant to t0's address.
+	targets []*roster.Target
+	// answer returns the outcome of a grant to t0's address; if nil, the grants
+	// succeed.
 	answer func(g *ownership.Grant) ownership.Outcome
 	orders []ownership.Order
-	// hold keeps writes unanswered.
-	hold    bool
-	written *ownership.Assignment
-	channel uint64
-	// heard is when t0 answered last.
-	heard time.Time
+	// holdWrites leaves writes unanswered.
+	holdWrites   bool
+	written      *ownership.Assignment
+	channel      uint64
+	lastAnswered time.Time
 }
 
-func newSpot(recorded *ownership.Assignment) *spot {
-	s := &spot{now: time.Unix(1000, 0), list: targets(2)}
-	s.manager = manager(s.now, 1, recorded)
+func newScriptedManager(recorded *ownership.Assignment) *scriptedManager {
+	s := &scriptedManager{now: time.Unix(1000, 0), targets: newTargets(2)}
+	s.manager = newManager(s.now, 1, recorded)
 	s.manager.Jitter = func(time.Duration) time.Duration { return 0 }
 	return s
 }
 
-// play goes on for a while, in steps of 40 ms.
-func (s *spot) play(d time.Duration) {
+// run advances the time by d, in steps of 40 ms.
+func (s *scriptedManager) run(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(40 * time.Millisecond) {
-		for _, o := range s.manager.Step(s.now, s.list) {
+		for _, o := range s.manager.Step(s.now, s.targets) {
 			s.orders = append(s.orders, o)
-			s.carryOut(o)
+			s.execute(o)
 		}
 	}
 }
 
-func (s *spot) carryOut(o ownership.Order) {
+func (s *scriptedManager) execute(o ownership.Order) {
 	switch o := o.(type) {
 	case *ownership.Record:
-		if !s.hold {
+		if !s.holdWrites {
 			s.written = o.Assignment
 			s.manager.Recorded(s.now, true)
 		}
 	case *ownership.Grant:
-		out := ownership.Done
+		outcome := ownership.Done
 		if o.Address == "t0:1" && s.answer != nil {
-			out = s.answer(o)
+			outcome = s.answer(o)
 		}
-		if out != ownership.Unsent && out != ownership.ChannelClosed && o.Channel == 0 {
+		if outcome != ownership.Unsent && outcome != ownership.ChannelClosed && o.Channel == 0 {
 			s.channel++
 			o.Channel = s.channel
 		}
-		if out == ownership.Done && o.Address == "t0:1" {
-			s.heard = s.now
+		if outcome == ownership.Done && o.Address == "t0:1" {
+			s.lastAnswered = s.now
 		}
-		s.manager.Granted(s.now, s.now, o, out)
+		s.manager.Granted(s.now, s.now, o, outcome)
 	case *ownership.Release:
 		s.manager.Released(s.now, o, "h", ownership.Done)
 	}
 }
 
-// newcomer lists a younger target at t0's address, and t0 no more.
-func (s *spot) newcomer(service string) *roster.Target {
+// replaceT0 removes t0 from the list. A younger target of this service (if
+// service is empty) or another service's target gets its address.
+func (s *scriptedManager) replaceT0(service string) *roster.Target {
 	next := &roster.Target{ID: "next", Born: 2, Address: "t0:1", Slots: 3, Seen: s.now}
-	s.list = s.list[1:]
+	s.targets = s.targets[1:]
 	if service != "" {
-		s.manager.Gone(roster.Life{ID: "t0", Born: 1}, true)
+		s.manager.OwnerReplaced(roster.Life{ID: "t0", Born: 1}, true)
 		return nil
 	}
-	s.list = append(s.list, next)
+	s.targets = append(s.targets, next)
 	return next
 }
 
-// othersGot tells whether t1 was granted any of the keys that it did not have.
-func (s *spot) othersGot(since int) bool {
+// t1GotT0Keys reports whether t1 was granted any of t0's keys since the given
+// order.
+func (s *scriptedManager) t1GotT0Keys(since int) bool {
 	for _, g := range grantsTo(s.orders[since:], "t1") {
 		if g.First < 32768 {
 			return true
@@ -90,12 +92,12 @@
 	return false
 }
 
-// The channel of an epoch is closed, and a new one reaches whoever lives at the
-// address now. It must not see the same epoch.
+// Guards against an epoch that two targets receive: its channel is closed, and
+// a new one reaches the target now at the address.
 func TestEpochBelongsToItsChannel(t *testing.T) {
-	s := newSpot(nil)
-	s.play(2 * time.Second)
-	had := grantsTo(s.orders, "t0")
+	s := newScriptedManager(nil)
+	s.run(2 * time.Second)
+	before := grantsTo(s.orders, "t0")
 	sent := map[int64]uint64{}
 	lost := false
 	s.answer = func(g *ownership.Grant) ownership.Outcome {
@@ -105,20 +107,20 @@
 		}
 		return ownership.Done
 	}
-	s.play(2 * time.Second)
+	s.run(2 * time.Second)
 	assert.Assert(t, lost)
 	all := grantsTo(s.orders, "t0")
-	assert.Assert(t, len(all) > len(had))
+	assert.Assert(t, len(all) > len(before))
 	for _, g := range all {
 		assert.Assert(t, sent[g.Epoch] == 0 || sent[g.Epoch] == g.Channel, "epoch %d on two channels", g.Epoch)
 		sent[g.Epoch] = g.Channel
 	}
 }
 
-// A connection is refused, so nothing was sent, and the epoch may go out on the
-// next one; but from then on on that one only.
-func TestRefusedConnectionLeavesTheEpochUnsent(t *testing.T) {
-	s := newSpot(nil)
+// Guards against a new epoch after a refused connection: the epoch was not
+// sent, so it may be sent on the next connection, and then only on that one.
+func TestEpochMayBeSentAfterRefusedConnection(t *testing.T) {
+	s := newScriptedManager(nil)
 	refused := 0
 	s.answer = func(*ownership.Grant) ownership.Outcome {
 		if refused++; refused < 4 {
@@ -126,226 +128,230 @@
 		}
 		return ownership.Done
 	}
-	s.play(2 * time.Second)
+	s.run(2 * time.Second)
 	all := grantsTo(s.orders, "t0")
 	assert.Equal(t, all[0].Epoch, all[3].Epoch)
 	assert.Assert(t, all[4].Channel != 0)
 }
 
-// Another target comes to the address. The keys stay there, under its name and
-// a new epoch: it may have taken orders that were meant for the one before.
-func TestNewcomerInheritsTheKeysAtItsAddress(t *testing.T) {
-	s := newSpot(nil)
-	s.play(2 * time.Second)
+// Guards against granting keys elsewhere when a younger target has their
+// owner's address: it may have received the owner's orders, so it keeps the
+// keys under a new epoch.
+func TestYoungerTargetInheritsTheKeysAtItsAddress(t *testing.T) {
+	s := newScriptedManager(nil)
+	s.run(2 * time.Second)
 	last := grantsTo(s.orders, "t0")[0]
-	s.newcomer("")
+	s.replaceT0("")
 	since := len(s.orders)
-	s.play(200 * time.Millisecond)
+	s.run(200 * time.Millisecond)
 	got := grantsTo(s.orders[since:], "next")
 	assert.Assert(t, len(got) > 0)
 	assert.Assert(t, got[0].Epoch > last.Epoch)
 	assert.Equal(t, got[0].Channel, uint64(0)+s.channel, "on a channel of its own")
 	assert.Equal(t, s.written.Find(0).Owner, "next")
-	assert.Assert(t, !s.othersGot(since))
+	assert.Assert(t, !s.t1GotT0Keys(since))
 }
 
-// An order meant for the one before reached the newcomer and was left without an
-// answer: it may be applied late. The newcomer leaves at once. Its release is
-// worth nothing before a higher epoch has shut that order out.
-func TestStrayOrderIsShutOutBeforeTheKeysGoOn(t *testing.T) {
-	s := newSpot(nil)
-	s.play(2 * time.Second)
+// Guards against trusting a release while a misdirected grant is in doubt: the
+// younger target received it, gave no answer and drains. Its release counts
+// only after a higher epoch has fenced that grant.
+func TestMisdirectedGrantIsFencedBeforeRelease(t *testing.T) {
+	s := newScriptedManager(nil)
+	s.run(2 * time.Second)
 	s.answer = func(*ownership.Grant) ownership.Outcome { return ownership.Unknown }
-	s.play(900 * time.Millisecond)
+	s.run(900 * time.Millisecond)
 	s.answer = nil
-	s.newcomer("").Draining = true
+	s.replaceT0("").Draining = true
 	since := len(s.orders)
-	s.play(400 * time.Millisecond)
+	s.run(400 * time.Millisecond)
 	for _, o := range s.orders[since:] {
 		if g, ok := o.(*ownership.Grant); ok && g.Owner.ID == "next" {
 			break
 		}
 		_, released := o.(*ownership.Release)
-		assert.Assert(t, !released, "released before it was shut out")
+		assert.Assert(t, !released, "released before the grant in doubt was fenced")
 	}
 	assert.Assert(t, len(grantsTo(s.orders[since:], "next")) > 0)
-	assert.Assert(t, s.othersGot(since))
+	assert.Assert(t, s.t1GotT0Keys(since))
 }
 
-// The keys were given up, and the store has the moment at which they are free.
-// A newcomer gets them sooner; but first the store must say so, or a successor
-// gives them to another one at that moment.
-func TestGivenUpKeysAreRecordedBeforeANewcomerGetsThem(t *testing.T) {
-	s := newSpot(nil)
-	s.play(2 * time.Second)
+// Guards against a grant that the store does not have: it records abandoned
+// keys as free from some time on, and a younger target inherits them earlier. A
+// later coordinator would give them to another target at that time.
+func TestInheritedKeysAreRecordedBeforeTheirGrant(t *testing.T) {
+	s := newScriptedManager(nil)
+	s.run(2 * time.Second)
 	s.answer = func(*ownership.Grant) ownership.Outcome { return ownership.Unsent }
-	s.hold = true
+	s.holdWrites = true
 	for range 100 {
-		s.play(40 * time.Millisecond)
+		s.run(40 * time.Millisecond)
 		if s.manager.Assignment().Find(0).FreeAt > 0 {
 			break
 		}
 	}
 	assert.Assert(t, s.manager.Assignment().Find(0).FreeAt > 0)
 	s.answer = nil
-	s.newcomer("")
+	s.replaceT0("")
 	since := len(s.orders)
-	s.play(200 * time.Millisecond)
-	assert.Equal(t, len(grantsTo(s.orders[since:], "next")), 0, "a write without it is under way")
+	s.run(200 * time.Millisecond)
+	assert.Equal(t, len(grantsTo(s.orders[since:], "next")), 0, "a write without the new owner is in flight")
 	s.manager.Recorded(s.now, true)
-	s.play(200 * time.Millisecond)
-	assert.Equal(t, len(grantsTo(s.orders[since:], "next")), 0, "the write of it is under way")
+	s.run(200 * time.Millisecond)
+	assert.Equal(t, len(grantsTo(s.orders[since:], "next")), 0, "the write of the new owner is in flight")
 	s.manager.Recorded(s.now, true)
-	s.hold = false
-	s.play(200 * time.Millisecond)
+	s.holdWrites = false
+	s.run(200 * time.Millisecond)
 	assert.Assert(t, len(grantsTo(s.orders[since:], "next")) > 0)
 }
 
-// The target is at another address under its name. What was its address may
-// have another one by now that took its orders, so the keys are asked back there.
-func TestTargetThatMovesIsReleasedWhereItWas(t *testing.T) {
-	s := newSpot(nil)
-	s.play(2 * time.Second)
-	s.list[0] = &roster.Target{ID: "t0", Born: 2, Address: "t0:2", Slots: 3, Seen: s.now}
+// Guards against releasing keys at the new address of a target that moved:
+// another target may have received its orders at the former one.
+func TestTargetThatMovesIsReleasedAtItsFormerAddress(t *testing.T) {
+	s := newScriptedManager(nil)
+	s.run(2 * time.Second)
+	s.targets[0] = &roster.Target{ID: "t0", Born: 2, Address: "t0:2", Slots: 3, Seen: s.now}
 	since := len(s.orders)
-	s.play(400 * time.Millisecond)
+	s.run(400 * time.Millisecond)
 	first, ok := s.orders[since].(*ownership.Release)
 	assert.Assert(t, ok, "%T", s.orders[since])
 	assert.Equal(t, first.Address, "t0:1")
 }
 
-// Another service's target has the address. It can have none of the keys if the
-// last one that answered there, for long, was still alive too short a time
-// before every channel was opened. Otherwise the keys wait for the stray order.
-func TestKeysWaitForOrdersThatAnotherServiceMayHave(t *testing.T) {
-	long := 9 * time.Second
+// Guards against two holders after another service's target got the address. It
+// can hold no keys if the former owner answered for long and was last alive
+// less than the reuse time before each channel was opened. Otherwise a
+// misdirected grant must expire first.
+func TestKeysWaitForGrantsSentToAnotherService(t *testing.T) {
+	longTime := 9 * time.Second
 	for _, c := range []struct {
 		name string
-		// steady is for how long the target has answered, and opened how long
-		// after its last answer the channel of an order without answer was open.
-		steady, opened time.Duration
-		waits          bool
+		// answering is for how long the target has answered, and opened how
+		// long after its last answer the channel of an unanswered order was
+		// opened; negative if there is no such order.
+		answering, opened time.Duration
+		waits             bool
 	}{
-		{"no order since", long, -1, false},
-		{"an order within the time", long, 1900 * time.Millisecond, false},
-		{"an order after the time", long, 2100 * time.Millisecond, true},
-		{"answers that began lately", time.Second, -1, true},
+		{"no order without an answer", longTime, -1, false},
+		{"channel opened within the reuse time", longTime, 1900 * time.Millisecond, false},
+		{"channel opened after the reuse time", longTime, 2100 * time.Millisecond, true},
+		{"answers began recently", time.Second, -1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newSpot(nil)
-			s.play(800*time.Millisecond + c.steady)
+			s := newScriptedManager(nil)
+			s.run(800*time.Millisecond + c.answering)
 			s.answer = func(g *ownership.Grant) ownership.Outcome {
 				if c.opened < 0 || g.Channel != 0 {
 					return ownership.Unsent
 				}
-				g.Opened = s.heard.Add(c.opened)
+				g.ChannelOpened = s.lastAnswered.Add(c.opened)
 				return ownership.Unknown
 			}
 			if c.opened >= 0 {
-				// The channel is lost, so that the next order opens one.
+				// The channel is closed, so that the next order opens another
+				// one.
 				first := true
-				opened := s.answer
+				answerOpened := s.answer
 				s.answer = func(g *ownership.Grant) ownership.Outcome {
 					if first {
 						first = false
 						return ownership.ChannelClosed
 					}
-					return opened(g)
+					return answerOpened(g)
 				}
 			}
-			s.play(900 * time.Millisecond)
-			s.newcomer("other")
+			s.run(900 * time.Millisecond)
+			s.replaceT0("other")
 			since := len(s.orders)
-			s.play(400 * time.Millisecond)
-			assert.Equal(t, s.othersGot(since), !c.waits)
-			s.play(5 * time.Second)
-			assert.Assert(t, s.othersGot(since))
+			s.run(400 * time.Millisecond)
+			assert.Equal(t, s.t1GotT0Keys(since), !c.waits)
+			s.run(5 * time.Second)
+			assert.Assert(t, s.t1GotT0Keys(since))
 		})
 	}
 }
 
-// A target was slow and has ended. Another lifetime has its name, and nothing
-// says that it is slow too: it gets its share of the keys.
-func TestSpeedEndsWithTheTarget(t *testing.T) {
+// Guards against a latency that outlasts its target: the next incarnation under
+// the name must get its share of the keys.
+func TestLatencyIsDroppedWithItsTarget(t *testing.T) {
 	now := time.Unix(1000, 0)
-	list := targets(2)
-	for _, target := range list {
+	targets := newTargets(2)
+	for _, target := range targets {
 		target.Seen = now
 	}
-	k := manager(now, 1, nil)
-	k.Speed("t0", time.Second)
-	k.Speed("t1", 100*time.Millisecond)
-	k.Step(now, list[1:])
-	step(k, now.Add(2*time.Second), list)
-	a := k.Assignment()
+	m := newManager(now, 1, nil)
+	m.SetLatency("t0", time.Second)
+	m.SetLatency("t1", 100*time.Millisecond)
+	m.Step(now, targets[1:])
+	stepUntilIdle(m, now.Add(2*time.Second), targets)
+	a := m.Assignment()
 	assert.Equal(t, len(a.Pieces), 2)
-	assert.Assert(t, a.Pieces[0].Last > ownership.Keys/2-1000 && a.Pieces[0].Last < ownership.Keys/2+1000, "%v", a.Pieces)
+	assert.Assert(t, a.Pieces[0].Last > ownership.KeyCount/2-1000 && a.Pieces[0].Last < ownership.KeyCount/2+1000, "%v", a.Pieces)
 }
 
-// The write that gives a newcomer the given-up keys is one that the store never
-// takes. What its address may hold runs out before others get them.
-func TestKeysWaitIfTheRecordIsNeverTaken(t *testing.T) {
-	s := newSpot(nil)
-	s.play(2 * time.Second)
-	held := s.heard.Add(holds.Usual * 102 / 100)
+// Guards against two holders when the write that gives abandoned keys to a
+// younger target fails: what that target may hold must expire first.
+func TestKeysWaitIfTheWriteFails(t *testing.T) {
+	s := newScriptedManager(nil)
+	s.run(2 * time.Second)
+	held := s.lastAnswered.Add(holds.Normal * 102 / 100)
 	s.answer = func(*ownership.Grant) ownership.Outcome { return ownership.Unsent }
-	s.play(2200 * time.Millisecond)
+	s.run(2200 * time.Millisecond)
 	assert.Assert(t, s.written.Find(0).FreeAt > 0)
-	s.newcomer("")
-	s.hold = true
-	s.play(80 * time.Millisecond)
+	s.replaceT0("")
+	s.holdWrites = true
+	s.run(80 * time.Millisecond)
 	since := len(s.orders)
 	s.manager.Recorded(s.now, false)
-	s.hold = false
+	s.holdWrites = false
 	for s.now.Before(held) {
-		s.play(40 * time.Millisecond)
-		assert.Assert(t, !s.othersGot(since))
+		s.run(40 * time.Millisecond)
+		assert.Assert(t, !s.t1GotT0Keys(since))
 		assert.Equal(t, len(grantsTo(s.orders[since:], "next")), 0)
 	}
 }
 
-// A release of stray keys reaches the newcomer and gets no answer. A second one,
-// later, is answered at once though the work has not ended: it proves nothing,
-// also after the newcomer got the keys under its own name.
-func TestLostReleaseCountsForTheNewcomer(t *testing.T) {
-	s := newSpot(nil)
-	s.play(2 * time.Second)
-	s.list = s.list[1:]
-	for _, o := range s.manager.Step(s.now, s.list) {
+// Guards against trusting a repeated release: the first one reached the younger
+// target and got no answer, the second is answered at once though the work has
+// not ended. It proves nothing, even after the younger target was granted the
+// keys itself.
+func TestUnansweredReleaseCountsForTheInheritor(t *testing.T) {
+	s := newScriptedManager(nil)
+	s.run(2 * time.Second)
+	s.targets = s.targets[1:]
+	for _, o := range s.manager.Step(s.now, s.targets) {
 		if r, ok := o.(*ownership.Release); ok && r.Address == "t0:1" {
 			s.manager.Released(s.now, r, "", ownership.Unknown)
 			continue
 		}
-		s.carryOut(o)
+		s.execute(o)
 	}
 	next := &roster.Target{ID: "next", Born: 2, Address: "t0:1", Slots: 3, Seen: s.now}
-	s.list = append(s.list, next)
-	s.play(300 * time.Millisecond)
+	s.targets = append(s.targets, next)
+	s.run(300 * time.Millisecond)
 	assert.Assert(t, len(grantsTo(s.orders, "next")) > 0)
 	next.Draining = true
 	since := len(s.orders)
-	s.play(300 * time.Millisecond)
-	assert.Assert(t, !s.othersGot(since))
-	s.play(holds.Usual * 11 / 10)
-	assert.Assert(t, s.othersGot(since))
+	s.run(300 * time.Millisecond)
+	assert.Assert(t, !s.t1GotT0Keys(since))
+	s.run(holds.Normal * 11 / 10)
+	assert.Assert(t, s.t1GotT0Keys(since))
 }
 
-// Two divided services may have the same address one after the other. Their
-// epochs are numbered together, so a target that took an order of the other
-// service's, too, never has the epoch of another one.
-func TestServicesShareTheirEpochs(t *testing.T) {
+// Guards against equal epochs in two sharded services that use an address one
+// after the other: a target may receive orders of both.
+func TestServicesShareEpochNumbers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	epochs := &ownership.Epochs{Term: 1}
-	seen := map[int64]bool{}
+	issued := map[int64]bool{}
 	for _, service := range []string{"lists", "others"} {
-		k := &ownership.Manager{Service: service, Term: 1, Epochs: epochs, Holds: holds}
-		k.Take(now, nil, holds.Long, storeTime(now))
-		for _, o := range step(k, now, targets(3)) {
+		m := &ownership.Manager{Service: service, Term: 1, Epochs: epochs, Holds: holds}
+		m.BeginTerm(now, nil, holds.Long, storeTime(now))
+		for _, o := range stepUntilIdle(m, now, newTargets(3)) {
 			if g, ok := o.(*ownership.Grant); ok {
-				assert.Assert(t, !seen[g.Epoch], "epoch %d of both services", g.Epoch)
-				seen[g.Epoch] = true
+				assert.Assert(t, !issued[g.Epoch], "epoch %d was issued for both services", g.Epoch)
+				issued[g.Epoch] = true
 			}
 		}
 	}
-	assert.Equal(t, len(seen), 6)
+	assert.Equal(t, len(issued), 6)
 }
--- a/basilcross/ownership/assignment.go
+++ b/basilcross/ownership/assignment.go
@@ -1,6 +1,6 @@
 // Package ownership decides which target holds which keys of a sharded service,
-// and when keys may go to the next one. It calls nobody: it takes events and
-// returns orders, so that every order of events can be tested.
+// and when keys may be granted to another target. It does no I/O: it receives
+// events and returns orders, so that tests can exercise any sequence of events.
 package ownership
 
 import (
@@ -12,49 +12,52 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// Keys is the number of keys; they are 0 to Keys-1.
-const Keys = 1 << 16
+// KeyCount is the number of keys; keys are 0 to KeyCount-1.
+const KeyCount = 1 << 16
 
-// Piece is a contiguous range of keys with one owner. Both ends belong to it.
+// Piece is a contiguous range of keys with one owner. First and Last both
+// belong to it.
 type Piece struct {
 	_ struct{} `cbor:",toarray"`
 
 	First   int    `json:"first"`
 	Last    int    `json:"last"`
 	Owner   string `json:"owner,omitempty"`
-	Born    int64  `json:"born,omitempty"`
+	Started int64  `json:"born,omitempty"`
 	Address string `json:"address,omitempty"`
-	// FreeAt is set once the owner is given up without proof: the moment on
-	// the store's clock, in milliseconds, at which it holds nothing any more.
-	// A successor need not begin the wait anew.
+	// FreeAt is set once the piece is taken from its owner without proof of a
+	// release: the time on the store's clock, in milliseconds, from which the
+	// owner holds nothing any more. A later coordinator need not start the wait
+	// from the beginning.
 	FreeAt int64 `json:"freeAt,omitempty"`
 }
 
-// Life names the owner's lifetime.
-func (p *Piece) Life() roster.Life { return roster.Life{ID: p.Owner, Born: p.Born} }
+// Incarnation identifies the owner's incarnation.
+func (p *Piece) Incarnation() roster.Life { return roster.Life{ID: p.Owner, Born: p.Started} }
 
-// Assignment is what is recorded of a service: sorted pieces that cover all
-// keys. It is written before a key is granted, so that whoever coordinates
-// next knows every target that may hold it.
+// Assignment is the recorded state of a service: sorted pieces that cover all
+// keys. It is written before a key is granted, so that the next coordinator has
+// every target that may hold the key.
 type Assignment struct {
 	Service string  `json:"service"`
 	Term    int64   `json:"term"`
 	Pieces  []Piece `json:"pieces"`
 }
 
-// GapError says that an assignment does not cover the keys.
+// GapError reports an assignment that does not cover every key exactly once.
 type GapError struct {
 	Key int
 }
 
 func (e *GapError) Error() string {
-	return fmt.Sprintf("assignment: key %d is in no piece or in two", e.Key)
+	return fmt.Sprintf("key %d is in no piece or in several pieces", e.Key)
 }
 
-// Parse decodes an assignment and checks that it covers all keys once.
-func Parse(text []byte) (*Assignment, error) {
+// Parse decodes an assignment and checks that it covers every key exactly once.
+// If it does not, the error wraps a *GapError.
+func Parse(data []byte) (*Assignment, error) {
 	a := &Assignment{}
-	if err := json.Unmarshal(text, a); err != nil {
+	if err := json.Unmarshal(data, a); err != nil {
 		return nil, fmt.Errorf("parse assignment: %w", err)
 	}
 	next := 0
@@ -64,13 +67,13 @@
 		}
 		next = p.Last + 1
 	}
-	if next != Keys {
+	if next != KeyCount {
 		return nil, fmt.Errorf("parse assignment: %w", &GapError{Key: next})
 	}
 	return a, nil
 }
 
-// Find returns the piece that has the key, or nil if the key is none.
+// Find returns the piece that contains the key, or nil if there is none.
 func (a *Assignment) Find(key int) *Piece {
 	i := sort.Search(len(a.Pieces), func(i int) bool { return a.Pieces[i].Last >= key })
 	if i == len(a.Pieces) || key < a.Pieces[i].First {
@@ -79,8 +82,8 @@
 	return &a.Pieces[i]
 }
 
-// Differences returns the pieces of next that a does not have in the same way.
-func (a *Assignment) Differences(next *Assignment) []Piece {
+// Diff returns the pieces of next that are not in a with the same values.
+func (a *Assignment) Diff(next *Assignment) []Piece {
 	same := make(map[Piece]bool, len(a.Pieces))
 	for _, p := range a.Pieces {
 		same[p] = true
@@ -94,8 +97,9 @@
 	return changed
 }
 
-// Moved returns the ranges of keys that have another owner in next.
-func (a *Assignment) Moved(next *Assignment) []Piece {
+// OwnerChanges returns the ranges of keys whose owner in next differs from that
+// in a, each with its owner in next.
+func (a *Assignment) OwnerChanges(next *Assignment) []Piece {
 	var moved []Piece
 	for i, j := 0, 0; i < len(a.Pieces) && j < len(next.Pieces); {
 		old, p := a.Pieces[i], next.Pieces[j]
@@ -113,35 +117,36 @@
 	return moved
 }
 
-// With returns the assignment with other pieces laid over it, which do not overlap.
+// With returns a copy of the assignment with the given term, in which pieces
+// replace what was recorded for their keys. The pieces must not overlap.
 func (a *Assignment) With(term int64, pieces []Piece) *Assignment {
-	over := slices.Clone(pieces)
-	slices.SortFunc(over, func(p, q Piece) int { return p.First - q.First })
-	next := &Assignment{Service: a.Service, Term: term, Pieces: make([]Piece, 0, len(a.Pieces)+2*len(over))}
+	changes := slices.Clone(pieces)
+	slices.SortFunc(changes, func(p, q Piece) int { return p.First - q.First })
+	next := &Assignment{Service: a.Service, Term: term, Pieces: make([]Piece, 0, len(a.Pieces)+2*len(changes))}
 	first := 0
 	rest := a.Pieces
-	for _, p := range over {
-		rest = next.copyUntil(rest, first, p.First-1)
+	for _, p := range changes {
+		rest = next.appendRange(rest, first, p.First-1)
 		next.Pieces = append(next.Pieces, p)
 		first = p.Last + 1
 	}
-	next.copyUntil(rest, first, Keys-1)
+	next.appendRange(rest, first, KeyCount-1)
 	return next
 }
 
-// copyUntil appends what others' pieces say of the keys from first to last. It
-// returns the pieces that may say something of the keys after these.
-func (a *Assignment) copyUntil(others []Piece, first, last int) (rest []Piece) {
-	for len(others) > 0 {
-		p := others[0]
+// appendRange appends the parts of source's pieces that lie between first and
+// last. It returns the pieces that may contain keys after last.
+func (a *Assignment) appendRange(source []Piece, first, last int) (rest []Piece) {
+	for len(source) > 0 {
+		p := source[0]
 		p.First, p.Last = max(p.First, first), min(p.Last, last)
 		if p.First <= p.Last {
 			a.Pieces = append(a.Pieces, p)
 		}
-		if others[0].Last > last {
+		if source[0].Last > last {
 			break
 		}
-		others = others[1:]
+		source = source[1:]
 	}
-	return others
+	return source
 }
--- a/basilcross/ownership/balance.go
+++ b/basilcross/ownership/balance.go
@@ -9,260 +9,273 @@
 )
 
 const (
-	// busyAt is the share of a target's slots in use from which moving keys
-	// away is worth their pause.
-	busyAt = 0.5
-	// uneven is the difference between the fullest and the emptiest target, in
-	// shares of their slots, that is left alone.
-	uneven = 0.25
-	// shiftExcess is the excess, in shares of what chance makes of it, that shows
-	// that busy keys have changed. What is seen of new ones lags behind for some
-	// seconds, and all differences count meanwhile.
-	shiftExcess = 1.2
-	// movesAtOnce bounds the pieces that balance begins to move at a time, as a
-	// divisor of the targets' number and at least: each is a release and a
-	// grant. A busy neighbourhood of keys must be spread over most targets
-	// within a second or two, so it grows with their number.
-	movesAtOnce      = 2
-	leastMovesAtOnce = 6
-	// movesFrom bounds the pieces that are on the move from one target: each
-	// waits on a connection of its own until the work on its keys has ended.
-	movesFrom = 48
-	// piecesPerTarget bounds the pieces by which balance divides the keys: each
-	// is renewed by a call of its own, and takes room in a row.
-	piecesPerTarget = 4
-	// mergeAbove is how many pieces a target on average are left alone. Above,
-	// the least busy ones go to a neighbour's owner: otherwise a day of moves
-	// would use up all pieces, and no busy key could be moved any more.
-	mergeAbove = 2
-	// mergesAtOnce is the number of targets to one such move at a time.
-	mergesAtOnce = 16
-	// mergeRoom is how far above the mean, in shares of its slots, a target is
-	// filled by such moves.
-	mergeRoom = 0.1
+	// minSourceUtilization is the share of a target's slots in use above which
+	// moving keys away is worth the pause in their service.
+	minSourceUtilization = 0.5
+	// minUtilizationGap is the difference in utilization between the most and
+	// the least utilized target up to which nothing is moved.
+	minUtilizationGap = 0.25
+	// shiftThreshold is the excess, as a multiple of the expected random
+	// deviation, above which the set of busy keys is taken to have changed. The
+	// measured load of new busy keys lags by some seconds, and all differences
+	// count during that time.
+	shiftThreshold = 1.2
+	// targetsPerMove and minMovesPerRound bound the pieces that one round of
+	// balancing begins to move: one per targetsPerMove targets, but at least
+	// minMovesPerRound. Each is a release and a grant. A busy range of
+	// neighbouring keys must be spread over most targets within a second or
+	// two, so the bound grows with the number of targets.
+	targetsPerMove   = 2
+	minMovesPerRound = 6
+	// maxMovesPerSource bounds the pieces being moved away from one target:
+	// each waits on its own connection until the work on its keys has ended.
+	maxMovesPerSource = 48
+	// maxPiecesPerTarget bounds the number of pieces per target up to which
+	// balancing splits the keys: each piece is renewed by its own call and
+	// takes space in the stored row.
+	maxPiecesPerTarget = 4
+	// mergeThreshold is the average number of pieces per target above which the
+	// least busy pieces are moved to a neighbouring piece's owner. Otherwise a
+	// day of moves would use up all pieces, and no busy key could be moved any
+	// more.
+	mergeThreshold = 2
+	// targetsPerMerge bounds the merges that one round begins: one per
+	// targetsPerMerge targets, but at least one.
+	targetsPerMerge = 16
+	// mergeHeadroom bounds how far above the mean utilization a merge may fill
+	// a target.
+	mergeHeadroom = 0.1
 )
 
-// balance begins moves from the fullest targets to the emptiest.
+// balance begins moves from the most to the least utilized targets.
 func (m *Manager) balance(now time.Time, targets []*roster.Target) {
-	sums := m.Load.sums(now)
-	rooms := m.rooms(now, targets, sums)
-	if len(rooms) < 2 {
+	sums := m.Load.prefixSums(now)
+	loads := m.targetLoads(now, targets, sums)
+	if len(loads) < 2 {
 		return
 	}
 	all, slots := 0.0, 0.0
 	for _, t := range targets {
-		if r := rooms[t.ID]; r != nil {
-			all += r.load
-			slots += r.slots
+		if l := loads[t.ID]; l != nil {
+			all += l.load
+			slots += l.slots
 		}
 	}
 	mean := all / slots
-	if len(m.pieces) > mergeAbove*len(rooms) {
-		m.merge(sums, rooms, mean)
+	if len(m.pieces) > mergeThreshold*len(loads) {
+		m.merge(sums, loads, mean)
 	}
-	if len(m.pieces) > piecesPerTarget*len(rooms) {
+	if len(m.pieces) > maxPiecesPerTarget*len(loads) {
 		return
 	}
-	for range max(leastMovesAtOnce, len(rooms)/movesAtOnce) {
-		if !m.move(now, sums, rooms, mean) {
+	for range max(minMovesPerRound, len(loads)/targetsPerMove) {
+		if !m.beginMove(now, sums, loads, mean) {
 			return
 		}
 	}
 }
 
-// merging is a piece that could go to the owner of a neighbouring one.
-type merging struct {
+// mergeCandidate is a piece that could move to the owner of a neighbouring
+// piece.
+type mergeCandidate struct {
 	piece *piece
-	to    *room
-	work  float64
+	to    *targetLoad
+	load  float64
 }
 
-// mergings returns what could be merged, the least busy pieces first.
-func (m *Manager) mergings(sums []float64, rooms map[string]*room) (list []merging) {
+// mergeCandidates returns all candidates, least busy first.
+func (m *Manager) mergeCandidates(sums []float64, loads map[string]*targetLoad) (list []mergeCandidate) {
 	for i, p := range m.pieces {
-		if rooms[p.Owner] == nil || !p.isSettled() {
+		if loads[p.Owner] == nil || !p.isMovable() {
 			continue
 		}
-		load := work(sums, p.First, p.Last)
+		load := rangeLoad(sums, p.First, p.Last)
 		for _, n := range []int{i - 1, i + 1} {
-			if n < 0 || n >= len(m.pieces) || m.pieces[n].Owner == p.Owner || !m.pieces[n].isSettled() {
+			if n < 0 || n >= len(m.pieces) || m.pieces[n].Owner == p.Owner || !m.pieces[n].isMovable() {
 				continue
 			}
-			if to := rooms[m.pieces[n].Owner]; to != nil {
-				list = append(list, merging{p, to, load})
+			if to := loads[m.pieces[n].Owner]; to != nil {
+				list = append(list, mergeCandidate{p, to, load})
 			}
 		}
 	}
-	sort.SliceStable(list, func(a, b int) bool { return list[a].work < list[b].work })
+	sort.SliceStable(list, func(a, b int) bool { return list[a].load < list[b].load })
 	return list
 }
 
-// merge gives the least busy pieces to the owner of a neighbouring one.
-func (m *Manager) merge(sums []float64, rooms map[string]*room, mean float64) {
-	left := max(1, len(rooms)/mergesAtOnce)
-	for _, c := range m.mergings(sums, rooms) {
-		if left == 0 {
+// merge begins to move the least busy pieces to the owners of neighbouring
+// pieces.
+func (m *Manager) merge(sums []float64, loads map[string]*targetLoad, mean float64) {
+	remaining := max(1, len(loads)/targetsPerMerge)
+	for _, c := range m.mergeCandidates(sums, loads) {
+		if remaining == 0 {
 			return
 		}
-		from := rooms[c.piece.Owner]
-		full := c.to.load+c.work > (mean+mergeRoom)*c.to.slots
-		if full || c.piece.phase != held || from.pieces == 1 || from.moving >= movesFrom {
+		from := loads[c.piece.Owner]
+		full := c.to.load+c.load > (mean+mergeHeadroom)*c.to.slots
+		if full || c.piece.phase != held || from.pieces == 1 || from.movingOut >= maxMovesPerSource {
 			continue
 		}
-		left--
+		remaining--
 		from.pieces--
-		from.load -= c.work
-		from.moving++
-		c.to.load += c.work
+		from.load -= c.load
+		from.movingOut++
+		c.to.load += c.load
 		c.piece.startMove(c.to.target.ID)
 	}
 }
 
-// isSettled tells whether a piece may begin to move.
-func (p *piece) isSettled() bool { return p.phase == held && !p.calling && p.confirmed == p.epoch }
+// isMovable reports whether the piece may begin to move.
+func (p *piece) isMovable() bool {
+	return p.phase == held && !p.inFlight && p.confirmedEpoch == p.epoch
+}
 
-// startMove begins the piece's move to a target.
 func (p *piece) startMove(to string) {
-	p.phase, p.cause, p.wanted, p.tries = leaving, ForBalance, to, 0
+	p.phase, p.cause, p.destination, p.attempts = releaseDue, Rebalance, to, 0
 }
 
-// move begins one move, and tells whether there was one to make.
-func (m *Manager) move(now time.Time, sums []float64, rooms map[string]*room, mean float64) bool {
-	from, to := extremes(rooms)
+// beginMove begins one move. It returns false once no further move is worth
+// making, and true also if the source turned out to have no movable range.
+func (m *Manager) beginMove(now time.Time, sums []float64, loads map[string]*targetLoad, mean float64) bool {
+	from, to := extremes(loads)
 	if from == nil || to == nil || from == to {
 		return false
 	}
-	excess := m.excess(from, mean, len(rooms))
-	beyondChance := excess > 1 || now.Sub(m.shifted) < loadHalfLife
-	worth := from.use() > busyAt && from.use()-to.use() > uneven && beyondChance || !to.holds
+	excess := m.excess(from, mean, len(loads))
+	beyondChance := excess > 1 || now.Sub(m.loadShiftedAt) < loadHalfLife
+	worth := from.utilization() > minSourceUtilization && from.utilization()-to.utilization() > minUtilizationGap && beyondChance || !to.hasKeys
 	if !worth {
 		return false
 	}
-	p, first, last := m.pick(sums, from, to, mean)
+	p, first, last := m.pickRange(sums, from, to, mean)
 	if p == nil {
 		from.stuck = true
 		return true
 	}
-	if excess > shiftExcess {
-		m.shifted = now
+	if excess > shiftThreshold {
+		m.loadShiftedAt = now
 	}
-	p = m.cut(p, first, last)
+	p = m.splitOff(p, first, last)
 	p.startMove(to.target.ID)
-	moved := work(sums, first, last)
+	moved := rangeLoad(sums, first, last)
 	from.load -= moved
-	from.moving++
+	from.movingOut++
 	to.load += moved
-	to.holds = true
+	to.hasKeys = true
 	return true
 }
 
-// excess is how far a target is above the mean, as a share of how far the
-// fullest of so many would be by chance if all got the same load.
-func (m *Manager) excess(r *room, mean float64, targets int) float64 {
-	even := mean * r.slots
-	chance := deviations(targets) * m.Load.deviation(even)
+// excess is how far a target's load is above its share of the mean, divided by
+// how far the most loaded of that many targets would be by chance if all
+// received the same load.
+func (m *Manager) excess(l *targetLoad, mean float64, targets int) float64 {
+	even := mean * l.slots
+	chance := expectedMaxDeviation(targets) * m.Load.stdDev(even)
 	if chance == 0 {
 		return 0
 	}
-	return (r.load - even) / chance
+	return (l.load - even) / chance
 }
 
-// deviations is how many standard deviations above the mean the highest of n
-// normally distributed figures is expected to lie at most.
-func deviations(n int) float64 { return math.Sqrt(2 * math.Log(float64(n))) }
+// expectedMaxDeviation is the upper bound of the expected maximum of n normally
+// distributed values, in standard deviations above the mean.
+func expectedMaxDeviation(n int) float64 { return math.Sqrt(2 * math.Log(float64(n))) }
 
-// extremes returns the fullest target of which more can go, and the emptiest. A
-// target that has nothing goes before one that has little.
-func extremes(rooms map[string]*room) (from, to *room) {
-	for _, r := range rooms {
-		can := !r.stuck && r.holds && r.moving < movesFrom
-		if can && (from == nil || r.use() > from.use() || r.use() == from.use() && r.target.ID < from.target.ID) {
-			from = r
+// extremes returns the most utilized target that can still give keys away, and
+// the least utilized target. A target without keys precedes one with few.
+func extremes(loads map[string]*targetLoad) (from, to *targetLoad) {
+	for _, l := range loads {
+		eligible := !l.stuck && l.hasKeys && l.movingOut < maxMovesPerSource
+		if eligible && (from == nil || l.utilization() > from.utilization() || l.utilization() == from.utilization() && l.target.ID < from.target.ID) {
+			from = l
 		}
-		if to == nil || emptier(r, to) {
-			to = r
+		if to == nil || lessUtilized(l, to) {
+			to = l
 		}
 	}
 	return from, to
 }
 
-func emptier(a, b *room) bool {
-	if a.holds != b.holds {
-		return !a.holds
+func lessUtilized(a, b *targetLoad) bool {
+	if a.hasKeys != b.hasKeys {
+		return !a.hasKeys
 	}
-	if a.use() != b.use() {
-		return a.use() < b.use()
+	if a.utilization() != b.utilization() {
+		return a.utilization() < b.utilization()
 	}
 	return a.target.ID < b.target.ID
 }
 
 const (
-	// overfill is how far a move may go beyond what brings the nearer of both
-	// targets to the mean.
-	overfill = 1.2
-	// leastMove is the share of that amount below which a move is not worth
-	// its pause.
-	leastMove = 0.1
+	// maxOvershoot bounds the load of a move, as a multiple of the load that
+	// brings the nearer of the two targets to the mean.
+	maxOvershoot = 1.2
+	// minMoveShare is the share of that load below which a move is not worth
+	// the pause in service.
+	minMoveShare = 0.1
 )
 
-// pick returns the range at one end of one of the source's pieces whose load
-// comes nearest to what brings either target to the mean. A key that is busier
-// than that goes all the same if it leaves both less full than the source is
-// now; with one that does not, its neighbours go.
-func (m *Manager) pick(sums []float64, from, to *room, mean float64) (best *piece, first, last int) {
+// pickRange returns the range at either end of one of the source's pieces whose
+// load comes nearest to the load that brings one of the two targets to the
+// mean. A busier key is moved all the same if that leaves both targets less
+// utilized than the source is now; if it does not, its neighbours are moved
+// instead.
+func (m *Manager) pickRange(sums []float64, from, to *targetLoad, mean float64) (best *piece, first, last int) {
 	amount := min(from.load-mean*from.slots, mean*to.slots-to.load)
-	most := (from.use()-uneven)*to.slots - to.load
-	if amount <= 0 || most <= 0 {
+	maxLoad := (from.utilization()-minUtilizationGap)*to.slots - to.load
+	if amount <= 0 || maxLoad <= 0 {
 		return nil, 0, 0
 	}
-	found := leastMove * amount
-	if from.use() > 1 {
-		// A single key may be more than the target can do. Its neighbours need
-		// not wait behind it, however little they are.
-		found = 0
+	bestLoad := minMoveShare * amount
+	if from.utilization() > 1 {
+		// A single key may exceed what the target can serve. Its neighbours
+		// need not wait behind it, however little load they have.
+		bestLoad = 0
 	}
 	for _, p := range m.pieces {
-		if p.Owner != from.target.ID || !p.isSettled() {
+		if p.Owner != from.target.ID || !p.isMovable() {
 			continue
 		}
-		for _, head := range []bool{true, false} {
-			f, l := end(sums, p, head, overfill*amount, most)
-			if f > l || f == p.First && l == p.Last && !from.spare(work(sums, f, l)) {
+		for _, atStart := range []bool{true, false} {
+			f, l := edgeRange(sums, p, atStart, maxOvershoot*amount, maxLoad)
+			if f > l || f == p.First && l == p.Last && !from.keepsLoadWithout(rangeLoad(sums, f, l)) {
 				continue
 			}
-			if got := work(sums, f, l); found < got {
-				found, best, first, last = got, p, f, l
+			if load := rangeLoad(sums, f, l); bestLoad < load {
+				bestLoad, best, first, last = load, p, f, l
 			}
 		}
 	}
 	return best, first, last
 }
 
-// spare tells whether the target keeps some load if it gives up that much.
-func (r *room) spare(load float64) bool { return r.load > 1.01*load }
+// keepsLoadWithout reports whether the target has some load left after giving
+// that much away.
+func (l *targetLoad) keepsLoadWithout(load float64) bool { return l.load > 1.01*load }
 
-// end returns the longest range at an end of a piece whose load is at most
-// limit; if that is next to nothing, because a busy key follows, the range goes
-// on to that key if its load is at most most. It is empty if there is none.
-func end(sums []float64, p *piece, head bool, limit, most float64) (first, last int) {
-	at := func(n int) (int, int) {
-		if head {
+// edgeRange returns the longest range at one end of a piece whose load is at
+// most limit. If that load is negligible because a busy key follows, the range
+// includes that key if the load is then at most maxLoad. The range is empty
+// (first > last) if no key fits.
+func edgeRange(sums []float64, p *piece, atStart bool, limit, maxLoad float64) (first, last int) {
+	rangeOf := func(n int) (int, int) {
+		if atStart {
 			return p.First, p.First + n - 1
 		}
 		return p.Last - n + 1, p.Last
 	}
 	size := p.Last - p.First + 1
 	n := sort.Search(size, func(i int) bool {
-		f, l := at(i + 1)
-		return work(sums, f, l) > limit
+		f, l := rangeOf(i + 1)
+		return rangeLoad(sums, f, l) > limit
 	})
 	if n < size {
-		f, l := at(n + 1)
-		with := work(sums, f, l)
-		f, l = at(n)
-		if with <= most && (n == 0 || work(sums, f, l) < with/2) {
+		f, l := rangeOf(n + 1)
+		withNext := rangeLoad(sums, f, l)
+		f, l = rangeOf(n)
+		if withNext <= maxLoad && (n == 0 || rangeLoad(sums, f, l) < withNext/2) {
 			n++
 		}
 	}
-	return at(n)
+	return rangeOf(n)
 }
--- a/basilcross/ownership/epochs.go
+++ b/basilcross/ownership/epochs.go
@@ -1,18 +1,19 @@
 package ownership
 
-// Epochs numbers the grants of a term, each number once. The zero value of a
-// term's epochs works.
+// Epochs issues the epochs of a term, each once. The zero value is ready for
+// use once Term is set.
 type Epochs struct {
 	Term int64
 	used int64
 }
 
-// epochsPerTerm is how many epochs a term has. Terms are numbered in the store
-// by a conditional write, so an epoch is never used twice, and every epoch of
-// a term is above all of the terms before, also after the loss of everything.
+// epochsPerTerm is the number of epochs in a term. Terms are numbered in the
+// store by a conditional write, so an epoch is never used twice, and every
+// epoch of a term is higher than all epochs of earlier terms, even after the
+// loss of all instances.
 const epochsPerTerm = 1 << 20
 
-// Next returns an epoch above all that were used before.
+// Next returns an epoch higher than all that were issued before.
 func (e *Epochs) Next() int64 {
 	e.used++
 	return e.Term*epochsPerTerm + e.used
--- a/basilcross/ownership/manager_test.go
+++ b/basilcross/ownership/manager_test.go
@@ -13,41 +13,40 @@
 	"gotest.tools/v3/golden"
 )
 
-var holds = ownership.Holds{Usual: 3200 * time.Millisecond, Long: 9800 * time.Millisecond, Every: 800 * time.Millisecond, Reuse: 2 * time.Second}
+var holds = ownership.Holds{Normal: 3200 * time.Millisecond, Long: 9800 * time.Millisecond, RenewInterval: 800 * time.Millisecond, AddressReuse: 2 * time.Second}
 
-func targets(n int) []*roster.Target {
-	list := make([]*roster.Target, n)
-	for i := range list {
-		list[i] = &roster.Target{ID: fmt.Sprintf("t%d", i), Born: 1, Address: fmt.Sprintf("t%d:1", i), Slots: 3}
+func newTargets(n int) []*roster.Target {
+	targets := make([]*roster.Target, n)
+	for i := range targets {
+		targets[i] = &roster.Target{ID: fmt.Sprintf("t%d", i), Born: 1, Address: fmt.Sprintf("t%d:1", i), Slots: 3}
 	}
-	return list
+	return targets
 }
 
-func manager(now time.Time, term int64, recorded *ownership.Assignment) *ownership.Manager {
-	k := &ownership.Manager{Service: "lists", Term: term, Holds: holds}
-	k.Take(now, recorded, holds.Long, storeTime(now))
-	k.SetClock(now, storeTime(now))
-	return k
+func newManager(now time.Time, term int64, recorded *ownership.Assignment) *ownership.Manager {
+	m := &ownership.Manager{Service: "lists", Term: term, Holds: holds}
+	m.BeginTerm(now, recorded, holds.Long, storeTime(now))
+	m.SetStoreClock(now, storeTime(now))
+	return m
 }
 
-// storeTime is the store's clock.
 func storeTime(now time.Time) time.Duration { return now.Sub(time.Unix(500, 0)) }
 
-// step carries out all orders at once, until none is due any more.
-func step(k *ownership.Manager, now time.Time, list []*roster.Target) (orders []ownership.Order) {
+// stepUntilIdle lets all orders succeed at once, until no more are due.
+func stepUntilIdle(m *ownership.Manager, now time.Time, targets []*roster.Target) (orders []ownership.Order) {
 	for {
-		due := k.Step(now, list)
+		due := m.Step(now, targets)
 		if len(due) == 0 {
 			return orders
 		}
 		for _, o := range due {
 			switch o := o.(type) {
 			case *ownership.Record:
-				k.Recorded(now, true)
+				m.Recorded(now, true)
 			case *ownership.Grant:
-				k.Granted(now, now, o, ownership.Done)
+				m.Granted(now, now, o, ownership.Done)
 			case *ownership.Release:
-				k.Released(now, o, "handover", ownership.Done)
+				m.Released(now, o, "handover", ownership.Done)
 			}
 		}
 		orders = append(orders, due...)
@@ -65,80 +64,80 @@
 
 func TestFirstAssignmentCoversAllKeysEvenly(t *testing.T) {
 	now := time.Unix(1000, 0)
-	k := manager(now, 1, nil)
-	step(k, now, targets(20))
-	a := k.Assignment()
+	m := newManager(now, 1, nil)
+	stepUntilIdle(m, now, newTargets(20))
+	a := m.Assignment()
 	assert.Equal(t, len(a.Pieces), 20)
 	for _, p := range a.Pieces {
-		assert.Assert(t, p.Last-p.First < 2*ownership.Keys/20)
+		assert.Assert(t, p.Last-p.First < 2*ownership.KeyCount/20)
 	}
-	assert.Assert(t, k.Settled(now))
+	assert.Assert(t, m.Settled(now))
 }
 
-// A grant gets no answer, and is carried out seconds later. The keys have been
-// released and given to another target meanwhile: two would hold them. So the
-// next grant to the same target has a higher epoch, and only its answer lets a
-// release count.
-func TestGrantInDoubtIsShutOut(t *testing.T) {
+// Guards against two holders: a grant without an answer is applied seconds
+// later, when the keys have been released and granted to another target. A
+// release counts only once a grant with a higher epoch was answered.
+func TestGrantInDoubtIsFencedByHigherEpoch(t *testing.T) {
 	now := time.Unix(1000, 0)
-	list := targets(2)
-	k := manager(now, 1, nil)
-	step(k, now, list)
-	now = now.Add(holds.Every)
-	var doubtful *ownership.Grant
-	for _, o := range k.Step(now, list) {
+	targets := newTargets(2)
+	m := newManager(now, 1, nil)
+	stepUntilIdle(m, now, targets)
+	now = now.Add(holds.RenewInterval)
+	var inDoubt *ownership.Grant
+	for _, o := range m.Step(now, targets) {
 		g := o.(*ownership.Grant)
-		if g.Owner.ID == "t0" && doubtful == nil {
-			doubtful = g
-			k.Granted(now, now, g, ownership.Unknown)
+		if g.Owner.ID == "t0" && inDoubt == nil {
+			inDoubt = g
+			m.Granted(now, now, g, ownership.Unknown)
 			continue
 		}
-		k.Granted(now, now, g, ownership.Done)
+		m.Granted(now, now, g, ownership.Done)
 	}
-	list[0].Draining = true
+	targets[0].Draining = true
 	now = now.Add(200 * time.Millisecond)
-	orders := step(k, now, list)
+	orders := stepUntilIdle(m, now, targets)
 	again := grantsTo(orders, "t0")
 	assert.Equal(t, len(again), 1)
-	assert.Assert(t, again[0].Epoch > doubtful.Epoch)
+	assert.Assert(t, again[0].Epoch > inDoubt.Epoch)
 	assert.Assert(t, len(grantsTo(orders, "t1")) > 0)
 }
 
-// The answer to that next grant is lost as well. Then nothing shuts the door,
-// and the keys wait until the last one in doubt must have run out.
+// Guards against two holders if the answer to that next grant is lost as well:
+// nothing fences the first one, so the keys wait until the last grant in doubt
+// has expired.
 func TestKeysWaitForGrantInDoubt(t *testing.T) {
 	now := time.Unix(1000, 0)
-	list := targets(2)
-	k := manager(now, 1, nil)
-	step(k, now, list)
-	list[0].Draining = true
-	answerAll(k, now.Add(holds.Every), list, "t0", ownership.Unknown)
-	given := answerAll(k, now.Add(holds.Every+time.Second), list, "t0", ownership.Unknown)
+	targets := newTargets(2)
+	m := newManager(now, 1, nil)
+	stepUntilIdle(m, now, targets)
+	targets[0].Draining = true
+	stepWithOutcome(m, now.Add(holds.RenewInterval), targets, "t0", ownership.Unknown)
+	given := stepWithOutcome(m, now.Add(holds.RenewInterval+time.Second), targets, "t0", ownership.Unknown)
 	assert.Equal(t, len(grantsTo(given, "t1")), 1, "only the renewal of what t1 had")
-	given = answerAll(k, now.Add(holds.Every+time.Second+holds.Usual*13/10), list, "t0", ownership.Unknown)
+	given = stepWithOutcome(m, now.Add(holds.RenewInterval+time.Second+holds.Normal*13/10), targets, "t0", ownership.Unknown)
 	assert.Assert(t, len(grantsTo(given, "t1")) >= 2)
 }
 
-// answerAll steps once in a loop; grants and releases of one target end with
-// the given outcome.
-func answerAll(k *ownership.Manager, now time.Time, list []*roster.Target, id string, out ownership.Outcome) (orders []ownership.Order) {
+// stepWithOutcome steps the manager ten times; grants and releases of one
+// target end with the given outcome, all others succeed.
+func stepWithOutcome(m *ownership.Manager, now time.Time, targets []*roster.Target, id string, outcome ownership.Outcome) (orders []ownership.Order) {
 	for range 10 {
-		for _, o := range k.Step(now, list) {
+		for _, o := range m.Step(now, targets) {
 			orders = append(orders, o)
 			switch o := o.(type) {
 			case *ownership.Record:
-				k.Recorded(now, true)
+				m.Recorded(now, true)
 			case *ownership.Grant:
 				if o.Owner.ID == id {
-					k.Granted(now, now, o, out)
+					m.Granted(now, now, o, outcome)
 				} else {
-					k.Granted(now, now, o, ownership.Done)
+					m.Granted(now, now, o, ownership.Done)
 				}
 			case *ownership.Release:
 				if o.Owner.ID == id {
-					k.Released(now, o, "", out)
+					m.Released(now, o, "", outcome)
 				} else {
-					k.Released(now, o, "", ownership.Done)
+					m.Released(now, o, "", ownership.Done)
 				}
 			}
 		}
@@ -146,97 +145,100 @@
 	return orders
 }
 
-// A target dies and starts again under its name before the store knows. It may
-// have taken a renewal meant for its former life, so its keys are not free:
-// they stay with it under a new epoch.
-func TestRebornTargetKeepsItsKeysUnderNewEpoch(t *testing.T) {
+// Guards against treating the keys of a restarted target as free: it may have
+// received a renewal meant for its former incarnation, so it keeps them under a
+// new epoch.
+func TestRestartedTargetKeepsItsKeysUnderNewEpoch(t *testing.T) {
 	now := time.Unix(1000, 0)
-	list := targets(2)
-	k := manager(now, 1, nil)
-	before := grantsTo(step(k, now, list), "t0")
-	list[0].Born = 2
-	after := grantsTo(step(k, now.Add(time.Millisecond), list), "t0")
+	targets := newTargets(2)
+	m := newManager(now, 1, nil)
+	before := grantsTo(stepUntilIdle(m, now, targets), "t0")
+	targets[0].Born = 2
+	after := grantsTo(stepUntilIdle(m, now.Add(time.Millisecond), targets), "t0")
 	assert.Assert(t, len(after) > 0)
 	assert.Assert(t, after[0].Epoch > before[0].Epoch)
 	assert.Equal(t, after[0].Owner.Born, int64(2))
 }
 
-// The coordinator is lost. Its successor reads what was recorded and grants
-// the same keys to the same targets, under higher epochs.
+// Guards against moves when the coordinator is lost: its successor reads what
+// was recorded and grants the same keys to the same targets, under higher
+// epochs.
 func TestSuccessorGrantsTheSameKeys(t *testing.T) {
 	now := time.Unix(1000, 0)
-	list := targets(3)
-	first := manager(now, 1, nil)
-	before := step(first, now, list)
-	second := manager(now, 2, first.Assignment())
-	after := step(second, now, list)
-	for _, target := range list {
+	targets := newTargets(3)
+	first := newManager(now, 1, nil)
+	before := stepUntilIdle(first, now, targets)
+	second := newManager(now, 2, first.Assignment())
+	after := stepUntilIdle(second, now, targets)
+	for _, target := range targets {
 		assert.Equal(t, grantsTo(before, target.ID)[0].First, grantsTo(after, target.ID)[0].First)
 		assert.Assert(t, grantsTo(after, target.ID)[0].Epoch > grantsTo(before, target.ID)[0].Epoch)
 	}
 }
 
-// A renewal has no answer, neither has the one that would shut it out, but the
-// release is answered. The renewal may still be applied, so the keys wait.
-func TestReleaseDoesNotEndDoubt(t *testing.T) {
+// Guards against trusting a release while a grant is in doubt: a renewal and
+// the grant that would fence it have no answer, but the release has. The
+// renewal may still be applied, so the keys wait.
+func TestReleaseDoesNotResolveGrantInDoubt(t *testing.T) {
 	now := time.Unix(1000, 0)
-	list := targets(2)
-	k := manager(now, 1, nil)
-	step(k, now, list)
-	now = now.Add(holds.Every)
-	list[0].Draining = true
+	targets := newTargets(2)
+	m := newManager(now, 1, nil)
+	stepUntilIdle(m, now, targets)
+	now = now.Add(holds.RenewInterval)
+	targets[0].Draining = true
 	released := false
 	given := 0
 	run := func() {
 		for range 10 {
-			for _, o := range k.Step(now, list) {
+			for _, o := range m.Step(now, targets) {
 				switch o := o.(type) {
 				case *ownership.Record:
-					k.Recorded(now, true)
+					m.Recorded(now, true)
 				case *ownership.Grant:
 					if o.Owner.ID == "t0" {
-						k.Granted(now, now, o, ownership.Unknown)
+						m.Granted(now, now, o, ownership.Unknown)
 						continue
 					}
 					given++
-					k.Granted(now, now, o, ownership.Done)
+					m.Granted(now, now, o, ownership.Done)
 				case *ownership.Release:
 					released = true
-					k.Released(now, o, "h", ownership.Done)
+					m.Released(now, o, "h", ownership.Done)
 				}
 			}
 		}
 	}
-	list[0].Draining = false
+	targets[0].Draining = false
 	run()
-	list[0].Draining = true
+	targets[0].Draining = true
 	now = now.Add(200 * time.Millisecond)
 	run()
 	assert.Assert(t, released)
 	assert.Equal(t, given, 1, "only the renewal of what t1 had")
-	now = now.Add(holds.Usual * 13 / 10)
+	now = now.Add(holds.Normal * 13 / 10)
 	run()
 	assert.Assert(t, given > 1)
 }
 
-// What is told of a change must make the same assignment as the whole of it.
-func TestDifferencesMakeTheNextAssignment(t *testing.T) {
+// Guards against changes that, applied to the former assignment, do not give
+// the next one.
+func TestDiffGivesTheNextAssignment(t *testing.T) {
 	p := func(first, last int, owner string) ownership.Piece {
 		return ownership.Piece{First: first, Last: last, Owner: owner}
 	}
-	base := &ownership.Assignment{Service: "s", Term: 1, Pieces: []ownership.Piece{p(0, 99, "a"), p(100, 199, "b"), p(200, ownership.Keys-1, "c")}}
+	base := &ownership.Assignment{Service: "s", Term: 1, Pieces: []ownership.Piece{p(0, 99, "a"), p(100, 199, "b"), p(200, ownership.KeyCount-1, "c")}}
 	for _, pieces := range [][]ownership.Piece{
-		{p(0, 99, "a"), p(100, 150, "b"), p(151, 199, "a"), p(200, ownership.Keys-1, "c")},
-		{p(0, 250, "a"), p(251, ownership.Keys-1, "c")},
-		{p(0, ownership.Keys-1, "d")},
-		{p(0, 49, "a"), p(50, 300, "b"), p(301, ownership.Keys-1, "c")},
+		{p(0, 99, "a"), p(100, 150, "b"), p(151, 199, "a"), p(200, ownership.KeyCount-1, "c")},
+		{p(0, 250, "a"), p(251, ownership.KeyCount-1, "c")},
+		{p(0, ownership.KeyCount-1, "d")},
+		{p(0, 49, "a"), p(50, 300, "b"), p(301, ownership.KeyCount-1, "c")},
 	} {
 		next := &ownership.Assignment{Service: "s", Term: 2, Pieces: pieces}
-		got := base.With(2, base.Differences(next))
+		got := base.With(2, base.Diff(next))
 		for key := 0; key < 400; key++ {
 			assert.Equal(t, got.Find(key).Owner, next.Find(key).Owner, "%v key %d", pieces, key)
 		}
-		assert.Equal(t, got.Find(ownership.Keys-1).Owner, next.Find(ownership.Keys-1).Owner)
+		assert.Equal(t, got.Find(ownership.KeyCount-1).Owner, next.Find(ownership.KeyCount-1).Owner)
 	}
 }
 
@@ -249,9 +251,9 @@
 		assert.Assert(t, err != nil, text)
 	}
 	a := &ownership.Assignment{Service: "s", Term: 3, Pieces: []ownership.Piece{
-		{First: 0, Last: 9, Owner: "a", Born: 5, Address: "a:1", FreeAt: 77},
+		{First: 0, Last: 9, Owner: "a", Started: 5, Address: "a:1", FreeAt: 77},
 		{First: 10, Last: 19},
-		{First: 20, Last: ownership.Keys - 1, Owner: "a", Born: 5, Address: "a:1"},
+		{First: 20, Last: ownership.KeyCount - 1, Owner: "a", Started: 5, Address: "a:1"},
 	}}
 	text, err := json.Marshal(a)
 	assert.NilError(t, err)
@@ -261,65 +263,64 @@
 	assert.DeepEqual(t, got.Pieces, a.Pieces, cmpopts.IgnoreUnexported(ownership.Piece{}))
 }
 
-// A target falls silent and its keys wait for the end of its hold. The
-// coordinator is lost meanwhile. Its successor must not begin the wait anew,
-// and must not cut it short.
-func TestSuccessorGoesOnWaiting(t *testing.T) {
+// Guards against a successor that restarts or shortens the wait for the end of
+// a hold after the coordinator was lost meanwhile.
+func TestSuccessorContinuesTheWait(t *testing.T) {
 	now := time.Unix(1000, 0)
-	list := targets(2)
-	first := manager(now, 1, nil)
-	step(first, now, list)
+	targets := newTargets(2)
+	first := newManager(now, 1, nil)
+	stepUntilIdle(first, now, targets)
 	var recorded *ownership.Assignment
 	for range 24 {
 		now = now.Add(100 * time.Millisecond)
-		for _, o := range first.Step(now, list) {
+		for _, o := range first.Step(now, targets) {
 			switch o := o.(type) {
 			case *ownership.Record:
 				recorded = o.Assignment
 				first.Recorded(now, true)
 			case *ownership.Grant:
-				out := ownership.Done
+				outcome := ownership.Done
 				if o.Owner.ID == "t0" {
-					out = ownership.Unknown
+					outcome = ownership.Unknown
 				}
-				first.Granted(now, now, o, out)
+				first.Granted(now, now, o, outcome)
 			}
 		}
 	}
 	assert.Assert(t, recorded != nil)
-	second := manager(now, 2, recorded)
-	assert.Equal(t, len(grantsTo(step(second, now, list), "t1")), 1, "t0 may still hold its keys")
-	assert.Assert(t, len(grantsTo(step(second, now.Add(holds.Usual*14/10), list[1:]), "t1")) >= 2)
+	second := newManager(now, 2, recorded)
+	assert.Equal(t, len(grantsTo(stepUntilIdle(second, now, targets), "t1")), 1, "t0 may still hold its keys")
+	assert.Assert(t, len(grantsTo(stepUntilIdle(second, now.Add(holds.Normal*14/10), targets[1:]), "t1")) >= 2)
 }
 
-// The answer to a release is lost while a request still runs. A second release
-// is answered at once, since the keys are released already. They must wait for
-// the end of the hold, or two targets work on them.
-func TestSecondReleaseProvesNothing(t *testing.T) {
+// Guards against trusting a repeated release: the answer to the first is lost
+// while a request still runs, and the second is answered at once, as the keys
+// are released already. The keys must wait for the end of the hold.
+func TestRepeatedReleaseIsNoProof(t *testing.T) {
 	now := time.Unix(1000, 0)
-	list := targets(2)
-	k := manager(now, 1, nil)
-	step(k, now, list)
-	list[0].Draining = true
+	targets := newTargets(2)
+	m := newManager(now, 1, nil)
+	stepUntilIdle(m, now, targets)
+	targets[0].Draining = true
 	releases, given := 0, 0
 	run := func() {
 		for range 10 {
-			for _, o := range k.Step(now, list) {
+			for _, o := range m.Step(now, targets) {
 				switch o := o.(type) {
 				case *ownership.Record:
-					k.Recorded(now, true)
+					m.Recorded(now, true)
 				case *ownership.Grant:
 					if o.Owner.ID == "t1" {
 						given++
 					}
-					k.Granted(now, now, o, ownership.Done)
+					m.Granted(now, now, o, ownership.Done)
 				case *ownership.Release:
 					releases++
-					out := ownership.Done
+					outcome := ownership.Done
 					if releases == 1 {
-						out = ownership.Unknown
+						outcome = ownership.Unknown
 					}
-					k.Released(now, o, "h", out)
+					m.Released(now, o, "h", outcome)
 				}
 			}
 		}
@@ -328,23 +329,23 @@
 	run()
 	assert.Equal(t, releases, 2)
 	assert.Equal(t, given, 0)
-	now = now.Add(holds.Usual * 11 / 10)
+	now = now.Add(holds.Normal * 11 / 10)
 	run()
 	assert.Assert(t, given > 0)
 }
 
-// A grant waits in the queue of a full link when its connection is reset, and
-// arrives a little later. The bound on its hold must count that.
+// Guards against too short a bound on a hold: a grant waits in the queue of a
+// congested link when its connection is reset, and arrives a little later.
 func TestGrantMayArriveAfterItsReset(t *testing.T) {
 	now := time.Unix(1000, 0)
-	list := targets(2)
-	k := manager(now, 1, nil)
-	step(k, now, list)
-	reset := now.Add(holds.Every)
-	answerAll(k, reset, list, "t0", ownership.Unknown)
+	targets := newTargets(2)
+	m := newManager(now, 1, nil)
+	stepUntilIdle(m, now, targets)
+	reset := now.Add(holds.RenewInterval)
+	stepWithOutcome(m, reset, targets, "t0", ownership.Unknown)
 	arrived := reset.Add(450 * time.Millisecond)
-	end := arrived.Add(holds.Usual * 102 / 100)
-	given := answerAll(k, end.Add(-time.Millisecond), list[1:], "t0", ownership.Unknown)
+	end := arrived.Add(holds.Normal * 102 / 100)
+	given := stepWithOutcome(m, end.Add(-time.Millisecond), targets[1:], "t0", ownership.Unknown)
 	for _, g := range grantsTo(given, "t1") {
 		assert.Assert(t, g.Owner.ID == "t1" && g.First > 0, "t1 has its own keys only: %+v", g)
 	}
--- a/basilcross/ownership/order.go
+++ b/basilcross/ownership/order.go
@@ -6,11 +6,11 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// Order is what a manager asks its driver to do. The driver carries orders out
-// at once, each on its own, and reports each one's end.
+// Order is a request of the manager to its driver. The driver executes each order
+// at once and independently of the others, and reports its outcome.
 type Order interface{ order() }
 
-// Grant asks for a grant or its renewal. End it with Granted.
+// Grant requests a grant or its renewal. Its outcome is reported with Granted.
 type Grant struct {
 	First, Last int
 	Epoch       int64
@@ -18,28 +18,30 @@
 	Owner       roster.Life
 	Address     string
 	Handover    string
-	// Channel is the connection that the epoch belongs to, and the order may go
-	// out on no other one: whoever lives at the address now may not be who had
-	// the epoch. 0 is for an epoch that was not sent yet; the driver then notes
-	// here on which connection it sent it, and always when that was opened.
-	Channel uint64
-	Opened  time.Time
+	// Channel is the connection that the epoch belongs to. The order must not
+	// be sent on another one, whose target may not be the one that received the
+	// epoch. 0 marks an epoch that was not sent yet; the driver then sets
+	// Channel when it sends the order. It always sets ChannelOpened.
+	Channel       uint64
+	ChannelOpened time.Time
 	// Suspect is set while the owner leaves orders unanswered: this one will
-	// likely wait in vain as well.
+	// likely time out as well.
 	Suspect bool
 }
 
-// Release asks for keys back. End it with Released.
+// Release requests keys back. Its outcome is reported with Released.
 type Release struct {
 	First, Last int
 	Epoch       int64
 	Owner       roster.Life
 	Address     string
-	// Until is when the answer is of no more use.
-	Until time.Time
+	// HeldUntil is the end of the owner's hold, after which an answer is of no
+	// use.
+	HeldUntil time.Time
 }
 
-// Record asks to write the assignment. End it with Recorded.
+// Record requests a write of the assignment. Its outcome is reported with
+// Recorded.
 type Record struct {
 	Assignment *Assignment
 }
@@ -48,14 +50,15 @@
 func (*Release) order() {}
 func (*Record) order()  {}
 
-// Outcome is how an order to a target ended.
+// Outcome is the result of an order to a target.
 type Outcome int
 
 // The outcomes.
 const (
-	// Done: the target carried it out.
+	// Done: the target executed the order.
 	Done Outcome = iota
-	// Refused: the target answered and did not; nothing of it is in doubt.
+	// Refused: the target answered that it did not execute the order;
+	// nothing is in doubt.
 	Refused
 	// Stale: the target has seen a higher epoch.
 	Stale
@@ -63,87 +66,90 @@
 	Unsent
 	// ChannelClosed: nothing was sent, since the epoch's channel is closed.
 	ChannelClosed
-	// Unknown: it may have been carried out, or may still be.
+	// Unknown: the order may have been executed, or may still be.
 	Unknown
 )
 
-// Granted reports the end of a grant. Sent is taken before the call, now after
-// its answer or after its connection was reset.
-func (m *Manager) Granted(now, sent time.Time, o *Grant, out Outcome) {
+// Granted reports the outcome of a grant. Sent is the time before the call, now
+// the time after its answer or after its connection was reset.
+func (m *Manager) Granted(now, sent time.Time, o *Grant, outcome Outcome) {
 	p := m.find(o.First, o.Last, o.Owner)
 	if p == nil {
 		return
 	}
-	p.calling = false
+	p.inFlight = false
 	p.channel = o.Channel
-	h := m.holder(o.Owner)
-	switch out {
+	s := m.owner(o.Owner)
+	switch outcome {
 	case Done:
-		end := now.Add(bound(o.Hold))
-		p.until = later(p.until, end)
-		if !m.sureOf(h, now, o) {
-			p.stray = later(p.stray, end)
+		end := now.Add(maxHoldTime(o.Hold))
+		p.heldUntil = later(p.heldUntil, end)
+		if !m.reachedOwnService(s, now, o) {
+			p.misdirectedUntil = later(p.misdirectedUntil, end)
 		}
-		p.usable = sent.Add(time.Duration(float64(o.Hold) / clockDrift))
+		p.usableUntil = sent.Add(time.Duration(float64(o.Hold) / maxClockDrift))
 		p.handover = ""
-		p.confirmed = max(p.confirmed, o.Epoch)
-		if o.Epoch > p.doubtEpoch {
+		p.confirmedEpoch = max(p.confirmedEpoch, o.Epoch)
+		if o.Epoch > p.inDoubtEpoch {
 			// The target now refuses every lower epoch. Under an equal one, a
 			// grant in doubt could still be applied after a release.
-			p.doubt = time.Time{}
+			p.inDoubtUntil = time.Time{}
 		}
-		m.hear(h, sent)
-		h.silent, h.forgiven = time.Time{}, 0
+		m.recordAnswer(s, sent)
+		s.unansweredSince, s.trials = time.Time{}, 0
 		return
 	case ChannelClosed:
-		// Whoever answers on another connection must not get the same epoch.
-		m.renumber(p)
+		// A target that answers on another connection must not receive the same
+		// epoch.
+		m.assignEpoch(p)
 		p.renewAt = now
 		return
 	case Stale:
-		m.renumber(p)
+		m.assignEpoch(p)
 	case Unknown:
-		end := now.Add(transit + bound(o.Hold))
-		p.until = later(p.until, end)
-		p.doubt = later(p.doubt, end)
-		if !m.sureOf(h, now, o) {
-			p.stray = later(p.stray, end)
+		end := now.Add(maxArrivalDelay + maxHoldTime(o.Hold))
+		p.heldUntil = later(p.heldUntil, end)
+		p.inDoubtUntil = later(p.inDoubtUntil, end)
+		if !m.reachedOwnService(s, now, o) {
+			p.misdirectedUntil = later(p.misdirectedUntil, end)
 		}
-		p.doubtEpoch = max(p.doubtEpoch, o.Epoch)
-		// Once the next one is answered, this one is refused if it comes late.
-		m.renumber(p)
-		h.fail(now)
+		p.inDoubtEpoch = max(p.inDoubtEpoch, o.Epoch)
+		// Once the next grant is answered, this one is refused if it arrives
+		// late.
+		m.assignEpoch(p)
+		s.recordFailure(now)
 	case Refused, Unsent:
-		h.fail(now)
+		s.recordFailure(now)
 	}
-	p.tries++
-	p.renewAt = now.Add(retryAfter)
+	p.attempts++
+	p.renewAt = now.Add(grantRetryDelay)
 }
 
-// Released reports the end of a release.
-func (m *Manager) Released(now time.Time, o *Release, handover string, out Outcome) {
+// Released reports the outcome of a release, with the handover that the owner
+// returned.
+func (m *Manager) Released(now time.Time, o *Release, handover string, outcome Outcome) {
 	p := m.find(o.First, o.Last, o.Owner)
 	if p == nil || p.phase != releasing {
 		return
 	}
-	p.calling = false
-	if out == Done {
+	p.inFlight = false
+	if outcome == Done {
 		p.handover = handover
-		if !p.releaseLost {
-			p.until = p.doubt
+		if !p.releaseUnanswered {
+			p.heldUntil = p.inDoubtUntil
 		}
-		p.phase = waiting
+		p.phase = awaitingExpiry
 		return
 	}
-	p.releaseLost = p.releaseLost || out == Unknown
-	p.tries++
-	p.phase = leaving
-	if p.tries >= releaseTries || !now.Before(p.until) {
-		p.phase = waiting
+	p.releaseUnanswered = p.releaseUnanswered || outcome == Unknown
+	p.attempts++
+	p.phase = releaseDue
+	if p.attempts >= maxReleaseAttempts || !now.Before(p.heldUntil) {
+		p.phase = awaitingExpiry
 	}
 }
 
-// Recorded reports the end of a write: whether it is in the store.
+// Recorded reports the outcome of a write: whether it is in the store.
 func (m *Manager) Recorded(now time.Time, ok bool) {
 	m.writing = false
 	if !ok {
@@ -154,47 +160,48 @@
 			continue
 		}
 		if !ok {
-			// What its address may still hold runs out first.
-			p.phase = waiting
+			// Grants that the target at its address may still hold must expire
+			// first.
+			p.phase = awaitingExpiry
 			continue
 		}
-		m.keep(now, p)
+		m.regrant(now, p)
 	}
 }
 
-// Owners returns the lifetimes that have pieces, with their addresses, and
+// Owners returns the incarnations that own pieces, with their addresses and
 // whether they leave orders unanswered.
 func (m *Manager) Owners() map[roster.Life]Owner {
 	owners := map[roster.Life]Owner{}
 	for _, p := range m.pieces {
 		if p.Owner != "" {
-			owners[p.Life()] = Owner{Address: p.Address, Silent: !m.holder(p.Life()).silent.IsZero()}
+			owners[p.Incarnation()] = Owner{Address: p.Address, Unresponsive: !m.owner(p.Incarnation()).unansweredSince.IsZero()}
 		}
 	}
 	return owners
 }
 
-// Owner is what is known of a lifetime that has pieces.
+// Owner is the address and responsiveness of an incarnation that owns pieces.
 type Owner struct {
-	Address string
-	Silent  bool
+	Address      string
+	Unresponsive bool
 }
 
-// Gone reports that a lifetime is proved to have ended, and that another
-// service's target has its address now. That one was never meant; if its service
-// is divided, strays may be in its hands: what was sent since nobody of this
-// service was known to live there. One of an undivided service holds no keys.
-// Gone tells whether this is news.
-func (m *Manager) Gone(l roster.Life, divided bool) bool {
-	h := m.holder(l)
-	news := !h.gone
-	h.gone, h.strays = true, divided
-	return news
+// OwnerReplaced reports that an incarnation has ended, as another service's
+// target has its address now. If that service is sharded, its target may hold
+// misdirected grants: those sent since a target of this service was last known
+// to run there. A target of an unsharded service holds no keys. It returns
+// whether the incarnation was not reported before.
+func (m *Manager) OwnerReplaced(owner roster.Life, sharded bool) bool {
+	s := m.owner(owner)
+	changed := !s.ended
+	s.ended, s.misdirected = true, sharded
+	return changed
 }
 
 func (m *Manager) find(first, last int, owner roster.Life) *piece {
 	for _, p := range m.pieces {
-		if p.First == first && p.Last == last && p.Life() == owner {
+		if p.First == first && p.Last == last && p.Incarnation() == owner {
 			return p
 		}
 	}
--- a/basilcross/ownership/step.go
+++ b/basilcross/ownership/step.go
@@ -6,35 +6,36 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// balanceEvery is how often the load is looked at; hot keys last for seconds.
-const balanceEvery = 250 * time.Millisecond
+// balanceInterval is the time between two rounds of balancing; hot keys last
+// for seconds.
+const balanceInterval = 250 * time.Millisecond
 
-// StoreInDoubt tells whether the store answers at present. While it does not,
-// the authority to renew may be about to end, so holds are granted for long.
-func (m *Manager) StoreInDoubt(now time.Time, doubt bool) {
-	if doubt && !m.long {
+// SetStoreInDoubt sets whether the store fails to answer at present. While it
+// does, the authority to renew may be about to end, so long holds are granted.
+func (m *Manager) SetStoreInDoubt(now time.Time, inDoubt bool) {
+	if inDoubt && !m.longHolds {
 		for _, p := range m.pieces {
 			p.renewAt = now
 		}
 	}
-	m.long = doubt
+	m.longHolds = inDoubt
 }
 
-// Step returns the orders due. Targets are those that the platform names for
-// the service.
+// Step returns the orders that are due. Targets are those that the platform
+// lists for the service.
 func (m *Manager) Step(now time.Time, targets []*roster.Target) []Order {
-	named := make(map[string]*roster.Target, len(targets))
-	resident := make(map[string]*roster.Target, len(targets))
+	listed := make(map[string]*roster.Target, len(targets))
+	byAddress := make(map[string]*roster.Target, len(targets))
 	for _, t := range targets {
-		named[t.ID] = t
-		if at := resident[t.Address]; at == nil || at.Born < t.Born {
-			resident[t.Address] = t
+		listed[t.ID] = t
+		if other := byAddress[t.Address]; other == nil || other.Born < t.Born {
+			byAddress[t.Address] = t
 		}
 	}
 	var orders []Order
 	for _, p := range m.pieces {
-		if p.Owner != "" && !p.calling {
-			m.follow(now, p, named[p.Owner], resident[p.Address])
+		if p.Owner != "" && !p.inFlight {
+			m.applyOwnerState(now, p, listed[p.Owner], byAddress[p.Address])
 		}
 		if o := m.advance(now, p); o != nil {
 			orders = append(orders, o)
@@ -43,10 +44,10 @@
 	if m.writing {
 		return orders
 	}
-	m.join()
-	if !now.Before(m.balanceAt) {
-		m.balanceAt = now.Add(balanceEvery)
-		m.forgetSpeeds(named)
+	m.coalesce()
+	if !now.Before(m.nextBalance) {
+		m.nextBalance = now.Add(balanceInterval)
+		m.dropLatencies(listed)
 		m.balance(now, targets)
 	}
 	m.assign(now, targets)
@@ -57,92 +58,99 @@
 	return orders
 }
 
-// follow takes in what the platform and the orders' answers say of the owner,
-// and of who lives at its address.
-func (m *Manager) follow(now time.Time, p *piece, t, resident *roster.Target) {
+// applyOwnerState updates a piece for what the platform and the answers to
+// orders show about its owner. listed is the target listed under the owner's
+// name, and youngest the youngest target listed at the owner's address; either
+// may be nil.
+func (m *Manager) applyOwnerState(now time.Time, p *piece, listed, youngest *roster.Target) {
 	if p.phase == free || p.phase == recording {
 		return
 	}
-	if resident != nil && resident.Born > p.Born {
-		m.inherit(now, p, resident)
+	if youngest != nil && youngest.Born > p.Started {
+		m.inherit(now, p, youngest)
 		return
 	}
-	h := m.holder(p.Life())
-	if h.gone {
-		m.ownerLost(now, p, h.strays)
+	s := m.owner(p.Incarnation())
+	if s.ended {
+		m.awaitMisdirected(now, p, s.misdirected)
 	}
 	if p.phase != held {
 		return
 	}
 	switch {
-	case !h.silent.IsZero() && now.Sub(h.silent) > silentAfter:
-		// It may still hold the keys, whatever is sent to it now.
-		p.phase, p.cause = waiting, OwnerLost
+	case !s.unansweredSince.IsZero() && now.Sub(s.unansweredSince) > unresponsiveTimeout:
+		// The owner may still hold the keys, whatever is sent to it now.
+		p.phase, p.cause = awaitingExpiry, OwnerLost
 		m.dirty = true
-	case t == nil || t.Draining:
-		p.phase, p.cause, p.tries = leaving, OwnerLeaving, 0
-	case t.Born > p.Born:
-		// It lives elsewhere now. Its former address may have gone to another
-		// one, which may have taken what was meant for it.
-		p.phase, p.cause, p.tries = leaving, OwnerLost, 0
+	case listed == nil || listed.Draining:
+		p.phase, p.cause, p.attempts = releaseDue, OwnerLeaving, 0
+	case listed.Born > p.Started:
+		// The owner has restarted at another address. Its former address may
+		// belong to another target, which may have received the grants meant
+		// for it.
+		p.phase, p.cause, p.attempts = releaseDue, OwnerLost, 0
 	}
 }
 
 // inherit gives a piece to the younger target at its owner's address. The owner
-// has ended, but the keys are not free: any order that was sent since may have
-// reached the younger one, which has seen no epoch and takes them all. Only one
-// process lives at an address, so what it may hold stays in its hands, and all
-// bounds with it; its first answer under a new epoch shuts the former ones out.
+// has ended, but orders sent since then may have reached the younger target,
+// which has seen no epoch and accepts them all. Only one process runs at an
+// address, so the keys and time limits stay with it; its first answer under a
+// new epoch fences the former grants.
 func (m *Manager) inherit(now time.Time, p *piece, to *roster.Target) {
-	givenUp := p.phase == waiting
-	if givenUp && m.writing {
-		// What is being written does not say so.
+	abandoned := p.phase == awaitingExpiry
+	if abandoned && m.writing {
+		// The write in flight does not contain the new owner.
 		return
 	}
-	if m.Inherited != nil {
-		m.Inherited(p.Piece, to.Life())
+	if m.OnInherit != nil {
+		m.OnInherit(p.Piece, to.Life())
 	}
-	delete(m.speeds, to.ID)
-	p.Owner, p.Born = to.ID, to.Born
-	p.cause, p.wanted = OwnerLost, ""
-	p.usable = time.Time{}
+	delete(m.latencies, to.ID)
+	p.Owner, p.Started = to.ID, to.Born
+	p.cause, p.destination = OwnerLost, ""
+	p.usableUntil = time.Time{}
 	m.dirty = true
-	m.Moved.Lost++
-	if givenUp {
-		// The store may have it as free from some moment on: first it must not.
+	m.Moves.Lost++
+	if abandoned {
+		// The store may record the piece as free from some time on. That record
+		// must be replaced before the piece is granted.
 		p.phase = recording
 		return
 	}
-	// The store has the address, which is what counts for a successor.
-	m.keep(now, p)
+	// The recorded address is still right, and only the address matters to a
+	// later coordinator.
+	m.regrant(now, p)
 }
 
-// keep has a piece granted to its owner under a new epoch.
-func (m *Manager) keep(now time.Time, p *piece) {
+// regrant makes the piece due for a grant to its owner under a new epoch.
+func (m *Manager) regrant(now time.Time, p *piece) {
 	p.phase = held
-	m.renumber(p)
+	m.assignEpoch(p)
 	p.renewAt = now
-	p.tries = 0
+	p.attempts = 0
 }
 
-// ownerLost gives up a piece whose owner has ended and left its address to another
-// service's target, for which only strays have to be waited.
-func (m *Manager) ownerLost(now time.Time, p *piece, strays bool) {
-	left := p.stray
-	if !strays {
-		left = time.Time{}
-	}
-	p.until, p.doubt = earlier(p.until, left), earlier(p.doubt, left)
-	if p.phase == waiting {
+// awaitMisdirected takes a piece from an owner that has ended and whose address
+// belongs to another service's target. Only misdirected grants, if there can be
+// any, still have to expire.
+func (m *Manager) awaitMisdirected(now time.Time, p *piece, misdirected bool) {
+	end := p.misdirectedUntil
+	if !misdirected {
+		end = time.Time{}
+	}
+	p.heldUntil, p.inDoubtUntil = earlier(p.heldUntil, end), earlier(p.inDoubtUntil, end)
+	if p.phase == awaitingExpiry {
 		return
 	}
-	p.phase, p.cause = waiting, OwnerLost
-	m.dirty = m.dirty || now.Before(p.until)
+	p.phase, p.cause = awaitingExpiry, OwnerLost
+	m.dirty = m.dirty || now.Before(p.heldUntil)
 }
 
-// advance takes the piece's next step.
+// advance performs the piece's next step, and returns the order that it
+// requires, or nil.
 func (m *Manager) advance(now time.Time, p *piece) Order {
-	if p.calling {
+	if p.inFlight {
 		return nil
 	}
 	switch p.phase {
@@ -151,37 +159,37 @@
 			return nil
 		}
 		return m.grant(now, p)
-	case leaving:
+	case releaseDue:
 		return m.release(now, p)
-	case waiting:
-		if !now.Before(p.until) {
-			m.freed(p)
+	case awaitingExpiry:
+		if !now.Before(p.heldUntil) {
+			m.markFree(p)
 		}
 	case releasing, free, recording:
 	}
 	return nil
 }
 
-func (m *Manager) freed(p *piece) {
+func (m *Manager) markFree(p *piece) {
 	p.phase = free
-	p.Owner, p.Born, p.Address = "", 0, ""
-	p.until, p.stray, p.doubt, p.usable = time.Time{}, time.Time{}, time.Time{}, time.Time{}
-	p.doubtEpoch, p.confirmed, p.channel = 0, 0, 0
-	p.releaseLost = false
+	p.Owner, p.Started, p.Address = "", 0, ""
+	p.heldUntil, p.misdirectedUntil, p.inDoubtUntil, p.usableUntil = time.Time{}, time.Time{}, time.Time{}, time.Time{}
+	p.inDoubtEpoch, p.confirmedEpoch, p.channel = 0, 0, 0
+	p.releaseUnanswered = false
 }
 
 func (m *Manager) grant(now time.Time, p *piece) Order {
-	hold := m.Holds.Usual
-	if m.long {
+	hold := m.Holds.Normal
+	if m.longHolds {
 		hold = m.Holds.Long
 	}
-	p.calling = true
-	// Spread, so that the renewals of all pieces do not come in one burst.
-	p.renewAt = now.Add(m.Holds.Every - m.jitter(m.Holds.Every/4+1))
+	p.inFlight = true
+	// The jitter keeps the renewals of all pieces from arriving in one burst.
+	p.renewAt = now.Add(m.Holds.RenewInterval - m.jitter(m.Holds.RenewInterval/4+1))
 	return &Grant{
 		First: p.First, Last: p.Last, Epoch: p.epoch, Hold: hold,
-		Owner: p.Life(), Address: p.Address, Handover: p.handover, Channel: p.channel,
-		Suspect: !m.holder(p.Life()).silent.IsZero(),
+		Owner: p.Incarnation(), Address: p.Address, Handover: p.handover, Channel: p.channel,
+		Suspect: !m.owner(p.Incarnation()).unansweredSince.IsZero(),
 	}
 }
 
@@ -193,16 +201,16 @@
 }
 
 // release takes a piece back. While an earlier grant is in doubt, a new one
-// under a higher epoch comes first: once it is answered, the target refuses
-// the one in doubt, which could otherwise take effect after the release.
+// under a higher epoch comes first: once it is answered, the target refuses the
+// one in doubt, which could otherwise take effect after the release.
 func (m *Manager) release(now time.Time, p *piece) Order {
-	if now.Before(p.doubt) && p.tries == 0 {
-		m.renumber(p)
+	if now.Before(p.inDoubtUntil) && p.attempts == 0 {
+		m.assignEpoch(p)
 		return m.grant(now, p)
 	}
-	p.phase, p.calling = releasing, true
+	p.phase, p.inFlight = releasing, true
 	return &Release{
 		First: p.First, Last: p.Last, Epoch: p.epoch,
-		Owner: p.Life(), Address: p.Address, Until: p.until,
+		Owner: p.Incarnation(), Address: p.Address, HeldUntil: p.heldUntil,
 	}
 }
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -134,7 +134,7 @@
 		Joined:  i.replicator.joined.Load,
 		Leads:   i.leads, Took: i.takeNews, Missed: i.assignments.Again,
 		Peers: i.peers, Roster: i.state.roster, Table: i.state.table.Load, Revisions: i.revisions, Log: log,
-		Holds: ownership.Holds{Usual: min(usualHold, s.LongestHold), Long: min(longHold, s.LongestHold-longMargin), Every: renewHolds, Reuse: s.AddressReuse},
+		Holds: ownership.Holds{Normal: min(usualHold, s.LongestHold), Long: min(longHold, s.LongestHold-longMargin), RenewInterval: renewHolds, AddressReuse: s.AddressReuse},
 	})
 	i.dispatcher = &dispatch.Dispatcher{Roster: i.state.roster}
 	i.broker = broker.New(broker.Options{
--- a/gateway/instance/state.go
+++ b/gateway/instance/state.go
@@ -60,7 +60,7 @@
 	}
 	// Whoever reads the former list does not see what is appended.
 	moves := a.moves[old:]
-	for _, p := range a.assignment.Moved(next) {
+	for _, p := range a.assignment.OwnerChanges(next) {
 		moves = append(moves, move{p.First, p.Last, now})
 	}
 	return moves
--- a/gateway/instance/state_test.go
+++ b/gateway/instance/state_test.go
@@ -18,8 +18,8 @@
 	a := &ownership.Assignment{Service: "s", Term: 1}
 	for k := range n {
 		a.Pieces = append(a.Pieces, ownership.Piece{
-			First: k * ownership.Keys / n, Last: (k+1)*ownership.Keys/n - 1, Owner: fmt.Sprintf("bakery-svc-%04d", k),
-			Born: 1700000000000, Address: "10.1.2.3:8080",
+			First: k * ownership.KeyCount / n, Last: (k+1)*ownership.KeyCount/n - 1, Owner: fmt.Sprintf("bakery-svc-%04d", k),
+			Started: 1700000000000, Address: "10.1.2.3:8080",
 		})
 	}
 	return a
