--- a/gateway/coordinator/address_test.go
+++ b/gateway/coordinator/address_test.go
@@ -275,7 +275,7 @@
 		{&platform.OrderError{Status: http.StatusBadRequest}, ownership.Refused},
 		{&platform.OrderError{Status: http.StatusMisdirectedRequest}, ownership.Unknown},
 		{&platform.OrderError{Status: http.StatusServiceUnavailable}, ownership.Unknown},
-		{&unsentError{&channel.LostError{}}, ownership.ChannelClosed},
+		{&unsentError{&channel.ClosedError{}}, ownership.ChannelClosed},
 		{&unsentError{context.DeadlineExceeded}, ownership.Unsent},
 		{&net.OpError{Op: "dial"}, ownership.Unsent},
 		{&net.OpError{Op: "read"}, ownership.Unknown},
--- a/gateway/coordinator/orders.go
+++ b/gateway/coordinator/orders.go
@@ -78,11 +78,11 @@
 	sent = time.Now()
 	takeCtx, stop := context.WithTimeout(l.ctx, orderTimeout)
 	defer stop()
-	on, err := c.Channels.Take(takeCtx, o.Address, o.Channel)
+	on, err := c.Channels.Acquire(takeCtx, o.Address, o.Channel)
 	if err != nil {
 		return sent, &unsentError{err}
 	}
-	defer on.Back()
+	defer on.Release()
 	if err := c.identify(l.ctx, service, on, o); err != nil {
 		return sent, &unsentError{err}
 	}
@@ -239,7 +239,7 @@
 func outcome(err error) ownership.Outcome {
 	var stale *platform.StaleEpochError
 	var refused *platform.OrderError
-	var lost *channel.LostError
+	var lost *channel.ClosedError
 	var unsent *unsentError
 	var op *net.OpError
 	switch {
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -132,7 +132,7 @@
 		Channels: &channel.Set{Dial: targetDialer.DialContext}, Releases: &platform.Grants{HTTP: newClient(targetDialer)},
 		Refresh: i.replicator.refresh,
 		Joined:  i.replicator.joined.Load,
-		Leads:   i.leads, Took: i.takeNews, Missed: i.assignments.Again,
+		Leads:   i.leads, Took: i.takeNews, Missed: i.assignments.Refresh,
 		Peers: i.peers, Roster: i.state.roster, Table: i.state.table.Load, Revisions: i.revisions, Log: log,
 		Holds: ownership.Holds{Normal: min(usualHold, s.LongestHold), Long: min(longHold, s.LongestHold-longMargin), RenewInterval: renewHolds, AddressReuse: s.AddressReuse},
 	})
@@ -181,26 +181,26 @@
 	}
 	i.replicator = newReplicator(i)
 	for _, m := range []*mirror.Mirror{
-		{Table: platform.OperatorTable, Pace: configPace, MostPace: mostConfigPace, QuietPace: configPace, Changed: i.state.takeConfig},
+		{Table: platform.OperatorTable, BatchDelay: configPace, MaxBatchDelay: mostConfigPace, MinorDelay: configPace, OnUpdate: i.state.takeConfig},
 		{
-			Table: platform.TargetTable, Pace: targetPace, QuietPace: quietPace, Changed: i.state.takeTargets,
-			Minor: minorOfTarget,
+			Table: platform.TargetTable, BatchDelay: targetPace, MinorDelay: quietPace, OnUpdate: i.state.takeTargets,
+			IsMinor: minorOfTarget,
 		},
 	} {
-		m.Passed = func(p mirror.Passage) { i.replicator.pass(m.Table, p) }
-		m.AwaitOthers(joinMost)
-		m.Retry = i.replicator.retry
+		m.Forward = func(p mirror.ForwardedUpdate) { i.replicator.pass(m.Table, p) }
+		m.AwaitPeerCopy(joinMost)
+		m.Backoff = i.replicator.retry
 		i.replicator.tables = append(i.replicator.tables, add(m))
 	}
 	i.assignments = add(&mirror.Mirror{
-		Table: coordinator.AssignmentTable, OnDemand: true, Changed: i.state.takeAssignments, Encode: i.state.encodeAssignment,
+		Table: coordinator.AssignmentTable, OnDemand: true, OnUpdate: i.state.takeAssignments, EncodeRow: i.state.encodeAssignment,
 	})
-	i.assignments.AwaitOthers(joinMost)
-	i.instances = add(&mirror.Mirror{Table: coordinator.InstanceTable, OnDemand: true, Changed: func(c mirror.Change) {
+	i.assignments.AwaitPeerCopy(joinMost)
+	i.instances = add(&mirror.Mirror{Table: coordinator.InstanceTable, OnDemand: true, OnUpdate: func(c mirror.Update) {
 		i.peers.Know(i.state.takeInstances(c))
 	}})
 	if i.settings.Bootstrap {
-		i.instances.Late = introduceTimeout
+		i.instances.InitialWait = introduceTimeout
 	}
 }
 
@@ -208,7 +208,7 @@
 	r := make(map[string]uint64, len(i.mirrors))
 	for _, m := range i.mirrors {
 		if m != i.instances {
-			r[m.Table] = m.Newest()
+			r[m.Table] = m.NewestChange()
 		}
 	}
 	return r
--- a/gateway/instance/passage.go
+++ b/gateway/instance/passage.go
@@ -14,13 +14,13 @@
 // pass tells the zone what the feed brought, and the last changes before it
 // once more: datagrams get lost, and a gap costs each listener a call. Rows too
 // large for a datagram are asked for.
-func (s *replicator) pass(table string, p mirror.Passage) {
+func (s *replicator) pass(table string, p mirror.ForwardedUpdate) {
 	if s.zoneSize() <= 1 {
 		return
 	}
 	parts := datagrams(table, s.again.with(table, p))
 	if parts == nil {
-		parts = []*peers.Rows{{Table: table, From: p.From, To: p.To, Newest: p.Newest, Fetch: true}}
+		parts = []*peers.Rows{{Table: table, From: p.From, To: p.To, Newest: p.NewestChange, Fetch: true}}
 	}
 	for _, m := range parts {
 		s.tell(&peers.Message{Rows: m})
@@ -28,7 +28,7 @@
 }
 
 // datagrams cuts a passage into pieces that fit; none if a row does not.
-func datagrams(table string, p mirror.Passage) []*peers.Rows {
+func datagrams(table string, p mirror.ForwardedUpdate) []*peers.Rows {
 	var parts []*peers.Rows
 	part := &peers.Rows{Table: table, From: p.From}
 	size := 0
@@ -50,7 +50,7 @@
 		part.Rows = append(part.Rows, peers.Row{Key: r.Key, Value: r.Value, Revision: r.Revision, Removed: r.Removed})
 		size += n
 	}
-	flush(p.To, p.Newest)
+	flush(p.To, p.NewestChange)
 	return parts
 }
 
@@ -60,15 +60,15 @@
 // again keeps the last passages of each table that follow on each other.
 type again struct {
 	mu   sync.Mutex
-	last map[string][]mirror.Passage
+	last map[string][]mirror.ForwardedUpdate
 }
 
 // with returns a passage together with the last ones before it.
-func (a *again) with(table string, p mirror.Passage) mirror.Passage {
+func (a *again) with(table string, p mirror.ForwardedUpdate) mirror.ForwardedUpdate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.last == nil {
-		a.last = map[string][]mirror.Passage{}
+		a.last = map[string][]mirror.ForwardedUpdate{}
 	}
 	list := a.last[table]
 	if n := len(list); n > 0 && list[n-1].To != p.From {
@@ -84,7 +84,7 @@
 	list = append(list, p)
 	list = list[max(0, len(list)-againRows):]
 	a.last[table] = list
-	whole := mirror.Passage{From: list[0].From, To: p.To, Newest: p.Newest}
+	whole := mirror.ForwardedUpdate{From: list[0].From, To: p.To, NewestChange: p.NewestChange}
 	for _, l := range list {
 		whole.Rows = append(whole.Rows, l.Rows...)
 	}
@@ -96,7 +96,7 @@
 		s.fetchFrom(from, r)
 		return
 	}
-	passage := mirror.Passage{From: r.From, To: r.To, Newest: r.Newest}
+	passage := mirror.ForwardedUpdate{From: r.From, To: r.To, NewestChange: r.Newest}
 	for _, row := range r.Rows {
 		passage.Rows = append(passage.Rows, platform.Row{
 			Table: r.Table, Key: row.Key, Value: row.Value, Revision: row.Revision, Removed: row.Removed,
@@ -108,7 +108,7 @@
 		}
 		// What does not follow on what is known is told again, or found out by
 		// the readers' signs of life.
-		_ = m.Pass(passage)
+		_ = m.ApplyForwarded(passage)
 	}
 }
 
@@ -118,7 +118,7 @@
 		return
 	}
 	for _, m := range s.tables {
-		if m.Table == r.Table && m.Reached() < r.To {
+		if m.Table == r.Table && m.Revision() < r.To {
 			s.askFor(from, m)
 		}
 	}
--- a/gateway/instance/replicator.go
+++ b/gateway/instance/replicator.go
@@ -91,9 +91,9 @@
 	for _, m := range s.tables {
 		switch {
 		case s.heardCoordinator(proveAfter):
-			m.Prove(false)
-		case now.Sub(m.Answered()) > proveAfter:
-			m.Prove(true)
+			m.CheckFreshness(false)
+		case now.Sub(m.LastResponse()) > proveAfter:
+			m.CheckFreshness(true)
 		}
 	}
 	reads := s.current() && s.certain(now)
@@ -145,7 +145,7 @@
 		return true
 	}
 	for _, m := range s.tables {
-		if now.Sub(m.Answered()) > provedFor {
+		if now.Sub(m.LastResponse()) > provedFor {
 			return false
 		}
 	}
@@ -252,16 +252,16 @@
 	s.listens.Store(on)
 	event.Reading.Log(s.log, "listens", on)
 	for _, m := range s.tables {
-		m.Listen(on)
+		m.SetPassive(on)
 	}
 }
 
 func (s *replicator) beat() {
 	r := &peers.Reader{Reached: map[string]uint64{}, Targets: s.state.roster.Load().Digest}
 	for _, m := range s.tables {
-		r.Reached[m.Table] = m.Reached()
+		r.Reached[m.Table] = m.Revision()
 	}
-	r.Reached[s.assignments.Table] = s.assignments.Newest()
+	r.Reached[s.assignments.Table] = s.assignments.NewestChange()
 	s.tell(&peers.Message{Reader: r})
 }
 
@@ -280,7 +280,7 @@
 // refresh begins the feeds anew.
 func (s *replicator) refresh() {
 	for _, m := range s.tables {
-		m.Again()
+		m.Refresh()
 	}
 }
 
@@ -303,7 +303,7 @@
 // checkReached sees to what no datagram brought.
 func (s *replicator) checkReached(now time.Time) {
 	for _, m := range s.tables {
-		ahead := s.readerAhead(m.Table, m.Reached()+1)
+		ahead := s.readerAhead(m.Table, m.Revision()+1)
 		if ahead == "" {
 			delete(s.behind, m.Table)
 			continue
@@ -318,7 +318,7 @@
 			s.askFor(ahead, m)
 		default:
 			delete(s.behind, m.Table)
-			m.Again()
+			m.Refresh()
 		}
 	}
 }
@@ -372,7 +372,7 @@
 func (s *replicator) compare(r *peers.Reader) {
 	alike := r.Targets == 0 || r.Targets == s.state.roster.Load().Digest
 	for _, m := range s.tables {
-		alike = alike || m.Table == platform.TargetTable && m.Reached() < r.Reached[m.Table]
+		alike = alike || m.Table == platform.TargetTable && m.Revision() < r.Reached[m.Table]
 	}
 	if alike || !s.listens.Load() {
 		s.unlike = 0
--- a/gateway/instance/state.go
+++ b/gateway/instance/state.go
@@ -80,7 +80,7 @@
 }
 
 // takeConfig puts a newer configuration in force. An older one never follows.
-func (s *state) takeConfig(c mirror.Change) {
+func (s *state) takeConfig(c mirror.Update) {
 	for _, r := range c.Rows {
 		if r.Key != platform.ConfigKey || r.Removed {
 			continue
@@ -100,11 +100,11 @@
 	}
 }
 
-func (s *state) takeTargets(c mirror.Change) {
+func (s *state) takeTargets(c mirror.Update) {
 	now := time.Now()
 	var came, left []*roster.Target
 	first := len(s.roster.Load().Targets) == 0
-	if c.Whole {
+	if c.Full {
 		list := make([]*roster.Target, 0, len(c.Rows))
 		for _, r := range c.Rows {
 			if t := s.parseTarget(r); t != nil {
@@ -123,7 +123,7 @@
 		}
 		came, left = s.roster.Apply(now, changes, c.Revision)
 	}
-	if first && c.Whole {
+	if first && c.Full {
 		event.TargetsLoaded.Log(s.log, "targets", len(came), "leaving", len(left), "revision", c.Revision)
 		return
 	}
@@ -164,7 +164,7 @@
 		a.Slots == b.Slots && a.Draining == b.Draining
 }
 
-func (s *state) takeAssignments(c mirror.Change) {
+func (s *state) takeAssignments(c mirror.Update) {
 	for _, r := range c.Rows {
 		if r.Removed || s.hasAssignment(r.Key, r.Revision) {
 			continue
@@ -271,11 +271,11 @@
 }
 
 // takeInstances returns all instances known.
-func (s *state) takeInstances(c mirror.Change) map[string]peers.Instance {
+func (s *state) takeInstances(c mirror.Update) map[string]peers.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := map[string]peers.Instance{}
-	if !c.Whole {
+	if !c.Full {
 		for name, i := range s.instances {
 			all[name] = i
 		}
--- a/gateway/instance/state_test.go
+++ b/gateway/instance/state_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 	text, err := a.MarshalJSON()
 	assert.NilError(t, err)
-	i.assignments.Inject(platform.Row{Table: coordinator.AssignmentTable, Key: a.Service, Value: text, Revision: revision})
+	i.assignments.ApplyRow(platform.Row{Table: coordinator.AssignmentTable, Key: a.Service, Value: text, Revision: revision})
 }
 
 // Guards against an instance that gives others an assignment without the changes
