--- a/basilcross/ownership/assignment_test.go
+++ b/basilcross/ownership/assignment_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// randomAssignment cuts the keys into pieces of random owners.
+// randomAssignment splits the keys into pieces with random owners.
 func randomAssignment(random *rand.Rand, pieces int) *ownership.Assignment {
 	a := &ownership.Assignment{Service: "s"}
 	for first := 0; first < ownership.KeyCount; {
@@ -21,8 +21,8 @@
 	return a
 }
 
-// Guards against keys that are lost, or in two pieces, when a change comes in
-// several datagrams of any order.
+// Guards against keys that are lost, or in two pieces, when a change arrives in
+// several datagrams in any order.
 func TestDiffAppliedInAnyOrderGivesTheNextAssignment(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 200 {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Guards against a key whose change of owner is not noticed.
+// Guards against a key whose change of owner is not reported.
 func TestOwnerChangesFindsEveryChange(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 8))
 	for range 100 {
@@ -56,7 +56,8 @@
 	}
 }
 
-// A change of 36 pieces, as fits into a datagram, is laid over an assignment.
+// Measures With for a change of 36 pieces, the number that fits into a
+// datagram.
 func BenchmarkWith(b *testing.B) {
 	for _, n := range []int{100, 300, 1000, 3000} {
 		b.Run(fmt.Sprintf("pieces=%d", n), func(b *testing.B) {
--- a/basilcross/ownership/balance_test.go
+++ b/basilcross/ownership/balance_test.go
@@ -12,15 +12,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// loadSimulation plays a manager whose busy keys change at once: a small neighbourhood
-// gets much of the load. Targets answer all orders; a release takes as long as
-// the work on its keys, a write as long as the store needs.
+// loadSimulation runs a manager against a load in which a small range of keys
+// suddenly gets much of the load. Targets answer all orders; a release takes as
+// long as the work on its keys, a write as long as the store needs.
 type loadSimulation struct {
 	rand    *rand.Rand
 	now     time.Time
 	queue   timedEvents
 	manager *ownership.Manager
-	targets    []*roster.Target
+	targets []*roster.Target
 	// load is each key's true load, in slots.
 	load []float64
 }
@@ -32,14 +32,15 @@
 		s.targets[i] = &roster.Target{ID: fmt.Sprintf("t%d", i), Born: 1, Address: fmt.Sprintf("a%d", i), Slots: 3, Seen: s.now.Add(-time.Minute)}
 	}
 	s.manager = newManager(s.now, 1, nil)
-	// A stream of its own, so that the load of a seed does not depend on the orders.
+	// A separate random source keeps the load of a seed independent of the
+	// orders.
 	jitter := rand.New(rand.NewPCG(1, 8))
 	s.manager.Jitter = func(below time.Duration) time.Duration { return time.Duration(jitter.Int64N(int64(below))) }
 	return s
 }
 
-// setLoad sets the load: total slots in use, and the share of it that falls on
-// count keys from the first one on.
+// setLoad sets the total load, in slots, and the share of it that falls on
+// count keys from first on.
 func (s *loadSimulation) setLoad(total, hot float64, first, count int) {
 	for k := range s.load {
 		s.load[k] = total * (1 - hot) / ownership.KeyCount
@@ -53,7 +54,8 @@
 	heap.Push(&s.queue, timedEvent{s.now.Add(d), do})
 }
 
-// simulate goes on for a while. Loads are seen as requests of 0.65 s.
+// simulate advances the time by d. The manager measures load as requests of
+// 0.65 s.
 func (s *loadSimulation) simulate(d time.Duration) {
 	const tick, work = 40 * time.Millisecond, 0.65
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(tick) {
@@ -87,7 +89,8 @@
 	}
 }
 
-// overloadShare is the share of the load that is on targets beyond their slots.
+// overloadShare is the share of the load that exceeds the slots of the targets
+// that own its keys.
 func (s *loadSimulation) overloadShare() float64 {
 	loads, all := map[string]float64{}, 0.0
 	for _, p := range s.manager.Assignment().Pieces {
@@ -103,11 +106,11 @@
 	return over / all
 }
 
-// Callers ask for 200 neighbouring keys, which lie on one target: two fifths of
-// all requests would be refused until the neighbourhood is split among many
-// targets. The busiest keys change every few seconds, so it must be split
-// within a second or two. A few moves a second are too slow for hundreds of
-// targets, and a key busier than the room of a target must be moved as well.
+// Guards against slow splitting of a hot range: 200 neighbouring keys on one
+// target get two fifths of all requests, which are refused until the range is
+// split. The busiest keys change every few seconds, so it must be split within
+// a second or two: a few moves a second are too slow for hundreds of targets. A
+// key busier than a target's free slots must be moved as well.
 func TestHotRangeIsSplitWithinSeconds(t *testing.T) {
 	for _, c := range []struct {
 		targets, keys int
@@ -136,9 +139,9 @@
 	}
 }
 
-// Busy keys change again and again, and each time pieces are cut off. Pieces
-// that nobody asks for any more go back to their neighbours' owners; otherwise
-// none is left to cut after a while, and busy keys stay where they are.
+// Guards against pieces that are never merged: pieces are split off each time
+// the busy keys change. Idle ones must go back to their neighbours' owners, or
+// the limit on pieces stops all further moves.
 func TestIdlePiecesAreMerged(t *testing.T) {
 	s := newLoadSimulation(60)
 	total := 0.5 * 3 * 60
@@ -157,8 +160,8 @@
 	assert.Assert(t, len(s.manager.Assignment().Pieces) <= 3*60)
 }
 
-// One key is asked for more than any target can do. What else lies on its target
-// would wait behind it, or be refused; it goes to other targets.
+// Guards against keys that wait or are refused behind a key whose load exceeds
+// any target's slots: they must be moved to other targets.
 func TestNeighboursOfOverloadedKeyAreMoved(t *testing.T) {
 	s := newLoadSimulation(60)
 	s.simulate(time.Second)
--- a/basilcross/ownership/chance_test.go
+++ b/basilcross/ownership/imbalance_test.go
@@ -18,11 +18,11 @@
 	s.simulate(seconds * time.Second)
 	moved := s.manager.Moves.Balance - before
 	t.Logf("%d pieces moved in %d s", moved, seconds)
-	assert.Assert(t, moved <= targets, "each target's keys move once in %d s and more", seconds)
+	assert.Assert(t, moved <= targets, "more than one move per target in %d s", seconds)
 }
 
-// Guards against waiting for proof while a target is overloaded for good: a tenth
-// of the targets get twice what the others do.
+// Guards against too cautious balancing when a target is overloaded
+// permanently: a tenth of the targets get twice the load of the others.
 func TestLastingLoadDifferenceIsBalanced(t *testing.T) {
 	const targets = 100
 	s := newLoadSimulation(targets)
@@ -42,20 +42,20 @@
 	assert.Assert(t, s.overloadShare() < before/3)
 }
 
-// Guards against chance that does not come from the seed: a play that fails must
-// fail again.
+// Guards against randomness that does not come from the seed: a failing
+// simulation must be reproducible.
 func TestSimulationIsDeterministic(t *testing.T) {
-	play := func() (*ownership.Assignment, ownership.MoveCounts) {
+	run := func() (*ownership.Assignment, ownership.MoveCounts) {
 		s := newLoadSimulation(60)
 		s.simulate(time.Second)
 		s.setLoad(0.58*3*60, 0.4, 20_000, 100)
 		s.simulate(4 * time.Second)
 		return s.manager.Assignment(), s.manager.Moves
 	}
-	assignment, moved := play()
+	assignment, moved := run()
 	for range 3 {
-		again, movedAgain := play()
-		assert.DeepEqual(t, assignment, again)
-		assert.Equal(t, moved, movedAgain)
+		assignment2, moved2 := run()
+		assert.DeepEqual(t, assignment, assignment2)
+		assert.Equal(t, moved, moved2)
 	}
 }
--- a/basilcross/ownership/load.go
+++ b/basilcross/ownership/load.go
@@ -5,27 +5,29 @@
 	"time"
 )
 
-// loadHalfLife is how fast old load is forgotten. Busy keys change within a
-// few seconds, and a move costs little, so it is short.
+// loadHalfLife is the half-life of recorded load. It is short because busy keys
+// change within a few seconds and a move costs little.
 const loadHalfLife = 3 * time.Second
 
-// sumsCacheTTL is how long sums are used again: decisions of one moment need the same
-// figures, and adding up all keys takes time.
+// sumsCacheTTL is how long prefix sums are reused: decisions made at about the
+// same time need the same sums, and adding up all keys takes time.
 const sumsCacheTTL = 100 * time.Millisecond
 
-// Load is the work on each key, forgetting the past. The zero value is empty.
+// Load is the exponentially decaying work on each key. The zero value is empty.
 type Load struct {
-	work  []float32
-	scale float64
-	updatedAt    time.Time
-	// total is the work on all keys, count the number of its parts.
+	work      []float32
+	scale     float64
+	updatedAt time.Time
+	// total is the work on all keys, and count the number of additions, both
+	// with the same decay.
 	total, count float64
-	// cachedSums are the sums at cachedAt.
-	cachedSums   []float64
-	cachedAt time.Time
+	// cachedSums are the prefix sums computed at cachedAt.
+	cachedSums []float64
+	cachedAt   time.Time
 }
 
-// Add notes work, in seconds of a target's slot.
+// Add records work on a key, in seconds of one of a target's slots. Keys out of
+// range are ignored.
 func (l *Load) Add(now time.Time, key int, seconds float64) {
 	if key < 0 || key >= KeyCount {
 		return
@@ -54,8 +56,9 @@
 	l.scale = 1
 }
 
-// stdDev is the standard deviation, by chance alone, of what is seen of a load:
-// requests come one by one, and only those of the last few seconds count.
+// stdDev is the standard deviation, from randomness alone, of the measured
+// value of a load: requests arrive one by one, and only those of the last few
+// seconds count.
 func (l *Load) stdDev(load float64) float64 {
 	if l.count == 0 {
 		return 0
@@ -63,7 +66,7 @@
 	return math.Sqrt(max(0, load) * l.total / l.count * math.Ln2 / (2 * loadHalfLife.Seconds()))
 }
 
-// prefixSums returns the work per second on all keys below each index.
+// prefixSums returns, for each index, the work per second on all keys below it.
 func (l *Load) prefixSums(now time.Time) []float64 {
 	if l.cachedSums != nil && now.Sub(l.cachedAt) < sumsCacheTTL {
 		return l.cachedSums
--- a/basilcross/ownership/loss_test.go
+++ b/basilcross/ownership/outage_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// outageSimulation is a play with one target that is lost in some way.
+// outageSimulation is a loadSimulation in which one target is lost.
 type outageSimulation struct {
 	*loadSimulation
 	lost string
@@ -18,8 +18,8 @@
 	unresponsive bool
 }
 
-// simulate goes on until the lost target's keys are all served by others, or by its
-// next lifetime, and returns how long that took.
+// simulate runs until all keys of the lost target are served by others or
+// by its next incarnation, and returns how long that took.
 func (o *outageSimulation) simulate(t *testing.T) time.Duration {
 	t.Helper()
 	began := o.now
@@ -35,12 +35,12 @@
 		}
 		o.now = o.now.Add(40 * time.Millisecond)
 	}
-	t.Fatal("not served again")
+	t.Fatal("the keys are not served again")
 	return 0
 }
 
-// served tells whether no key is with the lost lifetime any more, and all are
-// granted to somebody.
+// served reports whether no key belongs to the lost incarnation any more, and
+// all keys are granted.
 func (o *outageSimulation) served() bool {
 	for _, p := range o.manager.Assignment().Pieces {
 		if p.Owner == "" || p.FreeAt > 0 || p.Owner == o.lost && p.Started == 1 {
@@ -51,16 +51,16 @@
 }
 
 func (o *outageSimulation) execute(order ownership.Order) {
-	const giveUp = 450 * time.Millisecond
+	const callTimeout = 450 * time.Millisecond
 	switch order := order.(type) {
 	case *ownership.Grant:
 		if order.Owner.ID == o.lost && order.Owner.Born == 1 && o.unresponsive {
-			// Its connection hangs, and no other one can be opened.
-			sent, out := o.now, ownership.Unsent
+			// The connection hangs, and no other one can be opened.
+			sent, outcome := o.now, ownership.Unsent
 			if order.Channel != 0 {
-				order.ChannelOpened, out = time.Unix(1000, 0), ownership.Unknown
+				order.ChannelOpened, outcome = time.Unix(1000, 0), ownership.Unknown
 			}
-			o.after(giveUp, func() { o.manager.Granted(o.now, sent, order, out) })
+			o.after(callTimeout, func() { o.manager.Granted(o.now, sent, order, outcome) })
 			return
 		}
 	case *ownership.Release:
@@ -72,51 +72,53 @@
 	o.loadSimulation.execute(order)
 }
 
-// A target is lost in each of the ways that the platform knows. Its callers are
-// told to come back until its keys are served again: at once where there is a
-// proof that it holds nothing, and else when its longest hold has run out.
+// Guards against keys that are not served for too long after a target is lost,
+// in each way that the platform can report it. Its callers must retry until its
+// keys are served again: at once if it is proved to hold nothing, and otherwise
+// when its longest hold has expired.
 func TestTimeUntilServedAgain(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		lose func(o *outageSimulation)
-		most time.Duration
-		// before is how long all goes well; 0 is three seconds.
-		before time.Duration
+		name  string
+		lose  func(o *outageSimulation)
+		limit time.Duration
+		// healthyFor is how long the simulation runs before the loss; at least
+		// three seconds.
+		healthyFor time.Duration
 	}{
-		{"it leaves", func(o *outageSimulation) { o.replaceEntry().Draining = true }, time.Second, 0},
-		{"its entry is gone, and it answers", func(o *outageSimulation) { o.removeEntry() }, time.Second, 0},
-		{"it starts again under its name", func(o *outageSimulation) { o.unresponsive = true; o.replaceEntry().Born = 2 }, 2 * time.Second, 0},
-		{"it falls silent", func(o *outageSimulation) { o.unresponsive = true }, 7 * time.Second, 0},
-		{"it falls silent, and its entry goes after 2.6 s", func(o *outageSimulation) {
+		{"drains", func(o *outageSimulation) { o.replaceEntry().Draining = true }, time.Second, 0},
+		{"entry removed, still answers", func(o *outageSimulation) { o.removeEntry() }, time.Second, 0},
+		{"restarts under its name", func(o *outageSimulation) { o.unresponsive = true; o.replaceEntry().Born = 2 }, 2 * time.Second, 0},
+		{"stops answering", func(o *outageSimulation) { o.unresponsive = true }, 7 * time.Second, 0},
+		{"stops answering, entry removed after 2.6 s", func(o *outageSimulation) {
 			o.unresponsive = true
 			o.after(2600*time.Millisecond, o.removeEntry)
 		}, 7 * time.Second, 0},
-		{"it falls silent, and another target has its address", func(o *outageSimulation) {
+		{"stops answering, another target takes its address", func(o *outageSimulation) {
 			o.unresponsive = true
 			o.after(time.Second, func() {
 				o.targets = append(o.targets, &roster.Target{ID: "next", Born: 2, Address: o.replaceEntry().Address, Slots: 3, Seen: o.now})
 			})
 		}, 2 * time.Second, 0},
-		{"it falls silent, and another service has its address after 2.4 s", func(o *outageSimulation) {
+		{"stops answering, another service takes its address after 2.4 s", func(o *outageSimulation) {
 			o.unresponsive = true
 			o.after(2400*time.Millisecond, func() { o.manager.OwnerReplaced(roster.Life{ID: o.lost, Born: 1}, true) })
 		}, 3 * time.Second, 9 * time.Second},
-		{"it falls silent, and an undivided service has its address after 2.4 s", func(o *outageSimulation) {
+		{"stops answering, an unsharded service takes its address after 2.4 s", func(o *outageSimulation) {
 			o.unresponsive = true
 			o.after(2400*time.Millisecond, func() { o.manager.OwnerReplaced(roster.Life{ID: o.lost, Born: 1}, false) })
 		}, 3 * time.Second, 0},
-		{"the same, and its answers have only begun", func(o *outageSimulation) {
+		{"stops answering soon after its first answer, another service takes its address after 2.4 s", func(o *outageSimulation) {
 			o.unresponsive = true
 			o.after(2400*time.Millisecond, func() { o.manager.OwnerReplaced(roster.Life{ID: o.lost, Born: 1}, true) })
 		}, 7 * time.Second, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o := &outageSimulation{loadSimulation: newLoadSimulation(20), lost: "t7"}
-			o.loadSimulation.simulate(max(c.before, 3*time.Second))
+			o.loadSimulation.simulate(max(c.healthyFor, 3*time.Second))
 			c.lose(o)
 			took := o.simulate(t)
 			t.Logf("%s: served again after %v", c.name, took)
-			assert.Assert(t, took <= c.most)
+			assert.Assert(t, took <= c.limit)
 		})
 	}
 }
--- a/basilcross/ownership/step.go
+++ b/basilcross/ownership/step.go
@@ -6,35 +6,36 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// balanceInterval is how often the load is looked at; hot keys last for seconds.
+// balanceInterval is the time between two rounds of balancing; hot keys last
+// for seconds.
 const balanceInterval = 250 * time.Millisecond
 
-// SetStoreInDoubt tells whether the store answers at present. While it does not,
-// the authority to renew may be about to end, so holds are granted for long.
-func (m *Manager) SetStoreInDoubt(now time.Time, doubt bool) {
-	if doubt && !m.longHolds {
+// SetStoreInDoubt sets whether the store fails to answer at present. While it
+// does, the authority to renew may be about to end, so long holds are granted.
+func (m *Manager) SetStoreInDoubt(now time.Time, inDoubt bool) {
+	if inDoubt && !m.longHolds {
 		for _, p := range m.pieces {
 			p.renewAt = now
 		}
 	}
-	m.longHolds = doubt
+	m.longHolds = inDoubt
 }
 
-// Step returns the orders due. Targets are those that the platform names for
-// the service.
+// Step returns the orders that are due. Targets are those that the platform
+// lists for the service.
 func (m *Manager) Step(now time.Time, targets []*roster.Target) []Order {
-	named := make(map[string]*roster.Target, len(targets))
-	resident := make(map[string]*roster.Target, len(targets))
+	listed := make(map[string]*roster.Target, len(targets))
+	byAddress := make(map[string]*roster.Target, len(targets))
 	for _, t := range targets {
-		named[t.ID] = t
-		if at := resident[t.Address]; at == nil || at.Born < t.Born {
-			resident[t.Address] = t
+		listed[t.ID] = t
+		if other := byAddress[t.Address]; other == nil || other.Born < t.Born {
+			byAddress[t.Address] = t
 		}
 	}
 	var orders []Order
 	for _, p := range m.pieces {
 		if p.Owner != "" && !p.inFlight {
-			m.applyOwnerState(now, p, named[p.Owner], resident[p.Address])
+			m.applyOwnerState(now, p, listed[p.Owner], byAddress[p.Address])
 		}
 		if o := m.advance(now, p); o != nil {
 			orders = append(orders, o)
@@ -46,7 +47,7 @@
 	m.coalesce()
 	if !now.Before(m.nextBalance) {
 		m.nextBalance = now.Add(balanceInterval)
-		m.dropLatencies(named)
+		m.dropLatencies(listed)
 		m.balance(now, targets)
 	}
 	m.assign(now, targets)
@@ -57,46 +58,49 @@
 	return orders
 }
 
-// applyOwnerState takes in what the platform and the orders' answers say of the owner,
-// and of who lives at its address.
-func (m *Manager) applyOwnerState(now time.Time, p *piece, t, resident *roster.Target) {
+// applyOwnerState updates a piece for what the platform and the answers to
+// orders show about its owner. listed is the target listed under the owner's
+// name, and youngest the youngest target listed at the owner's address; either
+// may be nil.
+func (m *Manager) applyOwnerState(now time.Time, p *piece, listed, youngest *roster.Target) {
 	if p.phase == free || p.phase == recording {
 		return
 	}
-	if resident != nil && resident.Born > p.Started {
-		m.inherit(now, p, resident)
+	if youngest != nil && youngest.Born > p.Started {
+		m.inherit(now, p, youngest)
 		return
 	}
-	h := m.owner(p.Incarnation())
-	if h.ended {
-		m.awaitMisdirected(now, p, h.misdirected)
+	s := m.owner(p.Incarnation())
+	if s.ended {
+		m.awaitMisdirected(now, p, s.misdirected)
 	}
 	if p.phase != held {
 		return
 	}
 	switch {
-	case !h.unansweredSince.IsZero() && now.Sub(h.unansweredSince) > unresponsiveTimeout:
-		// It may still hold the keys, whatever is sent to it now.
+	case !s.unansweredSince.IsZero() && now.Sub(s.unansweredSince) > unresponsiveTimeout:
+		// The owner may still hold the keys, whatever is sent to it now.
 		p.phase, p.cause = awaitingExpiry, OwnerLost
 		m.dirty = true
-	case t == nil || t.Draining:
+	case listed == nil || listed.Draining:
 		p.phase, p.cause, p.attempts = releaseDue, OwnerLeaving, 0
-	case t.Born > p.Started:
-		// It lives elsewhere now. Its former address may have gone to another
-		// one, which may have taken what was meant for it.
+	case listed.Born > p.Started:
+		// The owner has restarted at another address. Its former address may
+		// belong to another target, which may have received the grants meant
+		// for it.
 		p.phase, p.cause, p.attempts = releaseDue, OwnerLost, 0
 	}
 }
 
 // inherit gives a piece to the younger target at its owner's address. The owner
-// has ended, but the keys are not free: any order that was sent since may have
-// reached the younger one, which has seen no epoch and takes them all. Only one
-// process lives at an address, so what it may hold stays in its hands, and all
-// bounds with it; its first answer under a new epoch shuts the former ones out.
+// has ended, but orders sent since then may have reached the younger target,
+// which has seen no epoch and accepts them all. Only one process runs at an
+// address, so the keys and time limits stay with it; its first answer under a
+// new epoch fences the former grants.
 func (m *Manager) inherit(now time.Time, p *piece, to *roster.Target) {
-	givenUp := p.phase == awaitingExpiry
-	if givenUp && m.writing {
-		// What is being written does not say so.
+	abandoned := p.phase == awaitingExpiry
+	if abandoned && m.writing {
+		// The write in flight does not contain the new owner.
 		return
 	}
 	if m.OnInherit != nil {
@@ -108,16 +112,18 @@
 	p.usableUntil = time.Time{}
 	m.dirty = true
 	m.Moves.Lost++
-	if givenUp {
-		// The store may have it as free from some moment on: first it must not.
+	if abandoned {
+		// The store may record the piece as free from some time on. That record
+		// must be replaced before the piece is granted.
 		p.phase = recording
 		return
 	}
-	// The store has the address, which is what counts for a successor.
+	// The recorded address is still right, and only the address matters to a
+	// later coordinator.
 	m.regrant(now, p)
 }
 
-// regrant has a piece granted to its owner under a new epoch.
+// regrant makes the piece due for a grant to its owner under a new epoch.
 func (m *Manager) regrant(now time.Time, p *piece) {
 	p.phase = held
 	m.assignEpoch(p)
@@ -125,14 +131,15 @@
 	p.attempts = 0
 }
 
-// awaitMisdirected gives up a piece whose owner has ended and left its address to another
-// service's target, for which only strays have to be waited.
-func (m *Manager) awaitMisdirected(now time.Time, p *piece, strays bool) {
-	left := p.misdirectedUntil
-	if !strays {
-		left = time.Time{}
-	}
-	p.heldUntil, p.inDoubtUntil = earlier(p.heldUntil, left), earlier(p.inDoubtUntil, left)
+// awaitMisdirected takes a piece from an owner that has ended and whose address
+// belongs to another service's target. Only misdirected grants, if there can be
+// any, still have to expire.
+func (m *Manager) awaitMisdirected(now time.Time, p *piece, misdirected bool) {
+	end := p.misdirectedUntil
+	if !misdirected {
+		end = time.Time{}
+	}
+	p.heldUntil, p.inDoubtUntil = earlier(p.heldUntil, end), earlier(p.inDoubtUntil, end)
 	if p.phase == awaitingExpiry {
 		return
 	}
@@ -140,7 +147,8 @@
 	m.dirty = m.dirty || now.Before(p.heldUntil)
 }
 
-// advance takes the piece's next step.
+// advance performs the piece's next step, and returns the order that it
+// requires, or nil.
 func (m *Manager) advance(now time.Time, p *piece) Order {
 	if p.inFlight {
 		return nil
@@ -176,7 +184,7 @@
 		hold = m.Holds.Long
 	}
 	p.inFlight = true
-	// Spread, so that the renewals of all pieces do not come in one burst.
+	// The jitter keeps the renewals of all pieces from arriving in one burst.
 	p.renewAt = now.Add(m.Holds.RenewInterval - m.jitter(m.Holds.RenewInterval/4+1))
 	return &Grant{
 		First: p.First, Last: p.Last, Epoch: p.epoch, Hold: hold,
@@ -193,8 +201,8 @@
 }
 
 // release takes a piece back. While an earlier grant is in doubt, a new one
-// under a higher epoch comes first: once it is answered, the target refuses
-// the one in doubt, which could otherwise take effect after the release.
+// under a higher epoch comes first: once it is answered, the target refuses the
+// one in doubt, which could otherwise take effect after the release.
 func (m *Manager) release(now time.Time, p *piece) Order {
 	if now.Before(p.inDoubtUntil) && p.attempts == 0 {
 		m.assignEpoch(p)
