--- a/gateway/instance/catchup.go
+++ b/gateway/instance/catchup.go
@@ -13,54 +13,55 @@
 )
 
 const (
-	// catchUpEvery is how often copies are compared with what others told.
-	catchUpEvery = 250 * time.Millisecond
-	// behindFor is how long a copy may be behind others before something is
-	// done: usually the feed brings the news a moment later.
-	behindFor = 300 * time.Millisecond
-	// askTimeout bounds a call to another instance.
-	askTimeout = 800 * time.Millisecond
+	// catchUpInterval is how often the mirrors are compared with the revisions
+	// that other instances report.
+	catchUpInterval = 250 * time.Millisecond
+	// lagTolerance is how long a mirror may lag behind another instance's before
+	// it is fetched: usually the feed delivers the change a moment later.
+	lagTolerance = 300 * time.Millisecond
+	// peerCallTimeout bounds a call to another instance.
+	peerCallTimeout = 800 * time.Millisecond
 )
 
-// told is what another instance said about how far its copies go.
-type told struct {
+// revisionReport holds the revisions of another instance's mirrors, by table.
+type revisionReport struct {
 	from      string
 	revisions map[string]uint64
 }
 
-func (s *state) noteRevisions(from string, revisions map[string]uint64) {
+func (s *state) recordRevisions(from string, revisions map[string]uint64) {
 	if revisions == nil {
 		return
 	}
-	s.told.Store(&told{from, revisions})
+	s.revisionReport.Store(&revisionReport{from, revisions})
 }
 
-// catchUp looks after copies that are behind others, or that the store does
-// not serve.
+// catchUp fetches tables from other instances when this instance's mirrors lag
+// behind theirs, or could not be read from the store.
 type catchUp struct{ *Instance }
 
-// Serve compares until the context ends.
+// Serve compares the mirrors, and carries out copy requests, until the context ends.
 func (c *catchUp) Serve(ctx context.Context) error {
-	tick := time.NewTicker(catchUpEvery)
+	tick := time.NewTicker(catchUpInterval)
 	defer tick.Stop()
 	behind := map[string]time.Time{}
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case f := <-c.replicator.fetches:
-			c.ask(ctx, c.peers.Find(f.from).Control, []*mirror.Mirror{f.of})
+		case r := <-c.replicator.copyRequests:
+			c.requestState(ctx, c.peers.Find(r.from).Control, []*mirror.Mirror{r.mirror})
 		case <-tick.C:
-			if wanted := c.wanted(time.Now(), behind); len(wanted) > 0 {
-				c.fetch(ctx, wanted)
+			if due := c.mirrorsToFetch(time.Now(), behind); len(due) > 0 {
+				c.fetch(ctx, due)
 			}
 		}
 	}
 	return ctx.Err()
 }
 
-// wanted returns the copies that are to be asked for. Behind is since when each
-// table's copy is behind.
-func (c *catchUp) wanted(now time.Time, behind map[string]time.Time) (wanted []*mirror.Mirror) {
+// mirrorsToFetch returns the mirrors that are due to be fetched from another
+// instance. It updates behind, which holds since when each table lags.
+func (c *catchUp) mirrorsToFetch(now time.Time, behind map[string]time.Time) (due []*mirror.Mirror) {
 	joined := c.replicator.joined.Load()
 	for _, m := range c.mirrors {
 		if !c.isBehind(m) {
@@ -71,89 +72,93 @@
 		switch {
 		case !ok:
 			behind[m.Table] = now
-			if m.OnDemand && joined && !c.replicator.listens.Load() {
+			if m.OnDemand && joined && !c.replicator.passive.Load() {
 				m.Again()
 			}
 		case !joined:
-		case now.Sub(since) >= behindFor, m.OnDemand && c.aheadOf(m) != "":
+		case now.Sub(since) >= lagTolerance, m.OnDemand && c.upToDateReader(m) != "":
 			behind[m.Table] = now
-			wanted = append(wanted, m)
+			due = append(due, m)
 		}
 	}
-	return wanted
+	return due
 }
 
-// aheadOf returns the address of a reader of the zone that has what others have
-// told of a table; empty if there is none, or if this instance does not listen.
-func (c *catchUp) aheadOf(m *mirror.Mirror) string {
-	t := c.state.told.Load()
-	if t == nil || !c.replicator.listens.Load() {
+// upToDateReader returns the control address of a feed reader of the zone whose
+// mirror has the last reported revision of a table. It is empty if there is none,
+// or if this instance is not passive.
+func (c *catchUp) upToDateReader(m *mirror.Mirror) string {
+	report := c.state.revisionReport.Load()
+	if report == nil || !c.replicator.passive.Load() {
 		return ""
 	}
-	return c.peers.Find(c.replicator.readerAhead(m.Table, t.revisions[m.Table])).Control
+	return c.peers.Find(c.replicator.readerAhead(m.Table, report.revisions[m.Table])).Control
 }
 
-// isBehind tells of a copy that was never read, or that another instance has
-// newer news of. What was read whole after a row was removed has no row of that
-// revision, and still goes further.
+// isBehind reports whether a mirror was never filled, or another instance has a
+// newer change. A table read in full after a row was removed has no row of that
+// revision, though it is complete beyond it, so both revisions are compared.
 func (c *catchUp) isBehind(m *mirror.Mirror) bool {
 	if m.Failing() && m.Newest() == 0 {
 		return true
 	}
-	t := c.state.told.Load()
-	return t != nil && t.revisions[m.Table] > max(m.Newest(), m.Reached())
+	report := c.state.revisionReport.Load()
+	return report != nil && report.revisions[m.Table] > max(m.Newest(), m.Reached())
 }
 
-// fetch asks another instance for its copies. A reader of the zone that has them
-// goes first: nothing is paid then. Without one the feeds are begun anew too.
-func (c *catchUp) fetch(ctx context.Context, wanted []*mirror.Mirror) {
+// fetch fetches tables from other instances. An up-to-date feed reader of the zone
+// is preferred, since that costs nothing. Without one the mirror also restarts its
+// call to the store.
+func (c *catchUp) fetch(ctx context.Context, mirrors []*mirror.Mirror) {
 	var rest []*mirror.Mirror
-	for _, m := range wanted {
-		if near := c.aheadOf(m); near != "" {
-			c.ask(ctx, near, []*mirror.Mirror{m})
+	for _, m := range mirrors {
+		if reader := c.upToDateReader(m); reader != "" {
+			c.requestState(ctx, reader, []*mirror.Mirror{m})
 			continue
 		}
-		// Also while it fails: a call that the store took while it was silent
-		// is never answered, and is given up by this.
+		// Needed also while the mirror fails: it abandons a call that the store
+		// accepted while unresponsive and never answers.
 		m.Again()
 		rest = append(rest, m)
 	}
 	if len(rest) > 0 {
-		c.ask(ctx, c.askWhom(), rest)
+		c.requestState(ctx, c.choosePeer(), rest)
 	}
 }
 
-// ask asks the instance at an address for its copies.
-func (c *catchUp) ask(ctx context.Context, address string, wanted []*mirror.Mirror) {
+// requestState fetches tables from the instance at a control address, and applies
+// those that are newer. An empty address is ignored.
+func (c *catchUp) requestState(ctx context.Context, address string, mirrors []*mirror.Mirror) {
 	if address == "" {
 		return
 	}
 	request := &fleet.StateRequest{}
-	for _, m := range wanted {
+	for _, m := range mirrors {
 		request.Tables = append(request.Tables, m.Table)
 	}
-	callCtx, cancel := context.WithTimeout(ctx, askTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	answer, err := fleet.NewFleetProtobufClient("http://"+address, c.calls).State(callCtx, request)
+	response, err := fleet.NewFleetProtobufClient("http://"+address, c.peerClient).State(callCtx, request)
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
-		// Another one's copy has come.
+		// Another instance responded first.
 		return
 	case err != nil:
 		event.StoreCallFailed.Log(c.log, "call", "state of "+address, "error", err)
 		return
 	}
-	for _, t := range answer.Tables {
-		c.take(t, address)
+	for _, t := range response.Tables {
+		c.applyPeerTable(t, address)
 	}
 }
 
-// askWhom names an instance: the one that told of newer copies, or any of the
-// nearest that are known; without any, a seed. Bytes between zones and regions
-// are paid.
-func (c *catchUp) askWhom() string {
-	if t := c.state.told.Load(); t != nil {
-		if control := c.peers.Find(t.from).Control; control != "" {
+// choosePeer returns the control address of the instance to fetch tables from:
+// the one that reported revisions last, or else a random one of the nearest.
+// Seeds count as far away, since their zones are unknown. Traffic between zones
+// and regions is billed.
+func (c *catchUp) choosePeer() string {
+	if report := c.state.revisionReport.Load(); report != nil {
+		if control := c.peers.Find(report.from).Control; control != "" {
 			return control
 		}
 	}
@@ -164,7 +169,7 @@
 			tiers[n] = append(tiers[n], p.Control)
 		}
 	}
-	for _, s := range c.tunable.Load().Seeds {
+	for _, s := range c.liveSettings.Load().Seeds {
 		if s != c.settings.ControlListen {
 			tiers[2] = append(tiers[2], s)
 		}
@@ -177,7 +182,8 @@
 	return ""
 }
 
-// distance of a zone: 0 is this instance's own, 1 is of its region, 2 another.
+// distance returns 0 for this instance's own zone, 1 for another zone of its
+// region, and 2 for any other zone.
 func (c *catchUp) distance(zone string) int {
 	switch {
 	case zone == c.settings.Zone:
@@ -188,7 +194,9 @@
 	return 2
 }
 
-func (c *catchUp) take(t *fleet.Table, from string) {
+// applyPeerTable offers another instance's copy of a table to the mirror, which
+// applies it if it is newer.
+func (c *catchUp) applyPeerTable(t *fleet.Table, from string) {
 	for _, m := range c.mirrors {
 		if m.Table != t.Name {
 			continue
@@ -203,9 +211,10 @@
 	}
 }
 
-// State gives this instance's copies to another one.
+// State serves copies of the requested tables to another instance. Tables that are
+// unknown or not filled yet are left out.
 func (i *Instance) State(_ context.Context, r *fleet.StateRequest) (*fleet.StateResponse, error) {
-	answer := &fleet.StateResponse{}
+	response := &fleet.StateResponse{}
 	for _, name := range r.Tables {
 		for _, m := range i.mirrors {
 			if m.Table != name {
@@ -219,8 +228,8 @@
 			for _, row := range s.Rows {
 				t.Rows = append(t.Rows, &fleet.Row{Key: row.Key, Value: row.Value, Revision: row.Revision})
 			}
-			answer.Tables = append(answer.Tables, t)
+			response.Tables = append(response.Tables, t)
 		}
 	}
-	return answer, nil
+	return response, nil
 }
--- /dev/null
+++ b/gateway/instance/forward.go
@@ -0,0 +1,149 @@
+package instance
+
+import (
+	"sync"
+
+	"basilcross.example/gateway/mirror"
+	"basilcross.example/gateway/peers"
+	"basilcross.example/platform"
+)
+
+// maxUpdateBytes bounds the keys and values in one datagram.
+const maxUpdateBytes = 1100
+
+// forward sends the changes that the feed delivered to the zone's other instances.
+// It resends the changes just before them: datagrams get lost, and a gap costs
+// each passive instance a call. If a row is too large for a datagram, a notice is
+// sent instead, and passive instances fetch the table from this instance.
+func (s *replicator) forward(table string, u mirror.Passage) {
+	if s.zoneSize() <= 1 {
+		return
+	}
+	parts := splitUpdate(table, s.recent.withPrevious(table, u))
+	if parts == nil {
+		parts = []*peers.Rows{{Table: table, From: u.From, To: u.To, Newest: u.Newest, Fetch: true}}
+	}
+	for _, part := range parts {
+		s.sendToZone(&peers.Message{Rows: part})
+	}
+}
+
+// splitUpdate splits changes into parts that fit into a datagram each. It returns
+// nil if a single row does not fit.
+func splitUpdate(table string, u mirror.Passage) []*peers.Rows {
+	var parts []*peers.Rows
+	part := &peers.Rows{Table: table, From: u.From}
+	size := 0
+	flush := func(to, newest uint64) {
+		part.To, part.Newest = to, newest
+		parts = append(parts, part)
+		part = &peers.Rows{Table: table, From: to}
+		size = 0
+	}
+	for i, r := range u.Rows {
+		n := len(r.Key) + len(r.Value)
+		if n > maxUpdateBytes {
+			return nil
+		}
+		// Rows of one revision stay in one part.
+		if size > 0 && size+n > maxUpdateBytes && r.Revision != u.Rows[i-1].Revision {
+			flush(u.Rows[i-1].Revision, u.Rows[i-1].Revision)
+		}
+		part.Rows = append(part.Rows, peers.Row{Key: r.Key, Value: r.Value, Revision: r.Revision, Removed: r.Removed})
+		size += n
+	}
+	flush(u.To, u.Newest)
+	return parts
+}
+
+// maxResentRows bounds the rows that are sent with an update, resent ones included:
+// four datagrams' worth.
+const maxResentRows = 20
+
+// recentUpdates keeps the last forwarded changes of each table, without a gap
+// between them.
+type recentUpdates struct {
+	mu      sync.Mutex
+	byTable map[string][]mirror.Passage
+}
+
+// withPrevious returns changes joined with the ones kept before them, and keeps them.
+func (a *recentUpdates) withPrevious(table string, u mirror.Passage) mirror.Passage {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.byTable == nil {
+		a.byTable = map[string][]mirror.Passage{}
+	}
+	list := a.byTable[table]
+	if n := len(list); n > 0 && list[n-1].To != u.From {
+		list = nil
+	}
+	rows := len(u.Rows)
+	for i := len(list) - 1; i >= 0; i-- {
+		if rows += len(list[i].Rows); rows > maxResentRows {
+			list = list[i+1:]
+			break
+		}
+	}
+	list = append(list, u)
+	list = list[max(0, len(list)-maxResentRows):]
+	a.byTable[table] = list
+	joined := mirror.Passage{From: list[0].From, To: u.To, Newest: u.Newest}
+	for _, l := range list {
+		joined.Rows = append(joined.Rows, l.Rows...)
+	}
+	return joined
+}
+
+// receiveTableUpdate applies changes that another instance forwarded.
+func (s *replicator) receiveTableUpdate(from string, r *peers.Rows) {
+	if r.Fetch {
+		s.requestIfBehind(from, r)
+		return
+	}
+	update := mirror.Passage{From: r.From, To: r.To, Newest: r.Newest}
+	for _, row := range r.Rows {
+		update.Rows = append(update.Rows, platform.Row{
+			Table: r.Table, Key: row.Key, Value: row.Value, Revision: row.Revision, Removed: row.Removed,
+		})
+	}
+	for _, m := range s.polledMirrors {
+		if m.Table != r.Table {
+			continue
+		}
+		// If it leaves a gap, it is resent with the next update, or the gap is
+		// detected by the readers' heartbeats.
+		_ = m.Pass(update)
+	}
+}
+
+// requestIfBehind requests a feed reader's copy of a table whose rows it did not
+// send, if this instance is passive and its mirror is behind.
+func (s *replicator) requestIfBehind(from string, r *peers.Rows) {
+	if !s.passive.Load() {
+		return
+	}
+	for _, m := range s.polledMirrors {
+		if m.Table == r.Table && m.Reached() < r.To {
+			s.requestCopy(from, m)
+		}
+	}
+}
+
+// requestCopy queues the fetch of another instance's copy. If the queue is full the
+// request is dropped: the readers' heartbeats lead to another one.
+func (s *replicator) requestCopy(from string, m *mirror.Mirror) {
+	select {
+	case s.copyRequests <- copyRequest{from, m}:
+	default:
+	}
+}
+
+// copyRequest is a queued fetch of a table from another instance.
+type copyRequest struct {
+	from   string
+	mirror *mirror.Mirror
+}
+
+// maxCopyRequests bounds the queue of copy requests.
+const maxCopyRequests = 8
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -1,5 +1,6 @@
 // Package instance runs a gateway on the users' platform: one supervisor tree
-// of duties, and listeners for callers, readiness, instances and metrics.
+// of background tasks, and servers for callers, readiness probes, other
+// instances and metrics.
 package instance
 
 import (
@@ -34,50 +35,50 @@
 )
 
 const (
-	// targetDial bounds the opening of a connection to a target: the way there
-	// and back between regions, and one lost packet's repetition.
-	targetDial = 400 * time.Millisecond
-	// targetUnacked is how long sent bytes may stay unacknowledged by a
-	// target: longer than the repetitions of two lost packets.
-	targetUnacked = 1200 * time.Millisecond
-	// storeDial and storeUnacked are the same for the store.
-	storeDial    = time.Second
-	storeUnacked = 2 * time.Second
-	// probeEvery finds connections that went silent; the users count on three
-	// seconds for it.
-	probeEvery = time.Second
-	// usualHold is the time for which keys are granted. It outlasts the
-	// coordinator's lease and one missed renewal; a target that falls silent
+	// targetDialTimeout bounds the opening of a connection to a target: a round
+	// trip between regions, and the retransmission of one lost packet.
+	targetDialTimeout = 400 * time.Millisecond
+	// targetUserTimeout is how long sent bytes may stay unacknowledged by a
+	// target: longer than the retransmissions of two lost packets.
+	targetUserTimeout = 1200 * time.Millisecond
+	// storeDialTimeout and storeUserTimeout are the same for the store.
+	storeDialTimeout = time.Second
+	storeUserTimeout = 2 * time.Second
+	// keepAliveInterval is the time between keep-alive probes; the users require
+	// that a dead connection is detected within three seconds.
+	keepAliveInterval = time.Second
+	// normalHold is the time for which keys are granted. It outlasts the
+	// coordinator's lease and one missed renewal; a target that stops answering
 	// keeps its keys that long.
-	usualHold = 3200 * time.Millisecond
+	normalHold = 3200 * time.Millisecond
 	// longHold is granted while the store does not answer the coordinator. With
-	// the rest of its lease it rides out outages of about eight seconds; a
-	// target that is lost meanwhile keeps its keys that long.
+	// the rest of the coordinator's lease it covers outages of about eight
+	// seconds; a target that is lost during one keeps its keys that long.
 	longHold = 6 * time.Second
-	// renewHolds is the time between two renewals of a grant.
-	renewHolds = 800 * time.Millisecond
-	// configPace and targetPace are the pauses after news of the tables that
-	// are followed. Targets come in series, each with several changes while it
-	// warms up; the users allow 2 s for one that leaves.
-	configPace = 60 * time.Millisecond
-	// mostConfigPace is the same while configurations follow on each other: a
-	// quarter of the 2 s that the users allow until one is in force.
-	mostConfigPace = 480 * time.Millisecond
-	targetPace     = 400 * time.Millisecond
-	// quietPace is the pause after news that only tell how far targets have
-	// warmed up. Half of the time allowed for one that leaves.
-	quietPace = time.Second
-	// idleTimeout closes callers' connections: longer than the operators'
-	// limits, so that no caller's request crosses the close.
+	// renewalInterval is the time between two renewals of a grant.
+	renewalInterval = 800 * time.Millisecond
+	// configBatchDelay and targetBatchDelay are the pauses between polls of the
+	// feeds after an answer with changes. Targets start in groups, each with
+	// several changes while it warms up; the users allow 2 s for one that leaves.
+	configBatchDelay = 60 * time.Millisecond
+	// maxConfigBatchDelay bounds the pause while configurations change
+	// continuously: a quarter of the 2 s that the users allow until one is in force.
+	maxConfigBatchDelay = 480 * time.Millisecond
+	targetBatchDelay    = 400 * time.Millisecond
+	// minorDelay is the pause after an answer with warm-up progress only: half of
+	// the time allowed for a target that leaves.
+	minorDelay = time.Second
+	// idleTimeout closes callers' idle connections. It is longer than the
+	// operators' limits, so that no request arrives while its connection is closed.
 	idleTimeout = 2 * time.Minute
-	// headerTimeout is how long a caller may take for a request's head.
+	// headerTimeout is how long a caller may take to send a request's header.
 	headerTimeout = 10 * time.Second
-	// maxHeader bounds what is read of a head; the configuration's own limit
+	// maxHeaderBytes bounds the header that is read; the configuration's own limit
 	// is below.
-	maxHeader = 64 << 10
+	maxHeaderBytes = 64 << 10
 )
 
-// Instance is one gateway. Create it with New.
+// Instance is one gateway process. Create it with New, and start it with Run.
 type Instance struct {
 	settings Settings
 	log      *slog.Logger
@@ -97,44 +98,47 @@
 	loads       *front.Loads
 	front       *front.Front
 	store       *platform.Store
-	calls       *http.Client
+	peerClient  *http.Client
 
-	// tunable are the settings last read; only some may change while running.
-	tunable atomic.Pointer[Settings]
-	members atomic.Int64
-	lead    atomic.Pointer[string]
-	beatAt  atomic.Pointer[time.Time]
+	// liveSettings are the settings last read; only some change without a restart.
+	liveSettings atomic.Pointer[Settings]
+	// memberCount, coordinatorName and lastHeartbeat are from the coordinator's last
+	// heartbeat. lastHeartbeat is nil while the store does not answer the coordinator.
+	memberCount     atomic.Int64
+	coordinatorName atomic.Pointer[string]
+	lastHeartbeat   atomic.Pointer[time.Time]
 	// registered is set once this instance's row is in the store.
-	registered atomic.Bool
-	closing    atomic.Bool
-	wasReady   atomic.Bool
+	registered   atomic.Bool
+	shuttingDown atomic.Bool
+	wasReady     atomic.Bool
 }
 
-// New puts an instance together.
+// New creates an instance from validated settings. It opens no connection and
+// no listener; the sink is where the log's lines are written.
 func New(s Settings, log *slog.Logger, sink *logsink.Sink) *Instance {
 	i := &Instance{settings: s, log: log, sink: sink, registry: prometheus.NewRegistry(), loads: &front.Loads{}}
 	i.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	i.tunable.Store(&s)
+	i.liveSettings.Store(&s)
 	i.state.log = log
 	i.state.roster = &roster.Roster{}
 	i.state.zone = s.Zone
-	storeDialer := &egress.Dialer{Timeout: storeDial, UserTimeout: storeUnacked, Probe: probeEvery}
-	i.store = &platform.Store{Address: s.Store, HTTP: newClient(storeDialer)}
-	i.calls = newClient(&egress.Dialer{Timeout: storeDial, UserTimeout: storeUnacked, Probe: probeEvery})
-	targetDialer := &egress.Dialer{Timeout: targetDial, UserTimeout: targetUnacked, Probe: probeEvery, Reset: true}
+	storeDialer := &egress.Dialer{Timeout: storeDialTimeout, UserTimeout: storeUserTimeout, Probe: keepAliveInterval}
+	i.store = &platform.Store{Address: s.Store, HTTP: newHTTPClient(storeDialer)}
+	i.peerClient = newHTTPClient(&egress.Dialer{Timeout: storeDialTimeout, UserTimeout: storeUserTimeout, Probe: keepAliveInterval})
+	targetDialer := &egress.Dialer{Timeout: targetDialTimeout, UserTimeout: targetUserTimeout, Probe: keepAliveInterval, Reset: true}
 	i.peers = &peers.Peers{Log: log, Receive: i.receive, Self: peers.Instance{
-		Name: s.Instance, Life: rand.Text()[:lifeLength], Zone: s.Zone, Datagram: s.DatagramListen, Control: s.ControlListen,
+		Name: s.Instance, Life: rand.Text()[:incarnationLength], Zone: s.Zone, Datagram: s.DatagramListen, Control: s.ControlListen,
 		Cores: s.Cores,
 	}}
 	i.buildMirrors()
 	i.coordinator = coordinator.New(coordinator.Options{
 		Self: i.peers.Self, Store: i.store,
-		Channels: &channel.Set{Dial: targetDialer.DialContext}, Releases: &platform.Grants{HTTP: newClient(targetDialer)},
-		Refresh: i.replicator.refresh,
+		Channels: &channel.Set{Dial: targetDialer.DialContext}, Releases: &platform.Grants{HTTP: newHTTPClient(targetDialer)},
+		Refresh: i.replicator.restartFeeds,
 		Joined:  i.replicator.joined.Load,
-		Leads:   i.leads, Took: i.takeNews, Missed: i.assignments.Again,
-		Peers: i.peers, Roster: i.state.roster, Table: i.state.table.Load, Revisions: i.revisions, Log: log,
-		Holds: ownership.Holds{Usual: min(usualHold, s.LongestHold), Long: min(longHold, s.LongestHold-longMargin), Every: renewHolds, Reuse: s.AddressReuse},
+		Leads:   i.recordLeading, Took: i.applyAssignmentUpdate, Missed: i.assignments.Again,
+		Peers: i.peers, Roster: i.state.roster, Table: i.state.routes.Load, Revisions: i.revisions, Log: log,
+		Holds: ownership.Holds{Usual: min(normalHold, s.LongestHold), Long: min(longHold, s.LongestHold-longHoldMargin), Every: renewalInterval, Reuse: s.AddressReuse},
 	})
 	i.dispatcher = &dispatch.Dispatcher{Roster: i.state.roster}
 	i.broker = broker.New(broker.Options{
@@ -142,10 +146,10 @@
 	})
 	i.pools = &front.Pools{Dial: targetDialer.DialContext}
 	i.front = front.New(front.Options{
-		Wire: platform.Wire(), Broker: i.broker, Roster: i.state.roster, Pools: i.pools, Table: i.state.table.Load,
-		Owners: i.state.owners, Moved: i.state.movedSince, Loads: i.loads, Metrics: front.NewMetrics(i.registry), Log: log,
+		Wire: platform.Wire(), Broker: i.broker, Roster: i.state.roster, Pools: i.pools, Table: i.state.routes.Load,
+		Owners: i.state.currentAssignment, Moved: i.state.ownerChangedSince, Loads: i.loads, Metrics: front.NewMetrics(i.registry), Log: log,
 		Retries: func() front.Retries {
-			now := i.tunable.Load()
+			now := i.liveSettings.Load()
 			return front.Retries{Ratio: now.RetryRatio, Slack: now.RetrySlack, Members: i.countMembers()}
 		},
 	})
@@ -153,25 +157,26 @@
 	return i
 }
 
-// lifeLength is enough to tell lifetimes of one name apart.
-const lifeLength = 8
+// incarnationLength is the number of random characters that distinguish
+// incarnations of one instance name.
+const incarnationLength = 8
 
-// longMargin keeps the longest hold under the platform's limit.
-const longMargin = 200 * time.Millisecond
+// longHoldMargin is how far a long hold stays below the platform's limit.
+const longHoldMargin = 200 * time.Millisecond
 
-// newClient reaches servers whose answers are short. Feeds stay open, so there
-// are several connections to one server.
-func newClient(d *egress.Dialer) *http.Client {
+// newHTTPClient returns a client for servers with short responses. Feeds are long
+// polls, so several connections to one server are kept.
+func newHTTPClient(d *egress.Dialer) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         d.DialContext,
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: 3,
-		IdleConnTimeout:     idleClient,
+		IdleConnTimeout:     clientIdleTimeout,
 	}}
 }
 
-// idleClient is below the idle timeout that targets tell.
-const idleClient = 5 * time.Second
+// clientIdleTimeout is below the idle timeout that targets announce.
+const clientIdleTimeout = 5 * time.Second
 
 func (i *Instance) buildMirrors() {
 	add := func(m *mirror.Mirror) *mirror.Mirror {
@@ -181,29 +186,30 @@
 	}
 	i.replicator = newReplicator(i)
 	for _, m := range []*mirror.Mirror{
-		{Table: platform.OperatorTable, Pace: configPace, MostPace: mostConfigPace, QuietPace: configPace, Changed: i.state.takeConfig},
+		{Table: platform.OperatorTable, Pace: configBatchDelay, MostPace: maxConfigBatchDelay, QuietPace: configBatchDelay, Changed: i.state.applyConfig},
 		{
-			Table: platform.TargetTable, Pace: targetPace, QuietPace: quietPace, Changed: i.state.takeTargets,
-			Minor: minorOfTarget,
+			Table: platform.TargetTable, Pace: targetBatchDelay, QuietPace: minorDelay, Changed: i.state.applyTargets,
+			Minor: isMinorTargetChange,
 		},
 	} {
-		m.Passed = func(p mirror.Passage) { i.replicator.pass(m.Table, p) }
-		m.AwaitOthers(joinMost)
-		m.Retry = i.replicator.retry
-		i.replicator.tables = append(i.replicator.tables, add(m))
+		m.Passed = func(u mirror.Passage) { i.replicator.forward(m.Table, u) }
+		m.AwaitOthers(maxFirstCopyDelay)
+		m.Retry = i.replicator.backoff
+		i.replicator.polledMirrors = append(i.replicator.polledMirrors, add(m))
 	}
 	i.assignments = add(&mirror.Mirror{
-		Table: coordinator.AssignmentTable, OnDemand: true, Changed: i.state.takeAssignments, Encode: i.state.encodeAssignment,
+		Table: coordinator.AssignmentTable, OnDemand: true, Changed: i.state.applyAssignments, Encode: i.state.encodeAssignment,
 	})
-	i.assignments.AwaitOthers(joinMost)
-	i.instances = add(&mirror.Mirror{Table: coordinator.InstanceTable, OnDemand: true, Changed: func(c mirror.Change) {
-		i.peers.Know(i.state.takeInstances(c))
+	i.assignments.AwaitOthers(maxFirstCopyDelay)
+	i.instances = add(&mirror.Mirror{Table: coordinator.InstanceTable, OnDemand: true, Changed: func(u mirror.Change) {
+		i.peers.Know(i.state.applyInstances(u))
 	}})
 	if i.settings.Bootstrap {
-		i.instances.Late = introduceTimeout
+		i.instances.Late = registerTimeout
 	}
 }
 
+// revisions returns the revision of the newest change in each replicated table.
 func (i *Instance) revisions() map[string]uint64 {
 	r := make(map[string]uint64, len(i.mirrors))
 	for _, m := range i.mirrors {
@@ -214,40 +220,42 @@
 	return r
 }
 
-// countMembers returns among how many the fleet's retries are shared. A new
-// coordinator has heard few reports yet: taken alone, its count would give
-// each instance a large part of the whole budget at once.
+// countMembers returns the number of instances that share the fleet's retry
+// budget. A new coordinator has received few reports yet: its count alone would
+// give each instance a large part of the whole budget at once.
 func (i *Instance) countMembers() int {
-	return max(1, int(i.members.Load()), i.peers.Count())
+	return max(1, int(i.memberCount.Load()), i.peers.Count())
 }
 
-// Ready tells whether callers should be sent here: it knows the configuration
-// and the targets, and does not end.
+// Ready reports whether the platform should route callers to this instance: it
+// has the configuration and at least one target, and is not shutting down.
 func (i *Instance) Ready() bool {
-	ready := !i.closing.Load() && i.state.table.Load() != nil && len(i.state.roster.Load().Targets) > 0
+	ready := !i.shuttingDown.Load() && i.state.routes.Load() != nil && len(i.state.roster.Load().Targets) > 0
 	if i.wasReady.Swap(ready) != ready {
-		event.NotReady.Log(i.log, "ready", ready, "closing", i.closing.Load(),
-			"config", i.state.table.Load() != nil, "targets", len(i.state.roster.Load().Targets))
+		event.NotReady.Log(i.log, "ready", ready, "closing", i.shuttingDown.Load(),
+			"config", i.state.routes.Load() != nil, "targets", len(i.state.roster.Load().Targets))
 	}
 	return ready
 }
 
-// Run serves until the context ends, then shuts down without cutting off any
-// request in flight.
+// Run serves until the context ends or a server fails, then shuts down: requests in
+// flight may finish until shortly before the stop timeout, and are abandoned then.
+// It returns an error if a listener cannot be opened, or if a server or the
+// supervisor fails.
 func (i *Instance) Run(ctx context.Context) error {
 	if err := i.peers.Listen(); err != nil {
-		return fmt.Errorf("listen for datagrams: %w", err)
+		return fmt.Errorf("listen for datagrams on %s: %w", i.settings.DatagramListen, err)
 	}
 	servers, err := i.listen()
 	if err != nil {
 		return err
 	}
-	dutyCtx, stopDuties := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopDuties()
+	tasksCtx, stopTasks := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopTasks()
 	var group errgroup.Group
-	tree := i.tree()
+	tree := i.supervisorTree()
 	group.Go(func() error {
-		if err := tree.Serve(dutyCtx); !errors.Is(err, context.Canceled) {
+		if err := tree.Serve(tasksCtx); !errors.Is(err, context.Canceled) {
 			return err
 		}
 		return nil
@@ -267,12 +275,13 @@
 	case err = <-failed:
 	}
 	i.shutDown(context.WithoutCancel(ctx), servers)
-	stopDuties()
+	stopTasks()
 	return errors.Join(err, group.Wait())
 }
 
-// tree is the supervisor tree: every background duty.
-func (i *Instance) tree() *suture.Supervisor {
+// supervisorTree returns the supervisor of all background tasks, which
+// restarts those that fail.
+func (i *Instance) supervisorTree() *suture.Supervisor {
 	root := suture.New("gateway", suture.Spec{EventHook: func(e suture.Event) {
 		event.DutyFailed.Log(i.log, "detail", e.String())
 	}})
@@ -287,43 +296,44 @@
 	root.Add(&reporter{i})
 	root.Add(&catchUp{i})
 	root.Add(i.replicator)
-	root.Add(&rowCollector{i})
+	root.Add(&housekeeper{i})
 	root.Add(&reloader{i})
 	return root
 }
 
 const (
-	// outOfRotation is when the platform, which asks once a second and takes
-	// an instance out after two misses, sends no new connections any more.
-	outOfRotation = 2600 * time.Millisecond
-	// endMargin is left of the stop timeout for the process's own end, and
-	// giveUpMargin for the answers to requests that are given up before it: a
-	// small instance needs some milliseconds of its processor for each of a
-	// hundred. The users allow a sixth of the stop timeout.
-	endMargin    = 200 * time.Millisecond
-	giveUpMargin = 900 * time.Millisecond
-	// resignTimeout bounds the write by which a coordinator gives up.
+	// outOfRotationDelay is the time after which the platform sends no new
+	// connections: it probes readiness once a second, and takes an instance out
+	// of rotation after two failed probes.
+	outOfRotationDelay = 2600 * time.Millisecond
+	// exitMargin is the part of the stop timeout that is reserved for the exit of
+	// the process, and abandonMargin the part for the responses to requests that
+	// are abandoned before it: a small instance needs some milliseconds of CPU
+	// time for each of a hundred. The users allow a sixth of the stop timeout.
+	exitMargin    = 200 * time.Millisecond
+	abandonMargin = 900 * time.Millisecond
+	// resignTimeout bounds the write by which a coordinator resigns.
 	resignTimeout = time.Second
 )
 
-// shutDown fails readiness, hands the coordination over, waits until no new
-// connections come, and lets every request in flight finish.
+// shutDown fails readiness, resigns as coordinator, waits until the platform sends
+// no new connections, and lets requests in flight finish.
 func (i *Instance) shutDown(ctx context.Context, servers []*server) {
 	event.Stopping.Log(i.log)
-	ctx, cancel := context.WithTimeout(ctx, i.settings.StopTimeout-endMargin)
+	ctx, cancel := context.WithTimeout(ctx, i.settings.StopTimeout-exitMargin)
 	defer cancel()
 	began := time.Now()
-	i.closing.Store(true)
+	i.shuttingDown.Store(true)
 	i.front.Close()
 	i.peers.Broadcast(&peers.Message{Bye: true})
 	resignCtx, done := context.WithTimeout(ctx, resignTimeout)
 	i.coordinator.Resign(resignCtx)
 	done()
-	timer := time.NewTimer(outOfRotation - time.Since(began))
+	timer := time.NewTimer(outOfRotationDelay - time.Since(began))
 	defer timer.Stop()
 	<-timer.C
-	giveUp := time.AfterFunc(i.settings.StopTimeout-giveUpMargin-time.Since(began), i.front.End)
-	defer giveUp.Stop()
+	abandon := time.AfterFunc(i.settings.StopTimeout-abandonMargin-time.Since(began), i.front.End)
+	defer abandon.Stop()
 	var group errgroup.Group
 	for _, s := range servers {
 		group.Go(func() error { return s.Shutdown(ctx) })
@@ -356,9 +366,9 @@
 		handler http.Handler
 	}{
 		{i.settings.CallersListen, i.front},
-		{i.settings.ReadyListen, i.readiness()},
+		{i.settings.ReadyListen, i.readinessHandler()},
 		{i.settings.ControlListen, control},
-		{i.settings.MetricsListen, i.metrics()},
+		{i.settings.MetricsListen, i.metricsHandler()},
 	}
 	var servers []*server
 	for _, h := range handlers {
@@ -367,14 +377,14 @@
 		}
 		listener, err := net.Listen("tcp", h.address)
 		if err != nil {
-			return nil, fmt.Errorf("listen: %w", err)
+			return nil, fmt.Errorf("listen for HTTP on %s: %w", h.address, err)
 		}
 		servers = append(servers, &server{listener: listener, Server: &http.Server{
 			Addr:              h.address,
 			Handler:           h.handler,
 			ReadHeaderTimeout: headerTimeout,
 			IdleTimeout:       idleTimeout,
-			MaxHeaderBytes:    maxHeader,
+			MaxHeaderBytes:    maxHeaderBytes,
 			ErrorLog:          slog.NewLogLogger(i.log.Handler(), slog.LevelDebug),
 		}})
 	}
--- a/gateway/instance/instance_test.go
+++ b/gateway/instance/instance_test.go
@@ -27,7 +27,7 @@
 	"gotest.tools/v3/poll"
 )
 
-// fleet is a few instances on loopback, with a store and targets.
+// fleet is a set of instances on loopback, with a store and targets.
 type fleet struct {
 	t         *testing.T
 	store     *standin.Store
@@ -35,7 +35,7 @@
 	targets   map[string]*standin.Target
 	addresses map[string]string
 	requests  atomic.Int64
-	// cores is what instances that are started are told of their processor.
+	// cores is the CPU share in the settings of the instances that are started.
 	cores float64
 }
 
@@ -49,8 +49,8 @@
 	return f
 }
 
-// configure writes a configuration; /lists/ goes to the sharded service,
-// /menus/ to the one named.
+// configure writes a configuration that routes /lists/ to the sharded service and
+// /menus/ to the given one.
 func (f *fleet) configure(version int, menus string) {
 	f.store.Put(platform.OperatorTable, platform.ConfigKey, []byte(fmt.Sprintf(`{"version":"r%d","routes":[
 	{"name":"menus","host":"cakes.example","prefix":"/menus/","route_type":"safe","timeout":"8s","target_latency":"4s","priority":2,"service":"%s","max_attempts":2},
@@ -65,17 +65,16 @@
 	f.t.Cleanup(server.Close)
 	f.targets[id] = target
 	f.addresses[id] = strings.TrimPrefix(server.URL, "http://")
-	f.list(id, service, "ready")
+	f.setTarget(id, service, "ready")
 }
 
-func (f *fleet) list(id, service, state string) {
+func (f *fleet) setTarget(id, service, state string) {
 	f.store.Put(platform.TargetTable, id, []byte(fmt.Sprintf(
 		`{"address":"%s","born":1,"info":{"service":"%s","version":"v1","zone":"graz","slots":3},"status":{"state":"%s","seq":%d,"warmup_left":"0ms"}}`,
 		f.addresses[id], service, state, f.requests.Add(1))))
 }
 
-// running is one instance.
-type running struct {
+type runningInstance struct {
 	callers, ready string
 	stop           func() error
 }
@@ -88,9 +87,9 @@
 	return l.Addr().String()
 }
 
-// start runs an instance. Its addresses are free when they are chosen, and may
-// be taken by another test until it opens them; then others are chosen.
-func (f *fleet) start(name string, seeds ...string) *running {
+// start runs an instance. Another test may take one of its addresses before it
+// opens them; then it is started again with other addresses.
+func (f *fleet) start(name string, seeds ...string) *runningInstance {
 	f.t.Helper()
 	for range 20 {
 		if r := f.tryStart(name, seeds); r != nil {
@@ -102,7 +101,8 @@
 	return nil
 }
 
-func (f *fleet) tryStart(name string, seeds []string) *running {
+// tryStart returns nil if an address was in use.
+func (f *fleet) tryStart(name string, seeds []string) *runningInstance {
 	s := instance.Defaults()
 	s.Instance, s.Zone, s.Region, s.Regions = name, "graz", "ost", map[string]string{"graz": "ost"}
 	s.CallersListen, s.ReadyListen = freeAddress(f.t), freeAddress(f.t)
@@ -112,12 +112,12 @@
 	sink := logsink.New(io.Discard)
 	i := instance.New(s, slog.New(slog.NewJSONHandler(sink, nil)), sink)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- i.Run(ctx) }()
-	// It listens, or has ended since it could not.
+	done := make(chan error, 1)
+	go func() { done <- i.Run(ctx) }()
+	// Wait until it listens, or has failed to.
 	for {
 		select {
-		case err := <-ended:
+		case err := <-done:
 			cancel()
 			assert.Assert(f.t, errors.Is(err, syscall.EADDRINUSE), "%v", err)
 			return nil
@@ -128,20 +128,20 @@
 			break
 		}
 	}
-	r := &running{callers: s.CallersListen, ready: s.ReadyListen}
+	r := &runningInstance{callers: s.CallersListen, ready: s.ReadyListen}
 	var result error
 	stopped := false
 	r.stop = func() error {
 		if !stopped {
 			cancel()
-			result, stopped = <-ended, true
+			result, stopped = <-done, true
 		}
 		return result
 	}
 	return r
 }
 
-func (r *running) awaitReady(t *testing.T) {
+func (r *runningInstance) awaitReady(t *testing.T) {
 	t.Helper()
 	eventually(t, func() bool {
 		res, err := http.Get("http://" + r.ready + platform.ReadyPath)
@@ -163,8 +163,8 @@
 	}, poll.WithTimeout(60*time.Second), poll.WithDelay(20*time.Millisecond))
 }
 
-// call sends a request; the answer's status is 0 if there was none.
-func (f *fleet) call(r *running, path string, key int) (status int, body string) {
+// call sends a request. The status is 0 if there was no response.
+func (f *fleet) call(r *runningInstance, path string, key int) (status int, body string) {
 	id := "r" + strconv.FormatInt(f.requests.Add(1), 10)
 	req, err := http.NewRequest(http.MethodGet, "http://"+r.callers+path, nil)
 	assert.NilError(f.t, err)
@@ -177,22 +177,24 @@
 		return 0, err.Error()
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(res.Body)
+	content, err := io.ReadAll(res.Body)
 	if err != nil {
 		return 0, err.Error()
 	}
-	return res.StatusCode, string(text)
+	return res.StatusCode, string(content)
 }
 
-// answered retries while the fleet settles.
-func (f *fleet) answered(r *running, path string, key int, want string) {
+// awaitAnswer repeats a request until the body of a 200 response has a prefix.
+func (f *fleet) awaitAnswer(r *runningInstance, path string, key int, prefix string) {
 	f.t.Helper()
 	eventually(f.t, func() bool {
 		status, body := f.call(r, path, key)
-		return status == http.StatusOK && strings.HasPrefix(body, want)
+		return status == http.StatusOK && strings.HasPrefix(body, prefix)
 	})
 }
 
+// assignment returns the sharded service's assignment in the store; an empty one if
+// there is none.
 func (f *fleet) assignment() *ownership.Assignment {
 	a, err := ownership.Parse(f.store.Row(coordinator.AssignmentTable, "lists").Value)
 	if err != nil {
@@ -201,6 +203,8 @@
 	return a
 }
 
+// Guards against a fleet in which an instance does not route to all targets, or
+// finds no owner for some of the keys.
 func TestFleetServes(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -210,17 +214,19 @@
 	one, two := f.start("one"), f.start("two")
 	one.awaitReady(t)
 	two.awaitReady(t)
-	f.answered(one, "/menus/today", 0, "m1 GET /menus/today 0")
-	f.answered(two, "/menus/today?day=2", 0, "m1 GET /menus/today?day=2 0")
+	f.awaitAnswer(one, "/menus/today", 0, "m1 GET /menus/today 0")
+	f.awaitAnswer(two, "/menus/today?day=2", 0, "m1 GET /menus/today?day=2 0")
 	for _, key := range []int{0, 30000, 65535} {
-		f.answered(one, "/lists/x", key, "l")
-		f.answered(two, "/lists/x", key, "l")
+		f.awaitAnswer(one, "/lists/x", key, "l")
+		f.awaitAnswer(two, "/lists/x", key, "l")
 	}
 	status, _ := f.call(one, "/unknown/", 0)
 	assert.Equal(t, status, http.StatusNotFound)
 }
 
-func TestConfigurationIsInForceEverywhere(t *testing.T) {
+// Guards against a configuration that reaches only some instances, and against an
+// older version that replaces a newer one.
+func TestAllInstancesApplyNewestConfig(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.startTarget("m1", "menus", false)
@@ -228,44 +234,44 @@
 	one, two := f.start("one"), f.start("two")
 	one.awaitReady(t)
 	two.awaitReady(t)
-	f.answered(one, "/menus/x", 0, "m1")
+	f.awaitAnswer(one, "/menus/x", 0, "m1")
 	f.configure(3, "other")
-	f.answered(one, "/menus/x", 0, "o1")
-	f.answered(two, "/menus/x", 0, "o1")
-	// An older one does not come back.
+	f.awaitAnswer(one, "/menus/x", 0, "o1")
+	f.awaitAnswer(two, "/menus/x", 0, "o1")
+	// An older version must not be applied.
 	f.configure(2, "menus")
 	f.configure(4, "other")
-	f.answered(one, "/menus/x", 0, "o1")
+	f.awaitAnswer(one, "/menus/x", 0, "o1")
 }
 
-// A target says that it leaves. Its keys go to the other one, which must hold
-// them before the first one stops.
-func TestLeavingTargetsKeysMove(t *testing.T) {
+// Guards against keys that stay with a draining target: they must be granted to the
+// other target, and released by the draining one.
+func TestKeysOfDrainingTargetMove(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.startTarget("l1", "lists", true)
 	f.startTarget("l2", "lists", true)
 	one := f.start("one")
 	one.awaitReady(t)
-	f.answered(one, "/lists/x", 5, "l")
+	f.awaitAnswer(one, "/lists/x", 5, "l")
 	eventually(t, func() bool { return len(f.assignment().Pieces) == 2 })
 	owner := f.assignment().Find(5).Owner
 	other := map[string]string{"l1": "l2", "l2": "l1"}[owner]
-	f.list(owner, "lists", "draining")
-	f.answered(one, "/lists/x", 5, other)
+	f.setTarget(owner, "lists", "draining")
+	f.awaitAnswer(one, "/lists/x", 5, other)
 	eventually(t, func() bool { return !f.targets[owner].Holds(5) && f.targets[other].Holds(5) })
 }
 
-// The coordinator stops. Another instance takes over and goes on renewing, so
-// that the keys stay where they are.
+// Guards against keys that lose their owner when the coordinator stops: another
+// instance must take over and continue the renewals.
 func TestCoordinatorIsReplaced(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.startTarget("l1", "lists", true)
-	running := map[string]*running{"one": f.start("one"), "two": f.start("two")}
+	running := map[string]*runningInstance{"one": f.start("one"), "two": f.start("two")}
 	for _, r := range running {
 		r.awaitReady(t)
-		f.answered(r, "/lists/x", 5, "l1")
+		f.awaitAnswer(r, "/lists/x", 5, "l1")
 	}
 	lease := func() (l struct {
 		Term    int64
@@ -280,18 +286,18 @@
 	assert.NilError(t, running[first.Holder].stop())
 	other := map[string]string{"one": "two", "two": "one"}[first.Holder]
 	eventually(t, func() bool { l := lease(); return l.Holder == other && l.LeaseMs > 0 && l.Term > first.Term })
-	f.answered(running[other], "/lists/x", 5, "l1")
+	f.awaitAnswer(running[other], "/lists/x", 5, "l1")
 }
 
-// The store is away when an instance starts. It learns from another one what
-// it needs to serve.
-func TestInstanceStartsWithoutTheStore(t *testing.T) {
+// Guards against an instance that cannot serve if the store is unavailable when it
+// starts: it must fetch the tables from another instance.
+func TestStartWhileStoreUnavailable(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.startTarget("m1", "menus", false)
 	one := f.start("one")
 	one.awaitReady(t)
-	f.answered(one, "/menus/x", 0, "m1")
+	f.awaitAnswer(one, "/menus/x", 0, "m1")
 	var i struct{ Control string }
 	eventually(t, func() bool {
 		return json.Unmarshal(f.store.Row(coordinator.InstanceTable, "one").Value, &i) == nil
@@ -299,19 +305,19 @@
 	f.store.Refuse(http.StatusServiceUnavailable)
 	two := f.start("two", i.Control)
 	two.awaitReady(t)
-	f.answered(two, "/menus/x", 0, "m1")
+	f.awaitAnswer(two, "/menus/x", 0, "m1")
 	f.store.Refuse(0)
 }
 
-// Requests are under way when the process is told to stop. All are answered.
-func TestShutdownCutsNothing(t *testing.T) {
+// Guards against a shutdown that cuts off requests in flight.
+func TestShutdownFinishesRequestsInFlight(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.startTarget("m1", "menus", false)
 	f.targets["m1"].Run = func(*http.Request) { time.Sleep(300 * time.Millisecond) }
 	one := f.start("one")
 	one.awaitReady(t)
-	f.answered(one, "/menus/x", 0, "m1")
+	f.awaitAnswer(one, "/menus/x", 0, "m1")
 	got := make(chan int, 3)
 	for range 3 {
 		go func() {
@@ -326,10 +332,10 @@
 	}
 }
 
-// An instance ends and starts again while the store is away for it alone. The
-// others forgot it when it ended, so it must say hello without having written
-// its row: else it serves an old configuration until its first call times out.
-func TestRestartedInstanceHearsOfNewsWithoutTheStore(t *testing.T) {
+// Guards against an instance that restarts while only it cannot reach the store, and
+// then serves an old configuration until its first call times out. The others
+// removed it when it ended, so it must announce itself without its row being written.
+func TestRestartedInstanceReceivesUpdatesWithoutStore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.startTarget("m1", "menus", false)
@@ -340,15 +346,15 @@
 	eventually(t, func() bool {
 		return json.Unmarshal(f.store.Row(coordinator.InstanceTable, "one").Value, &i) == nil
 	})
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	defer silent.Close()
-	whole := f.address
-	f.address = silent.Addr().String()
+	defer unresponsive.Close()
+	address := f.address
+	f.address = unresponsive.Addr().String()
 	two := f.start("two", i.Control)
-	f.address = whole
+	f.address = address
 	two.awaitReady(t)
-	f.answered(two, "/menus/x", 0, "m1")
+	f.awaitAnswer(two, "/menus/x", 0, "m1")
 	f.configure(3, "other")
-	f.answered(two, "/menus/x", 0, "o1")
+	f.awaitAnswer(two, "/menus/x", 0, "o1")
 }
--- a/gateway/instance/join.go
+++ b/gateway/instance/join.go
@@ -11,79 +11,80 @@
 )
 
 const (
-	// joinFor is how long an instance that starts tries to get its first copies
-	// from others before it reads the store.
-	joinFor = 500 * time.Millisecond
-	// joinRetry is the pause between two tries: others of the zone may be
-	// starting too.
-	joinRetry = 50 * time.Millisecond
-	// joinAsk bounds a try. While one instance has not answered for joinNext, the
-	// next one is asked too: the first may be dead.
-	joinAsk  = 300 * time.Millisecond
-	joinNext = 50 * time.Millisecond
-	// joinSources is how many instances are asked.
-	joinSources = 3
-	// listFor is how long the list of instances is waited for. firstListFor is the
-	// same at the first start of the fleet, when all write their rows at once, which
-	// the store takes one after the other.
-	listFor      = 250 * time.Millisecond
-	firstListFor = 1500 * time.Millisecond
-	// listPoll is how often the list is looked for.
-	listPoll = 10 * time.Millisecond
-	// joinMost is when a copy is read from the store at the latest.
-	joinMost = firstListFor + joinFor + 500*time.Millisecond
+	// joinTimeout is how long an instance that starts tries to copy the tables from
+	// other instances before it reads the store.
+	joinTimeout = 500 * time.Millisecond
+	// joinRetryDelay is the pause between two attempts: the zone's other instances
+	// may be starting too.
+	joinRetryDelay = 50 * time.Millisecond
+	// joinAttemptTimeout bounds an attempt. The next instance is queried too when one
+	// has not answered for joinHedgeDelay: the first may be dead.
+	joinAttemptTimeout = 300 * time.Millisecond
+	joinHedgeDelay     = 50 * time.Millisecond
+	// maxJoinSources bounds the instances that are queried in an attempt.
+	maxJoinSources = 3
+	// instanceListTimeout bounds the wait for the list of instances, and
+	// bootstrapListTimeout the same at the first start of the fleet: all instances
+	// write their rows at once then, and the store writes one after the other.
+	instanceListTimeout  = 250 * time.Millisecond
+	bootstrapListTimeout = 1500 * time.Millisecond
+	// listPollInterval is how often the wait checks for the list.
+	listPollInterval = 10 * time.Millisecond
+	// maxFirstCopyDelay is how long a mirror waits for another instance's copy before
+	// it reads the store.
+	maxFirstCopyDelay = bootstrapListTimeout + joinTimeout + 500*time.Millisecond
 )
 
-// join gets the first copies of the tables: from those who read for the zone, or,
-// if this instance is to be one of them, from the store. An instance takes up to
-// eight calls to read everything, and a whole fleet may start at once.
+// join fills the mirrors for the first time: from the zone's feed readers, or from
+// the store if this instance is to be a reader. Reading everything from the store
+// takes an instance up to eight calls, and a whole fleet may start at once.
 func (s *replicator) join(ctx context.Context) {
 	defer s.joined.Store(true)
 	known := s.awaitInstances(ctx)
-	ctx, cancel := context.WithTimeout(ctx, joinFor)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	for known && ctx.Err() == nil && s.rank() >= readersOf(s.zoneSize()) {
+	for known && ctx.Err() == nil && s.rank() >= readerCount(s.zoneSize()) {
 		if s.copyFromReaders(ctx) {
-			s.listens.Store(true)
-			// Signs of life come as soon as the readers know of this instance.
-			s.alone = time.Now().Add(readerFor)
+			s.passive.Store(true)
+			// The readers send heartbeats as soon as they list this instance.
+			s.noReaderSince = time.Now().Add(readerTimeout)
 			return
 		}
-		sleep(ctx, joinRetry)
+		sleep(ctx, joinRetryDelay)
 	}
-	s.listen(false)
+	s.setPassive(false)
 	s.assignments.Again()
 }
 
-// awaitInstances waits for the list of instances, and tells whether it has come.
+// awaitInstances waits for the list of instances, and reports whether it has arrived.
 func (i *Instance) awaitInstances(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, i.listFor())
+	ctx, cancel := context.WithTimeout(ctx, i.listTimeout())
 	defer cancel()
 	for ctx.Err() == nil && i.instances.Failing() {
-		sleep(ctx, listPoll)
+		sleep(ctx, listPollInterval)
 	}
 	return !i.instances.Failing()
 }
 
-func (i *Instance) listFor() time.Duration {
+func (i *Instance) listTimeout() time.Duration {
 	if i.settings.Bootstrap {
-		return firstListFor
+		return bootstrapListTimeout
 	}
-	return listFor
+	return instanceListTimeout
 }
 
-// copyFromReaders asks those who should read for the zone for their copies, and
-// tells whether all that a listener needs has come.
+// copyFromReaders fetches the tables from the instances that should be the zone's
+// feed readers, and reports whether all that a passive instance needs has arrived.
 func (s *replicator) copyFromReaders(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, joinAsk)
+	ctx, cancel := context.WithTimeout(ctx, joinAttemptTimeout)
 	defer cancel()
-	wanted := slices.Concat(s.tables, []*mirror.Mirror{s.assignments})
+	mirrors := slices.Concat(s.polledMirrors, []*mirror.Mirror{s.assignments})
 	var group errgroup.Group
 	for n, source := range s.sources() {
 		group.Go(func() error {
-			sleep(ctx, time.Duration(n)*joinNext)
+			sleep(ctx, time.Duration(n)*joinHedgeDelay)
 			if ctx.Err() == nil {
-				(&catchUp{s.Instance}).ask(ctx, source.Control, wanted)
+				(&catchUp{s.Instance}).requestState(ctx, source.Control, mirrors)
 			}
 			if s.hasCopies() {
 				cancel()
@@ -96,7 +97,7 @@
 }
 
 func (s *replicator) hasCopies() bool {
-	for _, m := range s.tables {
+	for _, m := range s.polledMirrors {
 		if m.Reached() == 0 {
 			return false
 		}
@@ -104,8 +105,8 @@
 	return true
 }
 
-// sources are the instances of the zone that go first as readers, in an order that
-// spreads the calls over the readers.
+// sources returns the zone's highest-ranking other instances, in an order that
+// spreads the calls over the feed readers.
 func (s *replicator) sources() []peers.Instance {
 	var list []peers.Instance
 	for _, i := range s.peers.Zone(s.settings.Zone) {
@@ -114,13 +115,13 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b peers.Instance) int {
-		if goesBefore(a, b) {
+		if ranksBefore(a, b) {
 			return -1
 		}
 		return 1
 	})
-	list = list[:min(len(list), joinSources)]
-	if n := min(len(list), readersOf(s.zoneSize())); n > 1 && s.rank()%n == 1 {
+	list = list[:min(len(list), maxJoinSources)]
+	if n := min(len(list), readerCount(s.zoneSize())); n > 1 && s.rank()%n == 1 {
 		list[0], list[1] = list[1], list[0]
 	}
 	return list
--- a/gateway/instance/metrics.go
+++ b/gateway/instance/metrics.go
@@ -8,14 +8,15 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// registerMetrics adds what the instance believes, read when it is asked for.
+// registerMetrics registers the instance's metrics. Gauges are computed when they
+// are collected.
 func (i *Instance) registerMetrics(r prometheus.Registerer) {
 	gauge := func(name, help string, value func() float64) {
 		r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 	}
 	gauge("basilcross_config_version", "Version of the configuration in force; 0 for none.", func() float64 {
-		if table := i.state.table.Load(); table != nil {
-			return float64(table.Config.Version)
+		if routes := i.state.routes.Load(); routes != nil {
+			return float64(routes.Config.Version)
 		}
 		return 0
 	})
@@ -26,13 +27,13 @@
 		return float64(i.countMembers())
 	})
 	gauge("basilcross_leading", "1 if this instance coordinates, as far as it knows.", func() float64 {
-		if i.replicator.leads() {
+		if i.replicator.isCoordinator() {
 			return 1
 		}
 		return 0
 	})
 	gauge("basilcross_coordinator_silence_seconds", "Time since the coordinator's last sign of life; -1 if none was heard.", func() float64 {
-		at := i.beatAt.Load()
+		at := i.lastHeartbeat.Load()
 		if at == nil {
 			return -1
 		}
--- a/gateway/instance/metrics_test.go
+++ b/gateway/instance/metrics_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Every metric of ours stands in docs/METRICS.md.
+// Guards against metrics that docs/METRICS.md does not list.
 func TestMetricsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/METRICS.md")
 	assert.NilError(t, err)
@@ -32,14 +32,14 @@
 	assert.Equal(t, found, 7)
 }
 
-// Guards against profiles that anybody can ask for, and against a setting that does
-// nothing.
-func TestProfilesAreServedOnlyIfAskedFor(t *testing.T) {
+// Guards against profiles that are served without being enabled, and against a
+// setting without effect.
+func TestProfilesAreServedOnlyIfEnabled(t *testing.T) {
 	for _, on := range []bool{false, true} {
 		i := testInstance()
 		i.settings.Pprof = on
-		answer := httptest.NewRecorder()
-		i.metrics().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/debug/pprof/heap", nil))
-		assert.Equal(t, answer.Code == http.StatusOK, on)
+		response := httptest.NewRecorder()
+		i.metricsHandler().ServeHTTP(response, httptest.NewRequest(http.MethodGet, "/debug/pprof/heap", nil))
+		assert.Equal(t, response.Code == http.StatusOK, on)
 	}
 }
--- a/gateway/instance/reloader.go
+++ b/gateway/instance/reloader.go
@@ -12,31 +12,31 @@
 	"basilcross.example/basilcross/event"
 )
 
-// lookAtFile is how often the settings file is looked at: it may change without
-// a signal.
-const lookAtFile = 2 * time.Second
+// fileCheckInterval is how often the settings file's modification time is checked:
+// it may change without a signal.
+const fileCheckInterval = 2 * time.Second
 
-// reloader reads the settings anew on SIGHUP and when the file has changed.
-// Seeds and the limits on retries change at once; the rest takes a restart.
+// reloader reloads the settings on SIGHUP and when the file has changed. Seeds and
+// the limits on retries take effect at once; the others need a restart.
 type reloader struct{ *Instance }
 
-// Serve watches until the context ends.
+// Serve waits for signals and changes of the file until the context ends.
 func (r *reloader) Serve(ctx context.Context) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	tick := time.NewTicker(lookAtFile)
+	tick := time.NewTicker(fileCheckInterval)
 	defer tick.Stop()
-	last := r.modified()
+	last := r.modTime()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-hup:
-			last = r.modified()
+			last = r.modTime()
 			r.reload("signal")
 		case <-tick.C:
-			if now := r.modified(); !now.Equal(last) {
+			if now := r.modTime(); !now.Equal(last) {
 				last = now
 				r.reload("file")
 			}
@@ -44,8 +44,8 @@
 	}
 }
 
-// modified returns when the file changed last; zero if there is none.
-func (r *reloader) modified() time.Time {
+// modTime returns the settings file's modification time; zero if there is no file.
+func (r *reloader) modTime() time.Time {
 	info, err := os.Stat(r.settings.File)
 	if err != nil {
 		return time.Time{}
@@ -53,25 +53,25 @@
 	return info.ModTime()
 }
 
-// errNoReload is for instances that were started without a way to do it.
-var errNoReload = errors.New("settings cannot be read anew")
+// errReloadUnsupported is logged when Settings.Reload is unset.
+var errReloadUnsupported = errors.New("settings cannot be reloaded: no reload function is set")
 
-// reload puts new settings in force, or keeps the old ones if any is faulty.
-func (r *reloader) reload(why string) {
-	next, err := Settings{}, errNoReload
+// reload applies the settings read now, or keeps the old ones if any is invalid.
+func (r *reloader) reload(reason string) {
+	next, err := Settings{}, errReloadUnsupported
 	if r.settings.Reload != nil {
 		next, err = r.settings.Reload()
 	}
 	if err != nil {
-		event.Reloaded.Log(r.log, "reason", why, "kept", true, "error", err)
+		event.Reloaded.Log(r.log, "reason", reason, "kept", true, "error", err)
 		return
 	}
-	old := r.tunable.Swap(&next)
-	event.Reloaded.Log(r.log, "reason", why, "seedsChanged", !slices.Equal(old.Seeds, next.Seeds),
+	old := r.liveSettings.Swap(&next)
+	event.Reloaded.Log(r.log, "reason", reason, "seedsChanged", !slices.Equal(old.Seeds, next.Seeds),
 		"retryRatio", next.RetryRatio, "retrySlack", next.RetrySlack, "needsRestart", needsRestart(r.settings, next))
 }
 
-// needsRestart tells whether a setting changed that is read at the start only.
+// needsRestart reports whether a setting changed that is read only at the start.
 func needsRestart(started, next Settings) bool {
 	return started.CallersListen != next.CallersListen || started.ReadyListen != next.ReadyListen ||
 		started.ControlListen != next.ControlListen || started.DatagramListen != next.DatagramListen ||
--- a/gateway/instance/reloader_test.go
+++ b/gateway/instance/reloader_test.go
@@ -10,23 +10,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// The settings file changes. New seeds and limits count; a faulty file changes
-// nothing.
+// Guards against reloads that do not apply new seeds and retry limits, and against
+// an invalid file that replaces the settings in force.
 func TestReload(t *testing.T) {
 	s := Defaults()
-	next, failure := s, error(nil)
-	s.Reload = func() (Settings, error) { return next, failure }
+	next, reloadErr := s, error(nil)
+	s.Reload = func() (Settings, error) { return next, reloadErr }
 	sink := logsink.New(io.Discard)
 	i := New(s, slog.New(slog.NewJSONHandler(sink, nil)), sink)
 	r := &reloader{i}
 	next.Seeds, next.RetrySlack = []string{"10.0.0.9:1"}, 7
 	r.reload("signal")
-	assert.DeepEqual(t, i.tunable.Load().Seeds, []string{"10.0.0.9:1"})
-	assert.Equal(t, i.tunable.Load().RetrySlack, 7.0)
-	failure, next = errors.New("faulty"), Defaults()
+	assert.DeepEqual(t, i.liveSettings.Load().Seeds, []string{"10.0.0.9:1"})
+	assert.Equal(t, i.liveSettings.Load().RetrySlack, 7.0)
+	reloadErr, next = errors.New("invalid"), Defaults()
 	r.reload("file")
-	assert.Equal(t, i.tunable.Load().RetrySlack, 7.0)
-	assert.Assert(t, !needsRestart(s, *i.tunable.Load()))
+	assert.Equal(t, i.liveSettings.Load().RetrySlack, 7.0)
+	assert.Assert(t, !needsRestart(s, *i.liveSettings.Load()))
 	next.Store = "10.0.0.1:1"
 	assert.Assert(t, needsRestart(s, next))
 }
--- a/gateway/instance/settings.go
+++ b/gateway/instance/settings.go
@@ -13,12 +13,12 @@
 	"github.com/spf13/pflag"
 )
 
-// EnvPrefix begins the environment variable of every flag: --callers-listen
+// EnvPrefix is the prefix of every flag's environment variable: --callers-listen
 // is BASILCROSS_CALLERS_LISTEN.
 const EnvPrefix = "BASILCROSS_"
 
-// Settings are what an instance on the platform must know before it can ask
-// anybody.
+// Settings configure an instance on the users' platform at its start. Bind
+// describes each one; listeners and addresses are host:port.
 type Settings struct {
 	Instance       string
 	Zone           string
@@ -41,13 +41,14 @@
 	Bootstrap      bool
 	LogLevel       string
 	Pprof          bool
-	// File is where some of the settings stand, and Reload reads all anew;
-	// both may be unset.
+	// File is the settings file, and Reload reads all settings again.
+	// Both may be unset.
 	File   string
 	Reload func() (Settings, error)
 }
 
-// Defaults returns settings that lack only the addresses.
+// Defaults returns settings for an instance on the local host. On the platform at
+// least the names and addresses must be set.
 func Defaults() Settings {
 	return Settings{
 		Instance:       "gateway",
@@ -66,32 +67,32 @@
 	}
 }
 
-// Bind adds a flag for each setting, with the present values as defaults.
+// Bind adds a flag for each setting, with the current values as defaults.
 func (s *Settings) Bind(f *pflag.FlagSet) {
 	f.StringVar(&s.Instance, "instance", s.Instance, "name of this instance, unique in the fleet")
 	f.StringVar(&s.Zone, "zone", s.Zone, "availability zone of this instance")
 	f.StringVar(&s.Region, "region", s.Region, "region of the availability zone")
 	f.StringToStringVar(&s.Regions, "regions", s.Regions, "region of each availability zone, as zone=region")
 	f.StringVar(&s.CallersListen, "callers-listen", s.CallersListen, "address for callers")
-	f.StringVar(&s.ReadyListen, "ready-listen", s.ReadyListen, "address where the platform asks for readiness")
+	f.StringVar(&s.ReadyListen, "ready-listen", s.ReadyListen, "address for the platform's readiness probes")
 	f.StringVar(&s.ControlListen, "control-listen", s.ControlListen, "address for other instances' calls")
 	f.StringVar(&s.DatagramListen, "datagram-listen", s.DatagramListen, "address for other instances' datagrams")
 	f.StringVar(&s.MetricsListen, "metrics-listen", s.MetricsListen, "address for metrics; empty: none")
 	f.StringVar(&s.Store, "store", s.Store, "address of the platform's store")
-	f.StringSliceVar(&s.Seeds, "seeds", s.Seeds, "control addresses to ask while the store is out of reach")
-	f.DurationVar(&s.LongestHold, "longest-hold", s.LongestHold, "longest time for which targets take keys")
-	f.DurationVar(&s.AddressReuse, "address-reuse", s.AddressReuse, "least time until a target's address goes to another service; 0: none is promised")
+	f.StringSliceVar(&s.Seeds, "seeds", s.Seeds, "control addresses of instances to fetch tables from while the store is unreachable")
+	f.DurationVar(&s.LongestHold, "longest-hold", s.LongestHold, "longest time for which targets accept keys")
+	f.DurationVar(&s.AddressReuse, "address-reuse", s.AddressReuse, "least time until a target's address is reused by another service; 0: none is guaranteed")
 	f.DurationVar(&s.StopTimeout, "stop-timeout", s.StopTimeout, "time between the termination signal and the kill")
-	f.Float64Var(&s.RetryRatio, "retry-ratio", s.RetryRatio, "repetitions allowed over all instances, per request")
-	f.Float64Var(&s.RetrySlack, "retry-slack", s.RetrySlack, "repetitions allowed over all instances on top of the ratio")
-	f.Float64Var(&s.Cores, "cores", s.Cores, "share of a processor that this instance has; stronger ones coordinate first")
-	f.IntVar(&s.MemoryMB, "memory-mb", s.MemoryMB, "memory that this instance has, in MB; 0: what the machine says")
-	f.BoolVar(&s.Bootstrap, "bootstrap", s.Bootstrap, "the whole fleet starts for the first time: others are known only once all have written their rows")
+	f.Float64Var(&s.RetryRatio, "retry-ratio", s.RetryRatio, "retries allowed over all instances, per request")
+	f.Float64Var(&s.RetrySlack, "retry-slack", s.RetrySlack, "retries allowed over all instances in addition to the ratio")
+	f.Float64Var(&s.Cores, "cores", s.Cores, "CPU cores that this instance has, such as 0.5; instances with more coordinate first")
+	f.IntVar(&s.MemoryMB, "memory-mb", s.MemoryMB, "memory of this instance in MB; 0: as the operating system reports")
+	f.BoolVar(&s.Bootstrap, "bootstrap", s.Bootstrap, "the whole fleet starts for the first time: other instances are known only once all have written their rows")
 	f.StringVar(&s.LogLevel, "log-level", s.LogLevel, "debug, info, warn or error")
 	f.BoolVar(&s.Pprof, "pprof", s.Pprof, "serve profiles on the metrics address")
 }
 
-// FieldError is one fault in the settings.
+// FieldError is an invalid setting: its flag, its value, and what is expected.
 type FieldError struct {
 	Field string
 	Value any
@@ -102,12 +103,13 @@
 	return fmt.Sprintf("--%s = %q: want %s", e.Field, fmt.Sprint(e.Value), e.Want)
 }
 
-// Validate reports every fault, joined.
+// Validate returns a FieldError for every invalid setting, joined; nil if there is
+// none.
 func (s *Settings) Validate() error {
-	var faults []error
+	var errs []error
 	check := func(ok bool, field string, value any, want string) {
 		if !ok {
-			faults = append(faults, &FieldError{Field: field, Value: value, Want: want})
+			errs = append(errs, &FieldError{Field: field, Value: value, Want: want})
 		}
 	}
 	for _, n := range []struct{ field, value string }{{"instance", s.Instance}, {"zone", s.Zone}, {"region", s.Region}} {
@@ -134,10 +136,10 @@
 	check(s.Cores >= 0, "cores", s.Cores, "0 or more")
 	check(s.MemoryMB >= 0, "memory-mb", s.MemoryMB, "0 or more")
 	check(slices.Contains([]string{"debug", "info", "warn", "error"}, s.LogLevel), "log-level", s.LogLevel, "debug, info, warn or error")
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// minLongestHold is what the coordinator's lease and one renewal need.
+// minLongestHold is the time that the coordinator's lease and one renewal need.
 const minLongestHold = 3 * time.Second
 
 func isAddress(s string) bool {
@@ -145,18 +147,19 @@
 	return err == nil && port != ""
 }
 
-// Load sets each flag that was not given, first from its environment variable,
-// then from the lines NAME=value of the settings file. Unknown names in the
-// file are ignored: newer platforms may add some.
+// Load sets each flag that was not given, from its environment variable, or else
+// from the lines NAME=value of the settings file, if one is named. Unknown names in
+// the file are ignored: newer platforms may add some. It returns an error if the
+// file cannot be read, or a FieldError for every value that does not parse, joined.
 func Load(f *pflag.FlagSet, file string, lookup func(string) (string, bool)) error {
 	lines := map[string]string{}
 	if file != "" {
 		var err error
 		if lines, err = readLines(file); err != nil {
-			return fmt.Errorf("read settings: %w", err)
+			return fmt.Errorf("read settings file %q: %w", file, err)
 		}
 	}
-	var faults []error
+	var errs []error
 	f.VisitAll(func(flag *pflag.Flag) {
 		name := EnvPrefix + strings.ToUpper(strings.ReplaceAll(flag.Name, "-", "_"))
 		value, ok := lookup(name)
@@ -167,10 +170,10 @@
 			return
 		}
 		if err := flag.Value.Set(value); err != nil {
-			faults = append(faults, &FieldError{Field: flag.Name, Value: value, Want: err.Error()})
+			errs = append(errs, &FieldError{Field: flag.Name, Value: value, Want: err.Error()})
 		}
 	})
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 func readLines(file string) (map[string]string, error) {
--- a/gateway/instance/state.go
+++ b/gateway/instance/state.go
@@ -18,70 +18,75 @@
 	"basilcross.example/platform"
 )
 
-// state is what an instance believes, decoded from its copies of the tables.
+// state is the decoded content of an instance's mirrors.
 type state struct {
-	log    *slog.Logger
-	zone   string
-	table  atomic.Pointer[routing.Table]
-	roster *roster.Roster
-	told   atomic.Pointer[told]
+	log            *slog.Logger
+	zone           string
+	routes         atomic.Pointer[routing.Table]
+	roster         *roster.Roster
+	revisionReport atomic.Pointer[revisionReport]
 
 	mu          sync.Mutex
-	assignments map[string]*assigned
+	assignments map[string]*versionedAssignment
 	instances   map[string]peers.Instance
-	parts       map[int]*peers.News
-	partsOf     uint64
+	// updateParts are the parts received so far, by number, of the assignment update
+	// that was recorded at updatePartsRevision.
+	updateParts         map[int]*peers.News
+	updatePartsRevision uint64
 }
 
-// assigned is a service's assignment, and who waits for the next one.
-type assigned struct {
+// versionedAssignment is a service's assignment at a revision of its table.
+type versionedAssignment struct {
 	assignment *ownership.Assignment
 	revision   uint64
-	newer      chan struct{}
-	// moves are the latest changes of owners, the oldest first.
-	moves []move
+	// superseded is closed when a newer assignment is in force.
+	superseded chan struct{}
+	// ownerChanges are the latest changes of owners, oldest first.
+	ownerChanges []ownerChange
 }
 
-// move is a range of keys that got another owner.
-type move struct {
+// ownerChange is a range of keys that got another owner.
+type ownerChange struct {
 	first, last int
 	at          time.Time
 }
 
-// movesFor is how long changes of owners are kept: longer than any request may be
-// sent once more.
-const movesFor = 15 * time.Second
+// ownerChangeRetention is how long changes of owners are kept: longer than any
+// request may be retried.
+const ownerChangeRetention = 15 * time.Second
 
-// noteMoves returns the moves with those that lead to the next assignment.
-func (a *assigned) noteMoves(now time.Time, next *ownership.Assignment) []move {
-	old := 0
-	for old < len(a.moves) && now.Sub(a.moves[old].at) > movesFor {
-		old++
+// ownerChangesTo returns the changes of owners, extended by those that lead to the
+// next assignment. Expired ones are left out.
+func (a *versionedAssignment) ownerChangesTo(now time.Time, next *ownership.Assignment) []ownerChange {
+	expired := 0
+	for expired < len(a.ownerChanges) && now.Sub(a.ownerChanges[expired].at) > ownerChangeRetention {
+		expired++
 	}
-	// Whoever reads the former list does not see what is appended.
-	moves := a.moves[old:]
+	// Appending is safe: concurrent readers hold the former, shorter slice.
+	changes := a.ownerChanges[expired:]
 	for _, p := range a.assignment.Moved(next) {
-		moves = append(moves, move{p.First, p.Last, now})
+		changes = append(changes, ownerChange{p.First, p.Last, now})
 	}
-	return moves
+	return changes
 }
 
-// movedSince tells whether a key got another owner after a time.
-func (s *state) movedSince(service string, key int, since time.Time) bool {
+// ownerChangedSince reports whether a key got another owner after a time.
+func (s *state) ownerChangedSince(service string, key int, since time.Time) bool {
 	s.mu.Lock()
 	a := s.assignments[service]
 	s.mu.Unlock()
 	if a == nil {
 		return false
 	}
-	return slices.ContainsFunc(a.moves, func(m move) bool {
-		return m.first <= key && key <= m.last && m.at.After(since)
+	return slices.ContainsFunc(a.ownerChanges, func(c ownerChange) bool {
+		return c.first <= key && key <= c.last && c.at.After(since)
 	})
 }
 
-// takeConfig puts a newer configuration in force. An older one never follows.
-func (s *state) takeConfig(c mirror.Change) {
-	for _, r := range c.Rows {
+// applyConfig puts a newer configuration in force. Older ones and invalid ones are
+// ignored.
+func (s *state) applyConfig(u mirror.Change) {
+	for _, r := range u.Rows {
 		if r.Key != platform.ConfigKey || r.Removed {
 			continue
 		}
@@ -90,52 +95,54 @@
 			event.RowUnusable.Log(s.log, "table", r.Table, "key", r.Key, "revision", r.Revision, "error", err)
 			continue
 		}
-		now := s.table.Load()
-		if now != nil && now.Config.Version >= config.Version {
-			event.ConfigStale.Log(s.log, "offered", config.Version, "inForce", now.Config.Version)
+		current := s.routes.Load()
+		if current != nil && current.Config.Version >= config.Version {
+			event.ConfigStale.Log(s.log, "offered", config.Version, "inForce", current.Config.Version)
 			continue
 		}
-		s.table.Store(routing.New(config))
+		s.routes.Store(routing.New(config))
 		event.ConfigInForce.Log(s.log, "version", config.Version, "revision", r.Revision, "routes", len(config.Routes))
 	}
 }
 
-func (s *state) takeTargets(c mirror.Change) {
+// applyTargets updates the roster, and logs which targets were added or are leaving.
+func (s *state) applyTargets(u mirror.Change) {
 	now := time.Now()
-	var came, left []*roster.Target
+	var added, leaving []*roster.Target
 	first := len(s.roster.Load().Targets) == 0
-	if c.Whole {
-		list := make([]*roster.Target, 0, len(c.Rows))
-		for _, r := range c.Rows {
+	if u.Whole {
+		list := make([]*roster.Target, 0, len(u.Rows))
+		for _, r := range u.Rows {
 			if t := s.parseTarget(r); t != nil {
 				list = append(list, t)
 			}
 		}
-		came, left = s.roster.Replace(now, list, c.Revision)
+		added, leaving = s.roster.Replace(now, list, u.Revision)
 	} else {
-		changes := make([]roster.Change, 0, len(c.Rows))
-		for _, r := range c.Rows {
+		changes := make([]roster.Change, 0, len(u.Rows))
+		for _, r := range u.Rows {
 			if r.Removed {
 				changes = append(changes, roster.Change{ID: r.Key})
 			} else if t := s.parseTarget(r); t != nil {
 				changes = append(changes, roster.Change{ID: r.Key, Target: t})
 			}
 		}
-		came, left = s.roster.Apply(now, changes, c.Revision)
+		added, leaving = s.roster.Apply(now, changes, u.Revision)
 	}
-	if first && c.Whole {
-		event.TargetsLoaded.Log(s.log, "targets", len(came), "leaving", len(left), "revision", c.Revision)
+	if first && u.Whole {
+		event.TargetsLoaded.Log(s.log, "targets", len(added), "leaving", len(leaving), "revision", u.Revision)
 		return
 	}
-	for _, t := range came {
+	for _, t := range added {
 		event.TargetCame.Log(s.log, "target", t.ID, "born", t.Born, "service", t.Service, "zone", t.Zone, "address", t.Address,
-			"slots", t.Slots, "warmingMs", t.Warming.Milliseconds(), "revision", c.Revision)
+			"slots", t.Slots, "warmingMs", t.Warming.Milliseconds(), "revision", u.Revision)
 	}
-	for _, t := range left {
-		event.TargetLeft.Log(s.log, "target", t.ID, "born", t.Born, "service", t.Service, "draining", t.Draining, "revision", c.Revision)
+	for _, t := range leaving {
+		event.TargetLeft.Log(s.log, "target", t.ID, "born", t.Born, "service", t.Service, "draining", t.Draining, "revision", u.Revision)
 	}
 }
 
+// parseTarget returns the target of a row; nil if the row is invalid.
 func (s *state) parseTarget(r platform.Row) *roster.Target {
 	t, err := platform.ParseTarget(r.Key, r.Value)
 	if err != nil {
@@ -145,10 +152,10 @@
 	return t
 }
 
-// minorOfTarget tells of a target's row that nobody has to act on: only how far
-// it has warmed up, which every instance counts down by itself. All targets of
-// a fleet warm up together, each with a change at every report.
-func minorOfTarget(old, next platform.Row) bool {
+// isMinorTargetChange reports whether a target's row changed only in its warm-up
+// progress, which every instance counts down by itself. All targets of a fleet warm
+// up together, each with a change at every report.
+func isMinorTargetChange(old, next platform.Row) bool {
 	if old.Removed || next.Removed {
 		return false
 	}
@@ -164,8 +171,8 @@
 		a.Slots == b.Slots && a.Draining == b.Draining
 }
 
-func (s *state) takeAssignments(c mirror.Change) {
-	for _, r := range c.Rows {
+func (s *state) applyAssignments(u mirror.Change) {
+	for _, r := range u.Rows {
 		if r.Removed || s.hasAssignment(r.Key, r.Revision) {
 			continue
 		}
@@ -174,11 +181,10 @@
 			event.RowUnusable.Log(s.log, "table", r.Table, "key", r.Key, "revision", r.Revision, "error", err)
 			continue
 		}
-		s.putAssignment(r.Key, a, r.Revision)
+		s.setAssignment(r.Key, a, r.Revision)
 	}
 }
 
-// hasAssignment tells whether a service's assignment is known as of a revision.
 func (s *state) hasAssignment(service string, revision uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,22 +192,22 @@
 	return a != nil && a.revision >= revision
 }
 
-// putAssignment puts a service's assignment in force unless a newer one is.
-func (s *state) putAssignment(service string, a *ownership.Assignment, revision uint64) {
+// setAssignment puts a service's assignment in force unless the one in force is as new.
+func (s *state) setAssignment(service string, a *ownership.Assignment, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.assignments == nil {
-		s.assignments = map[string]*assigned{}
+		s.assignments = map[string]*versionedAssignment{}
 	}
 	old := s.assignments[service]
 	if old != nil && old.revision >= revision {
 		return
 	}
-	next := &assigned{assignment: a, revision: revision, newer: make(chan struct{})}
+	next := &versionedAssignment{assignment: a, revision: revision, superseded: make(chan struct{})}
 	s.assignments[service] = next
 	if old != nil {
-		next.moves = old.noteMoves(time.Now(), a)
-		close(old.newer)
+		next.ownerChanges = old.ownerChangesTo(time.Now(), a)
+		close(old.superseded)
 	}
 	event.AssignmentLoaded.Log(s.log, "service", service, "term", a.Term, "revision", revision, "pieces", len(a.Pieces))
 }
@@ -211,76 +217,78 @@
 	s.mu.Lock()
 	a := s.assignments[service]
 	s.mu.Unlock()
-	text, err := json.Marshal(a.assignment)
+	value, err := json.Marshal(a.assignment)
 	if err != nil {
-		panic("instance: assignment does not encode: " + err.Error())
+		panic("instance: encode assignment of service " + service + ": " + err.Error())
 	}
-	return platform.Row{Table: coordinator.AssignmentTable, Key: service, Value: text, Revision: a.revision}
+	return platform.Row{Table: coordinator.AssignmentTable, Key: service, Value: value, Revision: a.revision}
 }
 
-// owners returns a service's assignment and a channel that is closed when
-// there is a newer one; both are nil while none is known.
-func (s *state) owners(service string) (*ownership.Assignment, <-chan struct{}) {
+// currentAssignment returns a service's assignment and a channel that is closed when
+// a newer one is in force. Both are nil while there is none.
+func (s *state) currentAssignment(service string) (*ownership.Assignment, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.assignments[service]
 	if a == nil {
 		return nil, nil
 	}
-	return a.assignment, a.newer
+	return a.assignment, a.superseded
 }
 
-// changed returns the assignment after a change, or nil if that is a change of
-// another one than is known here. Known tells that it was taken in already.
-func (s *state) changed(n *peers.News) (next *ownership.Assignment, known bool) {
+// withUpdate returns the assignment that results from an update; nil if the update's
+// base is not the assignment in force. Handled is set if there is nothing more to
+// do: the update is in force already, or parts of it are still missing.
+func (s *state) withUpdate(u *peers.News) (next *ownership.Assignment, handled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.assignments[n.Service]
-	if a != nil && a.revision < n.Revision && n.Parts > 1 {
-		if n = s.gather(n); n == nil {
+	a := s.assignments[u.Service]
+	if a != nil && a.revision < u.Revision && u.Parts > 1 {
+		if u = s.collectParts(u); u == nil {
 			return nil, true
 		}
 	}
-	if a == nil || a.revision < n.Base {
+	if a == nil || a.revision < u.Base {
 		return nil, false
 	}
-	if a.revision >= n.Revision {
+	if a.revision >= u.Revision {
 		return nil, true
 	}
-	if a.revision != n.Base {
+	if a.revision != u.Base {
 		return nil, false
 	}
-	return a.assignment.With(n.Term, n.Pieces), false
+	return a.assignment.With(u.Term, u.Pieces), false
 }
 
-// gather keeps the parts of a change until all are there, and returns the whole.
-func (s *state) gather(n *peers.News) *peers.News {
-	if s.parts == nil || s.partsOf != n.Revision {
-		s.parts, s.partsOf = map[int]*peers.News{}, n.Revision
+// collectParts keeps the parts of an update until all have arrived, and then returns
+// the complete update; nil before.
+func (s *state) collectParts(u *peers.News) *peers.News {
+	if s.updateParts == nil || s.updatePartsRevision != u.Revision {
+		s.updateParts, s.updatePartsRevision = map[int]*peers.News{}, u.Revision
 	}
-	s.parts[n.Part] = n
-	if len(s.parts) < n.Parts {
+	s.updateParts[u.Part] = u
+	if len(s.updateParts) < u.Parts {
 		return nil
 	}
-	whole := *n
-	whole.Pieces = nil
-	for _, p := range s.parts {
-		whole.Pieces = append(whole.Pieces, p.Pieces...)
+	complete := *u
+	complete.Pieces = nil
+	for _, p := range s.updateParts {
+		complete.Pieces = append(complete.Pieces, p.Pieces...)
 	}
-	return &whole
+	return &complete
 }
 
-// takeInstances returns all instances known.
-func (s *state) takeInstances(c mirror.Change) map[string]peers.Instance {
+// applyInstances applies a change of the instances' table, and returns all instances.
+func (s *state) applyInstances(u mirror.Change) map[string]peers.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := map[string]peers.Instance{}
-	if !c.Whole {
+	if !u.Whole {
 		for name, i := range s.instances {
 			all[name] = i
 		}
 	}
-	for _, r := range c.Rows {
+	for _, r := range u.Rows {
 		if r.Removed {
 			delete(all, r.Key)
 			continue
--- /dev/null
+++ b/gateway/instance/tasks.go
@@ -0,0 +1,272 @@
+package instance
+
+import (
+	"context"
+	"encoding/json"
+	"math/rand/v2"
+	"net/http"
+	"net/http/pprof"
+	"time"
+
+	"basilcross.example/basilcross/event"
+	"basilcross.example/gateway/coordinator"
+	"basilcross.example/gateway/peers"
+	"basilcross.example/platform"
+	"github.com/prometheus/client_golang/prometheus/promhttp"
+)
+
+const (
+	// reportInterval is the time between two reports to the coordinator.
+	reportInterval = 500 * time.Millisecond
+	// housekeepingInterval is the time between two runs of the housekeeper.
+	housekeepingInterval = 2 * time.Second
+	// registerRetryDelay is the mean pause after this instance's row could not be
+	// written.
+	registerRetryDelay = 500 * time.Millisecond
+	// registerTimeout bounds the write of that row: the store writes the rows of a
+	// fleet one after the other.
+	registerTimeout = 1500 * time.Millisecond
+)
+
+// registrar writes this instance's row to the store, by which other instances find it.
+type registrar struct{ *Instance }
+
+// Serve writes the row, retrying until it is stored, and then waits until the
+// context ends.
+func (i *registrar) Serve(ctx context.Context) error {
+	row, err := json.Marshal(i.peers.Self)
+	if err != nil {
+		return err
+	}
+	tx := platform.Transaction{Set: []platform.Write{{
+		Table: coordinator.InstanceTable, Key: i.peers.Self.Name, Value: row,
+	}}}
+	for ctx.Err() == nil {
+		callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
+		_, err := i.store.Transact(callCtx, tx)
+		cancel()
+		if err == nil {
+			break
+		}
+		event.StoreCallFailed.Log(i.log, "call", "introduce", "error", err)
+		sleep(ctx, registerRetryDelay/2+rand.N(registerRetryDelay))
+	}
+	i.registered.Store(true)
+	// Instances that registered earlier are read from the store; later ones do the
+	// same and announce themselves. A list that has the row of an earlier
+	// incarnation of this instance is complete.
+	if i.settings.Bootstrap || !i.awaitInstances(ctx) || i.peers.Find(i.peers.Self.Name).Name == "" {
+		i.instances.Again()
+	}
+	<-ctx.Done()
+	return ctx.Err()
+}
+
+// announcer sends a hello to all known instances. They removed this one when its
+// last incarnation ended, and it receives no updates from them until they list it
+// again. It does not wait for its row to be written: the store may be unreachable.
+type announcer struct{ *Instance }
+
+// helloDelays are the pauses before the hello is repeated: datagrams may get lost,
+// and other instances become known during the first seconds. In a large fleet that
+// starts at once each repetition is a datagram from all to all, so there are few.
+var helloDelays = []time.Duration{900 * time.Millisecond, 2 * time.Second}
+
+// Serve sends the hello as soon as other instances are known, repeats it once, and
+// again if this instance's row is still not in the store.
+func (g *announcer) Serve(ctx context.Context) error {
+	g.awaitInstances(ctx)
+	g.peers.Broadcast(&peers.Message{Hello: &g.peers.Self})
+	for n, delay := range helloDelays {
+		sleep(ctx, delay)
+		if n == 0 || !g.registered.Load() {
+			g.peers.Broadcast(&peers.Message{Hello: &g.peers.Self})
+		}
+	}
+	<-ctx.Done()
+	return ctx.Err()
+}
+
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	}
+}
+
+// reporter sends the coordinator this instance's loads. The reports also count
+// the instance as a member.
+type reporter struct{ *Instance }
+
+// Serve sends reports until the context ends. While the coordinator is unknown or
+// this instance coordinates, they go to the local coordinator.
+func (r *reporter) Serve(ctx context.Context) error {
+	rounds := 0
+	for ctx.Err() == nil {
+		sleep(ctx, reportInterval)
+		reports := r.loads.Take()
+		if len(reports) == 0 {
+			reports = []*peers.Report{{}}
+		}
+		if rounds++; rounds%latencyReportEvery == 0 {
+			reports[0].Speeds = r.targetLatencies()
+		}
+		name := r.coordinatorName.Load()
+		for _, report := range reports {
+			if name == nil || *name == r.settings.Instance {
+				r.coordinator.TakeLoads(report)
+				continue
+			}
+			r.peers.Send(*name, &peers.Message{Report: report})
+		}
+	}
+	return ctx.Err()
+}
+
+const (
+	// latencyReportEvery is the number of report rounds per round with latencies.
+	latencyReportEvery = 2
+	// maxReportedLatencies bounds the latencies in one datagram.
+	maxReportedLatencies = 12
+)
+
+// targetLatencies returns the latencies of a random selection of the targets of
+// sharded services.
+func (r *reporter) targetLatencies() []peers.Speed {
+	routes := r.state.routes.Load()
+	if routes == nil {
+		return nil
+	}
+	var list []peers.Speed
+	for _, s := range r.dispatcher.Speeds() {
+		if service := routes.Service(s.Service); service == nil || !service.Sharded {
+			continue
+		}
+		list = append(list, peers.Speed{Service: s.Service, Target: s.Target, Ms: int(s.Latency.Milliseconds())})
+	}
+	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+	return list[:min(len(list), maxReportedLatencies)]
+}
+
+// receive passes a datagram on to the parts that it is for.
+func (i *Instance) receive(m *peers.Message) {
+	if i.broker.Receive(m) || i.replicator.handleMessage(m) {
+		return
+	}
+	if m.Beat != nil && !m.Beat.Resigned {
+		i.receiveCoordinatorHeartbeat(m)
+	}
+	switch {
+	case m.News != nil:
+		i.applyAssignmentUpdate(m.News)
+	case m.Hello != nil:
+		i.peers.Add(*m.Hello)
+	case m.Bye:
+		i.peers.Remove(m.From)
+	case m.Report != nil && i.peers.Find(m.From).Name == "":
+		i.instances.Again()
+	}
+	i.state.recordRevisions(m.From, m.Revisions)
+	i.coordinator.Hear(m)
+}
+
+// receiveCoordinatorHeartbeat records the coordinator's heartbeat. If it is the
+// first after a gap, a feed reader retries failing tables at once.
+func (i *Instance) receiveCoordinatorHeartbeat(m *peers.Message) {
+	wasAlive := i.replicator.coordinatorAlive()
+	i.recordCoordinator(m.From, m.Beat.Members)
+	if m.Beat.InDoubt {
+		// The coordinator's connection to the store confirms nothing any more.
+		i.lastHeartbeat.Store(nil)
+		return
+	}
+	if wasAlive || i.replicator.rank() >= readerCount(i.replicator.zoneSize()) {
+		return
+	}
+	// The store answers a coordinator again, so the zone's feed readers end their
+	// retry pauses. Passive instances receive their updates.
+	for _, t := range i.mirrors {
+		if t.Failing() {
+			t.Again()
+		}
+	}
+}
+
+// recordLeading records that this instance coordinates. While the store does not
+// answer, its lease does not confirm that its mirrors are fresh.
+func (i *Instance) recordLeading(members int, answers bool) {
+	i.recordCoordinator(i.settings.Instance, members)
+	if !answers {
+		i.lastHeartbeat.Store(nil)
+	}
+}
+
+// recordCoordinator records the coordinator's name, the time of its heartbeat, and
+// the number of instances that report to it.
+func (i *Instance) recordCoordinator(name string, members int) {
+	now := time.Now()
+	i.coordinatorName.Store(&name)
+	i.lastHeartbeat.Store(&now)
+	i.memberCount.Store(int64(members))
+}
+
+// applyAssignmentUpdate applies an update of an assignment that was recorded in the
+// store. If its base is missing here, the assignments are read from the store.
+func (i *Instance) applyAssignmentUpdate(u *peers.News) {
+	next, handled := i.state.withUpdate(u)
+	if handled {
+		return
+	}
+	if next == nil {
+		if !i.replicator.passive.Load() {
+			i.assignments.Again()
+		}
+		// A passive instance fetches it from a feed reader, once the next heartbeat
+		// shows that its mirror is behind.
+		return
+	}
+	i.state.setAssignment(u.Service, next, u.Revision)
+	i.assignments.Inject(platform.Row{Table: coordinator.AssignmentTable, Key: u.Service, Revision: u.Revision})
+}
+
+// housekeeper frees the connections and statistics of targets that are gone.
+type housekeeper struct{ *Instance }
+
+// Serve cleans up periodically until the context ends.
+func (h *housekeeper) Serve(ctx context.Context) error {
+	for ctx.Err() == nil {
+		sleep(ctx, housekeepingInterval)
+		h.pools.Keep(h.state.roster.Load())
+		h.dispatcher.Forget()
+	}
+	return ctx.Err()
+}
+
+// readinessHandler serves the platform's readiness probe.
+func (i *Instance) readinessHandler() http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		status := http.StatusServiceUnavailable
+		switch {
+		case r.URL.Path != platform.ReadyPath:
+			status = http.StatusNotFound
+		case i.Ready():
+			status = http.StatusOK
+		}
+		w.Header().Set("Content-Length", "0")
+		w.WriteHeader(status)
+	})
+}
+
+// metricsHandler serves metrics, and profiles if they are enabled.
+func (i *Instance) metricsHandler() http.Handler {
+	mux := http.NewServeMux()
+	mux.Handle("/metrics", promhttp.HandlerFor(i.registry, promhttp.HandlerOpts{}))
+	if i.settings.Pprof {
+		mux.HandleFunc("/debug/pprof/", pprof.Index)
+		mux.HandleFunc("/debug/pprof/profile", pprof.Profile)
+		mux.HandleFunc("/debug/pprof/trace", pprof.Trace)
+	}
+	return mux
+}
