--- a/gateway/instance/catchup.go
+++ b/gateway/instance/catchup.go
@@ -73,7 +73,7 @@
 		case !ok:
 			behind[m.Table] = now
 			if m.OnDemand && joined && !c.replicator.passive.Load() {
-				m.Again()
+				m.Refresh()
 			}
 		case !joined:
 		case now.Sub(since) >= lagTolerance, m.OnDemand && c.upToDateReader(m) != "":
@@ -99,11 +99,11 @@
 // newer change. A table read in full after a row was removed has no row of that
 // revision, though it is complete beyond it, so both revisions are compared.
 func (c *catchUp) isBehind(m *mirror.Mirror) bool {
-	if m.Failing() && m.Newest() == 0 {
+	if m.Failing() && m.NewestChange() == 0 {
 		return true
 	}
 	report := c.state.revisionReport.Load()
-	return report != nil && report.revisions[m.Table] > max(m.Newest(), m.Reached())
+	return report != nil && report.revisions[m.Table] > max(m.NewestChange(), m.Revision())
 }
 
 // fetch fetches tables from other instances. An up-to-date feed reader of the zone
@@ -118,7 +118,7 @@
 		}
 		// Needed also while the mirror fails: it abandons a call that the store
 		// accepted while unresponsive and never answers.
-		m.Again()
+		m.Refresh()
 		rest = append(rest, m)
 	}
 	if len(rest) > 0 {
@@ -201,11 +201,11 @@
 		if m.Table != t.Name {
 			continue
 		}
-		s := mirror.State{Table: t.Name, Revision: t.Revision}
+		s := mirror.Snapshot{Table: t.Name, Revision: t.Revision}
 		for _, r := range t.Rows {
 			s.Rows = append(s.Rows, platform.Row{Table: t.Name, Key: r.Key, Value: r.Value, Revision: r.Revision})
 		}
-		if m.Offer(s) {
+		if m.ApplySnapshot(s) {
 			event.PeerStateTaken.Log(c.log, "table", t.Name, "revision", t.Revision, "rows", len(t.Rows), "from", from)
 		}
 	}
@@ -220,7 +220,7 @@
 			if m.Table != name {
 				continue
 			}
-			s, loaded := m.State()
+			s, loaded := m.Snapshot()
 			if !loaded {
 				continue
 			}
--- a/gateway/instance/forward.go
+++ b/gateway/instance/forward.go
@@ -15,13 +15,13 @@
 // It resends the changes just before them: datagrams get lost, and a gap costs
 // each passive instance a call. If a row is too large for a datagram, a notice is
 // sent instead, and passive instances fetch the table from this instance.
-func (s *replicator) forward(table string, u mirror.Passage) {
+func (s *replicator) forward(table string, u mirror.ForwardedUpdate) {
 	if s.zoneSize() <= 1 {
 		return
 	}
 	parts := splitUpdate(table, s.recent.withPrevious(table, u))
 	if parts == nil {
-		parts = []*peers.Rows{{Table: table, From: u.From, To: u.To, Newest: u.Newest, Fetch: true}}
+		parts = []*peers.Rows{{Table: table, From: u.From, To: u.To, Newest: u.NewestChange, Fetch: true}}
 	}
 	for _, part := range parts {
 		s.sendToZone(&peers.Message{Rows: part})
@@ -30,7 +30,7 @@
 
 // splitUpdate splits changes into parts that fit into a datagram each. It returns
 // nil if a single row does not fit.
-func splitUpdate(table string, u mirror.Passage) []*peers.Rows {
+func splitUpdate(table string, u mirror.ForwardedUpdate) []*peers.Rows {
 	var parts []*peers.Rows
 	part := &peers.Rows{Table: table, From: u.From}
 	size := 0
@@ -52,7 +52,7 @@
 		part.Rows = append(part.Rows, peers.Row{Key: r.Key, Value: r.Value, Revision: r.Revision, Removed: r.Removed})
 		size += n
 	}
-	flush(u.To, u.Newest)
+	flush(u.To, u.NewestChange)
 	return parts
 }
 
@@ -64,15 +64,15 @@
 // between them.
 type recentUpdates struct {
 	mu      sync.Mutex
-	byTable map[string][]mirror.Passage
+	byTable map[string][]mirror.ForwardedUpdate
 }
 
 // withPrevious returns changes joined with the ones kept before them, and keeps them.
-func (a *recentUpdates) withPrevious(table string, u mirror.Passage) mirror.Passage {
+func (a *recentUpdates) withPrevious(table string, u mirror.ForwardedUpdate) mirror.ForwardedUpdate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.byTable == nil {
-		a.byTable = map[string][]mirror.Passage{}
+		a.byTable = map[string][]mirror.ForwardedUpdate{}
 	}
 	list := a.byTable[table]
 	if n := len(list); n > 0 && list[n-1].To != u.From {
@@ -88,7 +88,7 @@
 	list = append(list, u)
 	list = list[max(0, len(list)-maxResentRows):]
 	a.byTable[table] = list
-	joined := mirror.Passage{From: list[0].From, To: u.To, Newest: u.Newest}
+	joined := mirror.ForwardedUpdate{From: list[0].From, To: u.To, NewestChange: u.NewestChange}
 	for _, l := range list {
 		joined.Rows = append(joined.Rows, l.Rows...)
 	}
@@ -101,7 +101,7 @@
 		s.requestIfBehind(from, r)
 		return
 	}
-	update := mirror.Passage{From: r.From, To: r.To, Newest: r.Newest}
+	update := mirror.ForwardedUpdate{From: r.From, To: r.To, NewestChange: r.Newest}
 	for _, row := range r.Rows {
 		update.Rows = append(update.Rows, platform.Row{
 			Table: r.Table, Key: row.Key, Value: row.Value, Revision: row.Revision, Removed: row.Removed,
@@ -113,7 +113,7 @@
 		}
 		// If it leaves a gap, it is resent with the next update, or the gap is
 		// detected by the readers' heartbeats.
-		_ = m.Pass(update)
+		_ = m.ApplyForwarded(update)
 	}
 }
 
@@ -124,7 +124,7 @@
 		return
 	}
 	for _, m := range s.polledMirrors {
-		if m.Table == r.Table && m.Reached() < r.To {
+		if m.Table == r.Table && m.Revision() < r.To {
 			s.requestCopy(from, m)
 		}
 	}
--- a/gateway/instance/replicator.go
+++ b/gateway/instance/replicator.go
@@ -101,9 +101,9 @@
 	for _, m := range s.polledMirrors {
 		switch {
 		case s.coordinatorSeenWithin(freshnessCheckDelay):
-			m.Prove(false)
-		case now.Sub(m.Answered()) > freshnessCheckDelay:
-			m.Prove(true)
+			m.CheckFreshness(false)
+		case now.Sub(m.LastResponse()) > freshnessCheckDelay:
+			m.CheckFreshness(true)
 		}
 	}
 	reliable := s.feedsHealthy() && s.isFresh(now)
@@ -156,7 +156,7 @@
 		return true
 	}
 	for _, m := range s.polledMirrors {
-		if now.Sub(m.Answered()) > freshnessTTL {
+		if now.Sub(m.LastResponse()) > freshnessTTL {
 			return false
 		}
 	}
@@ -264,16 +264,16 @@
 	s.passive.Store(passive)
 	event.Reading.Log(s.log, "listens", passive)
 	for _, m := range s.polledMirrors {
-		m.Listen(passive)
+		m.SetPassive(passive)
 	}
 }
 
 func (s *replicator) sendHeartbeat() {
 	r := &peers.Reader{Reached: map[string]uint64{}, Targets: s.state.roster.Load().Digest}
 	for _, m := range s.polledMirrors {
-		r.Reached[m.Table] = m.Reached()
+		r.Reached[m.Table] = m.Revision()
 	}
-	r.Reached[s.assignments.Table] = s.assignments.Newest()
+	r.Reached[s.assignments.Table] = s.assignments.NewestChange()
 	s.sendToZone(&peers.Message{Reader: r})
 }
 
@@ -290,7 +290,7 @@
 
 func (s *replicator) restartFeeds() {
 	for _, m := range s.polledMirrors {
-		m.Again()
+		m.Refresh()
 	}
 }
 
@@ -314,7 +314,7 @@
 // from the store.
 func (s *replicator) checkGaps(now time.Time) {
 	for _, m := range s.polledMirrors {
-		ahead := s.readerAhead(m.Table, m.Reached()+1)
+		ahead := s.readerAhead(m.Table, m.Revision()+1)
 		if ahead == "" {
 			delete(s.gaps, m.Table)
 			continue
@@ -329,7 +329,7 @@
 			s.requestCopy(ahead, m)
 		default:
 			delete(s.gaps, m.Table)
-			m.Again()
+			m.Refresh()
 		}
 	}
 }
@@ -386,7 +386,7 @@
 func (s *replicator) compareDigest(r *peers.Reader) {
 	equal := r.Targets == 0 || r.Targets == s.state.roster.Load().Digest
 	for _, m := range s.polledMirrors {
-		equal = equal || m.Table == platform.TargetTable && m.Reached() < r.Reached[m.Table]
+		equal = equal || m.Table == platform.TargetTable && m.Revision() < r.Reached[m.Table]
 	}
 	if equal || !s.passive.Load() {
 		s.digestMismatches = 0
--- a/gateway/instance/state.go
+++ b/gateway/instance/state.go
@@ -64,7 +64,7 @@
 	}
 	// Appending is safe: concurrent readers hold the former, shorter slice.
 	changes := a.ownerChanges[expired:]
-	for _, p := range a.assignment.Moved(next) {
+	for _, p := range a.assignment.OwnerChanges(next) {
 		changes = append(changes, ownerChange{p.First, p.Last, now})
 	}
 	return changes
@@ -85,7 +85,7 @@
 
 // applyConfig puts a newer configuration in force. Older ones and invalid ones are
 // ignored.
-func (s *state) applyConfig(u mirror.Change) {
+func (s *state) applyConfig(u mirror.Update) {
 	for _, r := range u.Rows {
 		if r.Key != platform.ConfigKey || r.Removed {
 			continue
@@ -106,11 +106,11 @@
 }
 
 // applyTargets updates the roster, and logs which targets were added or are leaving.
-func (s *state) applyTargets(u mirror.Change) {
+func (s *state) applyTargets(u mirror.Update) {
 	now := time.Now()
 	var added, leaving []*roster.Target
 	first := len(s.roster.Load().Targets) == 0
-	if u.Whole {
+	if u.Full {
 		list := make([]*roster.Target, 0, len(u.Rows))
 		for _, r := range u.Rows {
 			if t := s.parseTarget(r); t != nil {
@@ -129,7 +129,7 @@
 		}
 		added, leaving = s.roster.Apply(now, changes, u.Revision)
 	}
-	if first && u.Whole {
+	if first && u.Full {
 		event.TargetsLoaded.Log(s.log, "targets", len(added), "leaving", len(leaving), "revision", u.Revision)
 		return
 	}
@@ -171,7 +171,7 @@
 		a.Slots == b.Slots && a.Draining == b.Draining
 }
 
-func (s *state) applyAssignments(u mirror.Change) {
+func (s *state) applyAssignments(u mirror.Update) {
 	for _, r := range u.Rows {
 		if r.Removed || s.hasAssignment(r.Key, r.Revision) {
 			continue
@@ -279,11 +279,11 @@
 }
 
 // applyInstances applies a change of the instances' table, and returns all instances.
-func (s *state) applyInstances(u mirror.Change) map[string]peers.Instance {
+func (s *state) applyInstances(u mirror.Update) map[string]peers.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := map[string]peers.Instance{}
-	if !u.Whole {
+	if !u.Full {
 		for name, i := range s.instances {
 			all[name] = i
 		}
--- a/gateway/instance/tasks.go
+++ b/gateway/instance/tasks.go
@@ -56,7 +56,7 @@
 	// same and announce themselves. A list that has the row of an earlier
 	// incarnation of this instance is complete.
 	if i.settings.Bootstrap || !i.awaitInstances(ctx) || i.peers.Find(i.peers.Self.Name).Name == "" {
-		i.instances.Again()
+		i.instances.Refresh()
 	}
 	<-ctx.Done()
 	return ctx.Err()
@@ -166,7 +166,7 @@
 	case m.Bye:
 		i.peers.Remove(m.From)
 	case m.Report != nil && i.peers.Find(m.From).Name == "":
-		i.instances.Again()
+		i.instances.Refresh()
 	}
 	i.state.recordRevisions(m.From, m.Revisions)
 	i.coordinator.Hear(m)
@@ -189,7 +189,7 @@
 	// retry pauses. Passive instances receive their updates.
 	for _, t := range i.mirrors {
 		if t.Failing() {
-			t.Again()
+			t.Refresh()
 		}
 	}
 }
@@ -221,14 +221,14 @@
 	}
 	if next == nil {
 		if !i.replicator.passive.Load() {
-			i.assignments.Again()
+			i.assignments.Refresh()
 		}
 		// A passive instance fetches it from a feed reader, once the next heartbeat
 		// shows that its mirror is behind.
 		return
 	}
 	i.state.setAssignment(u.Service, next, u.Revision)
-	i.assignments.Inject(platform.Row{Table: coordinator.AssignmentTable, Key: u.Service, Revision: u.Revision})
+	i.assignments.ApplyRow(platform.Row{Table: coordinator.AssignmentTable, Key: u.Service, Revision: u.Revision})
 }
 
 // housekeeper frees the connections and statistics of targets that are gone.
