--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -1,5 +1,6 @@
 // Package instance runs a gateway on the users' platform: one supervisor tree
-// of duties, and listeners for callers, readiness, instances and metrics.
+// of background tasks, and servers for callers, readiness probes, other
+// instances and metrics.
 package instance
 
 import (
@@ -34,50 +35,50 @@
 )
 
 const (
-	// targetDialTimeout bounds the opening of a connection to a target: the way there
-	// and back between regions, and one lost packet's repetition.
+	// targetDialTimeout bounds the opening of a connection to a target: a round
+	// trip between regions, and the retransmission of one lost packet.
 	targetDialTimeout = 400 * time.Millisecond
 	// targetUserTimeout is how long sent bytes may stay unacknowledged by a
-	// target: longer than the repetitions of two lost packets.
+	// target: longer than the retransmissions of two lost packets.
 	targetUserTimeout = 1200 * time.Millisecond
-	// storeDialTimeout and storeUnacked are the same for the store.
-	storeDialTimeout    = time.Second
+	// storeDialTimeout and storeUserTimeout are the same for the store.
+	storeDialTimeout = time.Second
 	storeUserTimeout = 2 * time.Second
-	// keepAliveInterval finds connections that went silent; the users count on three
-	// seconds for it.
+	// keepAliveInterval is the time between keep-alive probes; the users require
+	// that a dead connection is detected within three seconds.
 	keepAliveInterval = time.Second
 	// normalHold is the time for which keys are granted. It outlasts the
-	// coordinator's lease and one missed renewal; a target that falls silent
+	// coordinator's lease and one missed renewal; a target that stops answering
 	// keeps its keys that long.
 	normalHold = 3200 * time.Millisecond
 	// longHold is granted while the store does not answer the coordinator. With
-	// the rest of its lease it rides out outages of about eight seconds; a
-	// target that is lost meanwhile keeps its keys that long.
+	// the rest of the coordinator's lease it covers outages of about eight
+	// seconds; a target that is lost during one keeps its keys that long.
 	longHold = 6 * time.Second
 	// renewalInterval is the time between two renewals of a grant.
 	renewalInterval = 800 * time.Millisecond
-	// configBatchDelay and targetPace are the pauses after news of the tables that
-	// are followed. Targets come in series, each with several changes while it
-	// warms up; the users allow 2 s for one that leaves.
+	// configBatchDelay and targetBatchDelay are the pauses between polls of the
+	// feeds after an answer with changes. Targets start in groups, each with
+	// several changes while it warms up; the users allow 2 s for one that leaves.
 	configBatchDelay = 60 * time.Millisecond
-	// maxConfigBatchDelay is the same while configurations follow on each other: a
-	// quarter of the 2 s that the users allow until one is in force.
+	// maxConfigBatchDelay bounds the pause while configurations change
+	// continuously: a quarter of the 2 s that the users allow until one is in force.
 	maxConfigBatchDelay = 480 * time.Millisecond
-	targetBatchDelay     = 400 * time.Millisecond
-	// minorDelay is the pause after news that only tell how far targets have
-	// warmed up. Half of the time allowed for one that leaves.
+	targetBatchDelay    = 400 * time.Millisecond
+	// minorDelay is the pause after an answer with warm-up progress only: half of
+	// the time allowed for a target that leaves.
 	minorDelay = time.Second
-	// idleTimeout closes callers' connections: longer than the operators'
-	// limits, so that no caller's request crosses the close.
+	// idleTimeout closes callers' idle connections. It is longer than the
+	// operators' limits, so that no request arrives while its connection is closed.
 	idleTimeout = 2 * time.Minute
-	// headerTimeout is how long a caller may take for a request's head.
+	// headerTimeout is how long a caller may take to send a request's header.
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes bounds what is read of a head; the configuration's own limit
+	// maxHeaderBytes bounds the header that is read; the configuration's own limit
 	// is below.
 	maxHeaderBytes = 64 << 10
 )
 
-// Instance is one gateway. Create it with New.
+// Instance is one gateway process. Create it with New, and start it with Run.
 type Instance struct {
 	settings Settings
 	log      *slog.Logger
@@ -97,20 +98,23 @@
 	loads       *front.Loads
 	front       *front.Front
 	store       *platform.Store
-	peerClient       *http.Client
+	peerClient  *http.Client
 
-	// liveSettings are the settings last read; only some may change while running.
+	// liveSettings are the settings last read; only some change without a restart.
 	liveSettings atomic.Pointer[Settings]
-	memberCount atomic.Int64
-	coordinatorName    atomic.Pointer[string]
-	lastHeartbeat  atomic.Pointer[time.Time]
+	// memberCount, coordinatorName and lastHeartbeat are from the coordinator's last
+	// heartbeat. lastHeartbeat is nil while the store does not answer the coordinator.
+	memberCount     atomic.Int64
+	coordinatorName atomic.Pointer[string]
+	lastHeartbeat   atomic.Pointer[time.Time]
 	// registered is set once this instance's row is in the store.
-	registered atomic.Bool
-	shuttingDown    atomic.Bool
-	wasReady   atomic.Bool
+	registered   atomic.Bool
+	shuttingDown atomic.Bool
+	wasReady     atomic.Bool
 }
 
-// New puts an instance together.
+// New creates an instance from validated settings. It opens no connection and
+// no listener; the sink is where the log's lines are written.
 func New(s Settings, log *slog.Logger, sink *logsink.Sink) *Instance {
 	i := &Instance{settings: s, log: log, sink: sink, registry: prometheus.NewRegistry(), loads: &front.Loads{}}
 	i.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -153,14 +157,15 @@
 	return i
 }
 
-// incarnationLength is enough to tell lifetimes of one name apart.
+// incarnationLength is the number of random characters that distinguish
+// incarnations of one instance name.
 const incarnationLength = 8
 
-// longHoldMargin keeps the longest hold under the platform's limit.
+// longHoldMargin is how far a long hold stays below the platform's limit.
 const longHoldMargin = 200 * time.Millisecond
 
-// newHTTPClient reaches servers whose answers are short. Feeds stay open, so there
-// are several connections to one server.
+// newHTTPClient returns a client for servers with short responses. Feeds are long
+// polls, so several connections to one server are kept.
 func newHTTPClient(d *egress.Dialer) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         d.DialContext,
@@ -170,7 +175,7 @@
 	}}
 }
 
-// clientIdleTimeout is below the idle timeout that targets tell.
+// clientIdleTimeout is below the idle timeout that targets announce.
 const clientIdleTimeout = 5 * time.Second
 
 func (i *Instance) buildMirrors() {
@@ -187,7 +192,7 @@
 			IsMinor: isMinorTargetChange,
 		},
 	} {
-		m.Forward = func(p mirror.ForwardedUpdate) { i.replicator.forward(m.Table, p) }
+		m.Forward = func(u mirror.ForwardedUpdate) { i.replicator.forward(m.Table, u) }
 		m.AwaitPeerCopy(maxFirstCopyDelay)
 		m.Backoff = i.replicator.backoff
 		i.replicator.polledMirrors = append(i.replicator.polledMirrors, add(m))
@@ -196,14 +201,15 @@
 		Table: coordinator.AssignmentTable, OnDemand: true, OnUpdate: i.state.applyAssignments, EncodeRow: i.state.encodeAssignment,
 	})
 	i.assignments.AwaitPeerCopy(maxFirstCopyDelay)
-	i.instances = add(&mirror.Mirror{Table: coordinator.InstanceTable, OnDemand: true, OnUpdate: func(c mirror.Update) {
-		i.peers.Know(i.state.applyInstances(c))
+	i.instances = add(&mirror.Mirror{Table: coordinator.InstanceTable, OnDemand: true, OnUpdate: func(u mirror.Update) {
+		i.peers.Know(i.state.applyInstances(u))
 	}})
 	if i.settings.Bootstrap {
 		i.instances.InitialWait = registerTimeout
 	}
 }
 
+// revisions returns the revision of the newest change in each replicated table.
 func (i *Instance) revisions() map[string]uint64 {
 	r := make(map[string]uint64, len(i.mirrors))
 	for _, m := range i.mirrors {
@@ -214,15 +220,15 @@
 	return r
 }
 
-// countMembers returns among how many the fleet's retries are shared. A new
-// coordinator has heard few reports yet: taken alone, its count would give
-// each instance a large part of the whole budget at once.
+// countMembers returns the number of instances that share the fleet's retry
+// budget. A new coordinator has received few reports yet: its count alone would
+// give each instance a large part of the whole budget at once.
 func (i *Instance) countMembers() int {
 	return max(1, int(i.memberCount.Load()), i.peers.Count())
 }
 
-// Ready tells whether callers should be sent here: it knows the configuration
-// and the targets, and does not end.
+// Ready reports whether the platform should route callers to this instance: it
+// has the configuration and at least one target, and is not shutting down.
 func (i *Instance) Ready() bool {
 	ready := !i.shuttingDown.Load() && i.state.routes.Load() != nil && len(i.state.roster.Load().Targets) > 0
 	if i.wasReady.Swap(ready) != ready {
@@ -232,22 +238,24 @@
 	return ready
 }
 
-// Run serves until the context ends, then shuts down without cutting off any
-// request in flight.
+// Run serves until the context ends or a server fails, then shuts down: requests in
+// flight may finish until shortly before the stop timeout, and are abandoned then.
+// It returns an error if a listener cannot be opened, or if a server or the
+// supervisor fails.
 func (i *Instance) Run(ctx context.Context) error {
 	if err := i.peers.Listen(); err != nil {
-		return fmt.Errorf("listen for datagrams: %w", err)
+		return fmt.Errorf("listen for datagrams on %s: %w", i.settings.DatagramListen, err)
 	}
 	servers, err := i.listen()
 	if err != nil {
 		return err
 	}
-	dutyCtx, stopDuties := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopDuties()
+	tasksCtx, stopTasks := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopTasks()
 	var group errgroup.Group
 	tree := i.supervisorTree()
 	group.Go(func() error {
-		if err := tree.Serve(dutyCtx); !errors.Is(err, context.Canceled) {
+		if err := tree.Serve(tasksCtx); !errors.Is(err, context.Canceled) {
 			return err
 		}
 		return nil
@@ -267,11 +275,12 @@
 	case err = <-failed:
 	}
 	i.shutDown(context.WithoutCancel(ctx), servers)
-	stopDuties()
+	stopTasks()
 	return errors.Join(err, group.Wait())
 }
 
-// supervisorTree is the supervisor tree: every background duty.
+// supervisorTree returns the supervisor of all background tasks, which
+// restarts those that fail.
 func (i *Instance) supervisorTree() *suture.Supervisor {
 	root := suture.New("gateway", suture.Spec{EventHook: func(e suture.Event) {
 		event.DutyFailed.Log(i.log, "detail", e.String())
@@ -293,21 +302,22 @@
 }
 
 const (
-	// outOfRotationDelay is when the platform, which asks once a second and takes
-	// an instance out after two misses, sends no new connections any more.
+	// outOfRotationDelay is the time after which the platform sends no new
+	// connections: it probes readiness once a second, and takes an instance out
+	// of rotation after two failed probes.
 	outOfRotationDelay = 2600 * time.Millisecond
-	// exitMargin is left of the stop timeout for the process's own end, and
-	// giveUpMargin for the answers to requests that are given up before it: a
-	// small instance needs some milliseconds of its processor for each of a
-	// hundred. The users allow a sixth of the stop timeout.
+	// exitMargin is the part of the stop timeout that is reserved for the exit of
+	// the process, and abandonMargin the part for the responses to requests that
+	// are abandoned before it: a small instance needs some milliseconds of CPU
+	// time for each of a hundred. The users allow a sixth of the stop timeout.
 	exitMargin    = 200 * time.Millisecond
 	abandonMargin = 900 * time.Millisecond
-	// resignTimeout bounds the write by which a coordinator gives up.
+	// resignTimeout bounds the write by which a coordinator resigns.
 	resignTimeout = time.Second
 )
 
-// shutDown fails readiness, hands the coordination over, waits until no new
-// connections come, and lets every request in flight finish.
+// shutDown fails readiness, resigns as coordinator, waits until the platform sends
+// no new connections, and lets requests in flight finish.
 func (i *Instance) shutDown(ctx context.Context, servers []*server) {
 	event.Stopping.Log(i.log)
 	ctx, cancel := context.WithTimeout(ctx, i.settings.StopTimeout-exitMargin)
@@ -322,8 +332,8 @@
 	timer := time.NewTimer(outOfRotationDelay - time.Since(began))
 	defer timer.Stop()
 	<-timer.C
-	giveUp := time.AfterFunc(i.settings.StopTimeout-abandonMargin-time.Since(began), i.front.End)
-	defer giveUp.Stop()
+	abandon := time.AfterFunc(i.settings.StopTimeout-abandonMargin-time.Since(began), i.front.End)
+	defer abandon.Stop()
 	var group errgroup.Group
 	for _, s := range servers {
 		group.Go(func() error { return s.Shutdown(ctx) })
@@ -367,7 +377,7 @@
 		}
 		listener, err := net.Listen("tcp", h.address)
 		if err != nil {
-			return nil, fmt.Errorf("listen: %w", err)
+			return nil, fmt.Errorf("listen for HTTP on %s: %w", h.address, err)
 		}
 		servers = append(servers, &server{listener: listener, Server: &http.Server{
 			Addr:              h.address,
--- a/gateway/instance/instance_test.go
+++ b/gateway/instance/instance_test.go
@@ -27,7 +27,7 @@
 	"gotest.tools/v3/poll"
 )
 
-// fleet is a few instances on loopback, with a store and targets.
+// fleet is a set of instances on loopback, with a store and targets.
 type fleet struct {
 	t         *testing.T
 	store     *standin.Store
@@ -35,7 +35,7 @@
 	targets   map[string]*standin.Target
 	addresses map[string]string
 	requests  atomic.Int64
-	// cores is what instances that are started are told of their processor.
+	// cores is the CPU share in the settings of the instances that are started.
 	cores float64
 }
 
@@ -49,8 +49,8 @@
 	return f
 }
 
-// configure writes a configuration; /lists/ goes to the sharded service,
-// /menus/ to the one named.
+// configure writes a configuration that routes /lists/ to the sharded service and
+// /menus/ to the given one.
 func (f *fleet) configure(version int, menus string) {
 	f.store.Put(platform.OperatorTable, platform.ConfigKey, []byte(fmt.Sprintf(`{"version":"r%d","routes":[
 	{"name":"menus","host":"cakes.example","prefix":"/menus/","route_type":"safe","timeout":"8s","target_latency":"4s","priority":2,"service":"%s","max_attempts":2},
@@ -74,7 +74,6 @@
 		f.addresses[id], service, state, f.requests.Add(1))))
 }
 
-// runningInstance is one instance.
 type runningInstance struct {
 	callers, ready string
 	stop           func() error
@@ -88,8 +87,8 @@
 	return l.Addr().String()
 }
 
-// start runs an instance. Its addresses are free when they are chosen, and may
-// be taken by another test until it opens them; then others are chosen.
+// start runs an instance. Another test may take one of its addresses before it
+// opens them; then it is started again with other addresses.
 func (f *fleet) start(name string, seeds ...string) *runningInstance {
 	f.t.Helper()
 	for range 20 {
@@ -102,6 +101,7 @@
 	return nil
 }
 
+// tryStart returns nil if an address was in use.
 func (f *fleet) tryStart(name string, seeds []string) *runningInstance {
 	s := instance.Defaults()
 	s.Instance, s.Zone, s.Region, s.Regions = name, "graz", "ost", map[string]string{"graz": "ost"}
@@ -112,12 +112,12 @@
 	sink := logsink.New(io.Discard)
 	i := instance.New(s, slog.New(slog.NewJSONHandler(sink, nil)), sink)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- i.Run(ctx) }()
-	// It listens, or has ended since it could not.
+	done := make(chan error, 1)
+	go func() { done <- i.Run(ctx) }()
+	// Wait until it listens, or has failed to.
 	for {
 		select {
-		case err := <-ended:
+		case err := <-done:
 			cancel()
 			assert.Assert(f.t, errors.Is(err, syscall.EADDRINUSE), "%v", err)
 			return nil
@@ -134,7 +134,7 @@
 	r.stop = func() error {
 		if !stopped {
 			cancel()
-			result, stopped = <-ended, true
+			result, stopped = <-done, true
 		}
 		return result
 	}
@@ -163,7 +163,7 @@
 	}, poll.WithTimeout(60*time.Second), poll.WithDelay(20*time.Millisecond))
 }
 
-// call sends a request; the answer's status is 0 if there was none.
+// call sends a request. The status is 0 if there was no response.
 func (f *fleet) call(r *runningInstance, path string, key int) (status int, body string) {
 	id := "r" + strconv.FormatInt(f.requests.Add(1), 10)
 	req, err := http.NewRequest(http.MethodGet, "http://"+r.callers+path, nil)
@@ -177,22 +177,24 @@
 		return 0, err.Error()
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(res.Body)
+	content, err := io.ReadAll(res.Body)
 	if err != nil {
 		return 0, err.Error()
 	}
-	return res.StatusCode, string(text)
+	return res.StatusCode, string(content)
 }
 
-// awaitAnswer retries while the fleet settles.
-func (f *fleet) awaitAnswer(r *runningInstance, path string, key int, want string) {
+// awaitAnswer repeats a request until the body of a 200 response has a prefix.
+func (f *fleet) awaitAnswer(r *runningInstance, path string, key int, prefix string) {
 	f.t.Helper()
 	eventually(f.t, func() bool {
 		status, body := f.call(r, path, key)
-		return status == http.StatusOK && strings.HasPrefix(body, want)
+		return status == http.StatusOK && strings.HasPrefix(body, prefix)
 	})
 }
 
+// assignment returns the sharded service's assignment in the store; an empty one if
+// there is none.
 func (f *fleet) assignment() *ownership.Assignment {
 	a, err := ownership.Parse(f.store.Row(coordinator.AssignmentTable, "lists").Value)
 	if err != nil {
@@ -201,6 +203,8 @@
 	return a
 }
 
+// Guards against a fleet in which an instance does not route to all targets, or
+// finds no owner for some of the keys.
 func TestFleetServes(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -220,6 +224,8 @@
 	assert.Equal(t, status, http.StatusNotFound)
 }
 
+// Guards against a configuration that reaches only some instances, and against an
+// older version that replaces a newer one.
 func TestAllInstancesApplyNewestConfig(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -232,14 +238,14 @@
 	f.configure(3, "other")
 	f.awaitAnswer(one, "/menus/x", 0, "o1")
 	f.awaitAnswer(two, "/menus/x", 0, "o1")
-	// An older one does not come back.
+	// An older version must not be applied.
 	f.configure(2, "menus")
 	f.configure(4, "other")
 	f.awaitAnswer(one, "/menus/x", 0, "o1")
 }
 
-// A target says that it leaves. Its keys go to the other one, which must hold
-// them before the first one stops.
+// Guards against keys that stay with a draining target: they must be granted to the
+// other target, and released by the draining one.
 func TestKeysOfDrainingTargetMove(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -256,8 +262,8 @@
 	eventually(t, func() bool { return !f.targets[owner].Holds(5) && f.targets[other].Holds(5) })
 }
 
-// The coordinator stops. Another instance takes over and goes on renewing, so
-// that the keys stay where they are.
+// Guards against keys that lose their owner when the coordinator stops: another
+// instance must take over and continue the renewals.
 func TestCoordinatorIsReplaced(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -283,8 +289,8 @@
 	f.awaitAnswer(running[other], "/lists/x", 5, "l1")
 }
 
-// The store is away when an instance starts. It learns from another one what
-// it needs to serve.
+// Guards against an instance that cannot serve if the store is unavailable when it
+// starts: it must fetch the tables from another instance.
 func TestStartWhileStoreUnavailable(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -303,7 +309,7 @@
 	f.store.Refuse(0)
 }
 
-// Requests are under way when the process is told to stop. All are answered.
+// Guards against a shutdown that cuts off requests in flight.
 func TestShutdownFinishesRequestsInFlight(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -326,9 +332,9 @@
 	}
 }
 
-// An instance ends and starts again while the store is away for it alone. The
-// others forgot it when it ended, so it must say hello without having written
-// its row: else it serves an old configuration until its first call times out.
+// Guards against an instance that restarts while only it cannot reach the store, and
+// then serves an old configuration until its first call times out. The others
+// removed it when it ended, so it must announce itself without its row being written.
 func TestRestartedInstanceReceivesUpdatesWithoutStore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -340,13 +346,13 @@
 	eventually(t, func() bool {
 		return json.Unmarshal(f.store.Row(coordinator.InstanceTable, "one").Value, &i) == nil
 	})
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	defer silent.Close()
-	whole := f.address
-	f.address = silent.Addr().String()
+	defer unresponsive.Close()
+	address := f.address
+	f.address = unresponsive.Addr().String()
 	two := f.start("two", i.Control)
-	f.address = whole
+	f.address = address
 	two.awaitReady(t)
 	f.awaitAnswer(two, "/menus/x", 0, "m1")
 	f.configure(3, "other")
--- a/gateway/instance/join.go
+++ b/gateway/instance/join.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	// joinTimeout is how long an instance that starts tries to get its first copies
-	// from others before it reads the store.
+	// joinTimeout is how long an instance that starts tries to copy the tables from
+	// other instances before it reads the store.
 	joinTimeout = 500 * time.Millisecond
-	// joinRetryDelay is the pause between two tries: others of the zone may be
-	// starting too.
+	// joinRetryDelay is the pause between two attempts: the zone's other instances
+	// may be starting too.
 	joinRetryDelay = 50 * time.Millisecond
-	// joinAttemptTimeout bounds a try. While one instance has not answered for joinNext, the
-	// next one is asked too: the first may be dead.
-	joinAttemptTimeout  = 300 * time.Millisecond
-	joinHedgeDelay = 50 * time.Millisecond
-	// maxJoinSources is how many instances are asked.
+	// joinAttemptTimeout bounds an attempt. The next instance is queried too when one
+	// has not answered for joinHedgeDelay: the first may be dead.
+	joinAttemptTimeout = 300 * time.Millisecond
+	joinHedgeDelay     = 50 * time.Millisecond
+	// maxJoinSources bounds the instances that are queried in an attempt.
 	maxJoinSources = 3
-	// instanceListTimeout is how long the list of instances is waited for. firstListFor is the
-	// same at the first start of the fleet, when all write their rows at once, which
-	// the store takes one after the other.
-	instanceListTimeout      = 250 * time.Millisecond
+	// instanceListTimeout bounds the wait for the list of instances, and
+	// bootstrapListTimeout the same at the first start of the fleet: all instances
+	// write their rows at once then, and the store writes one after the other.
+	instanceListTimeout  = 250 * time.Millisecond
 	bootstrapListTimeout = 1500 * time.Millisecond
-	// listPollInterval is how often the list is looked for.
+	// listPollInterval is how often the wait checks for the list.
 	listPollInterval = 10 * time.Millisecond
-	// maxFirstCopyDelay is when a copy is read from the store at the latest.
+	// maxFirstCopyDelay is how long a mirror waits for another instance's copy before
+	// it reads the store.
 	maxFirstCopyDelay = bootstrapListTimeout + joinTimeout + 500*time.Millisecond
 )
 
-// join gets the first copies of the tables: from those who read for the zone, or,
-// if this instance is to be one of them, from the store. An instance takes up to
-// eight calls to read everything, and a whole fleet may start at once.
+// join fills the mirrors for the first time: from the zone's feed readers, or from
+// the store if this instance is to be a reader. Reading everything from the store
+// takes an instance up to eight calls, and a whole fleet may start at once.
 func (s *replicator) join(ctx context.Context) {
 	defer s.joined.Store(true)
 	known := s.awaitInstances(ctx)
@@ -45,7 +46,7 @@
 	for known && ctx.Err() == nil && s.rank() >= readerCount(s.zoneSize()) {
 		if s.copyFromReaders(ctx) {
 			s.passive.Store(true)
-			// Signs of life come as soon as the readers know of this instance.
+			// The readers send heartbeats as soon as they list this instance.
 			s.noReaderSince = time.Now().Add(readerTimeout)
 			return
 		}
@@ -55,7 +56,7 @@
 	s.assignments.Refresh()
 }
 
-// awaitInstances waits for the list of instances, and tells whether it has come.
+// awaitInstances waits for the list of instances, and reports whether it has arrived.
 func (i *Instance) awaitInstances(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, i.listTimeout())
 	defer cancel()
@@ -72,18 +73,18 @@
 	return instanceListTimeout
 }
 
-// copyFromReaders asks those who should read for the zone for their copies, and
-// tells whether all that a listener needs has come.
+// copyFromReaders fetches the tables from the instances that should be the zone's
+// feed readers, and reports whether all that a passive instance needs has arrived.
 func (s *replicator) copyFromReaders(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, joinAttemptTimeout)
 	defer cancel()
-	wanted := slices.Concat(s.polledMirrors, []*mirror.Mirror{s.assignments})
+	mirrors := slices.Concat(s.polledMirrors, []*mirror.Mirror{s.assignments})
 	var group errgroup.Group
 	for n, source := range s.sources() {
 		group.Go(func() error {
 			sleep(ctx, time.Duration(n)*joinHedgeDelay)
 			if ctx.Err() == nil {
-				(&catchUp{s.Instance}).requestState(ctx, source.Control, wanted)
+				(&catchUp{s.Instance}).requestState(ctx, source.Control, mirrors)
 			}
 			if s.hasCopies() {
 				cancel()
@@ -104,8 +105,8 @@
 	return true
 }
 
-// sources are the instances of the zone that go first as readers, in an order that
-// spreads the calls over the readers.
+// sources returns the zone's highest-ranking other instances, in an order that
+// spreads the calls over the feed readers.
 func (s *replicator) sources() []peers.Instance {
 	var list []peers.Instance
 	for _, i := range s.peers.Zone(s.settings.Zone) {
--- a/gateway/instance/replicator_test.go
+++ b/gateway/instance/replicator_test.go
@@ -20,27 +20,27 @@
 	"gotest.tools/v3/poll"
 )
 
-// Guards against a zone that goes on listening to readers which the store refuses
-// without a word: nobody would hear of a configuration.
+// Guards against a zone that relies on feed readers whose calls the store does not
+// answer: no instance would receive a configuration.
 func TestReaderWithoutConfirmationIsNotFresh(t *testing.T) {
 	i := testInstance()
 	s := i.replicator
 	now := time.Now()
-	assert.Assert(t, !s.isFresh(now), "no coordinator was heard, and the store has answered nothing")
+	assert.Assert(t, !s.isFresh(now), "neither the coordinator nor the store has confirmed it")
 	i.recordCoordinator("c", 3)
 	assert.Assert(t, s.isFresh(now))
-	long := now.Add(-readerTimeout)
-	i.lastHeartbeat.Store(&long)
-	assert.Assert(t, !s.isFresh(now), "the coordinator fell silent")
+	expired := now.Add(-readerTimeout)
+	i.lastHeartbeat.Store(&expired)
+	assert.Assert(t, !s.isFresh(now), "the coordinator's heartbeats have timed out")
 	i.recordLeading(3, true)
 	assert.Assert(t, s.isFresh(now), "it coordinates")
 	i.recordLeading(3, false)
 	assert.Assert(t, !s.isFresh(now), "it coordinates, and the store does not answer")
 }
 
-// Guards against a zone whose only reader coordinates and loses the store: its
-// listeners waited until it counted as silent, and heard of a configuration 2.3 s
-// after it was acknowledged.
+// Guards against passive instances that wait for the timeout of a reader which has
+// withdrawn. In a zone whose only reader coordinates and loses the store, they
+// received a configuration 2.3 s after it was acknowledged.
 func TestPassiveInstanceLeavesReaderThatLostStore(t *testing.T) {
 	i := testInstance()
 	s := i.replicator
@@ -52,22 +52,22 @@
 	assert.Assert(t, !s.shouldBePassive(now))
 }
 
-// Guards against listeners that stay with silent readers, and against all of them
-// calling the store at the same moment.
+// Guards against passive instances that keep relying on readers that have timed
+// out, and against all of them calling the store at the same moment.
 func TestPassiveInstancesTakeOverInRankOrder(t *testing.T) {
 	i := testInstance()
 	s := i.replicator
 	s.passive.Store(true)
-	hear := func(m *peers.Message) { assert.Assert(t, s.handleMessage(m)) }
-	hear(&peers.Message{From: "a", Reader: &peers.Reader{Reached: map[string]uint64{}}})
+	handle := func(m *peers.Message) { assert.Assert(t, s.handleMessage(m)) }
+	handle(&peers.Message{From: "a", Reader: &peers.Reader{Reached: map[string]uint64{}}})
 	now := time.Now()
 	assert.Assert(t, s.shouldBePassive(now))
 	i.recordCoordinator(i.settings.Instance, 3)
-	assert.Assert(t, !s.shouldBePassive(now), "the coordinator reads itself")
+	assert.Assert(t, !s.shouldBePassive(now), "the coordinator polls the feeds itself")
 	i.recordCoordinator("c", 3)
-	silent := func() { s.lastSeen = map[string]time.Time{"a": now.Add(-readerTimeout)} }
-	silent()
-	assert.Assert(t, !s.shouldBePassive(now), "the readers fell silent, and it is the first of its zone")
+	expire := func() { s.lastSeen = map[string]time.Time{"a": now.Add(-readerTimeout)} }
+	expire()
+	assert.Assert(t, !s.shouldBePassive(now), "the reader timed out, and it ranks first in its zone")
 
 	zone := map[string]peers.Instance{i.settings.Instance: i.peers.Self}
 	for _, name := range []string{"d", "e", "f"} {
@@ -75,16 +75,16 @@
 	}
 	i.peers.Know(zone)
 	s.noReaderSince = time.Time{}
-	silent()
-	assert.Assert(t, s.shouldBePassive(now), "three go before it")
+	expire()
+	assert.Assert(t, s.shouldBePassive(now), "three rank before it")
 	assert.Assert(t, s.shouldBePassive(now.Add(3*takeoverDelayStep-1)))
 	assert.Assert(t, !s.shouldBePassive(now.Add(3*takeoverDelayStep)))
-	hear(&peers.Message{From: "d", Reader: &peers.Reader{Reached: map[string]uint64{}}})
+	handle(&peers.Message{From: "d", Reader: &peers.Reader{Reached: map[string]uint64{}}})
 	assert.Assert(t, s.shouldBePassive(now.Add(3*takeoverDelayStep)), "another one reads")
 }
 
-// Guards against a reader too many: one of a small zone is enough, the coordinator
-// is one, and what it reads anyway nobody else has to.
+// Guards against one reader too many: a small zone needs only one, and the
+// coordinator is one anyway.
 func TestCoordinatorReadsForItsZone(t *testing.T) {
 	i := testInstance()
 	s := i.replicator
@@ -109,9 +109,9 @@
 	return platform.Row{Table: platform.TargetTable, Key: id, Value: []byte(text), Revision: revision}
 }
 
-// All targets of a fleet start together and report how far they have warmed up.
-// Passed on to every instance, that filled the small links, and readers' words
-// were lost behind it; a target that leaves must still be told at once.
+// Guards against warm-up progress that is forwarded to every instance. All targets
+// of a fleet start together and report it: that filled the small links, and readers'
+// heartbeats were lost. A target that leaves must still be forwarded at once.
 func TestWarmupProgressIsMinor(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -128,8 +128,8 @@
 	}
 }
 
-// One datagram of a series is lost. The next one tells its rows once more, so
-// the listeners need not call the store, all at the same moment.
+// Guards against a lost datagram that makes all passive instances call the store at
+// the same moment: the next update must resend its rows.
 func TestLostUpdateIsResent(t *testing.T) {
 	var a recentUpdates
 	first := mirror.ForwardedUpdate{From: 10, To: 12, NewestChange: 12, Rows: []platform.Row{targetRow("a", "ready", "0s", 12)}}
@@ -143,14 +143,14 @@
 	parts := splitUpdate("t", both)
 	assert.Equal(t, parts[0].From, uint64(10))
 	assert.Equal(t, parts[len(parts)-1].To, uint64(15))
-	// What follows on nothing stands alone: the reader has read the table anew.
+	// After a gap nothing is resent: the reader has read the whole table again.
 	alone := mirror.ForwardedUpdate{From: 20, To: 21}
 	assert.DeepEqual(t, a.withPrevious("t", alone), alone)
 }
 
-// A target leaves and comes back. One reader passes the leaving on; the other
-// one's feed tells only that it is there, which is nothing new to it. Whoever
-// listens would go on without the target for good.
+// Guards against a passive instance that lacks a target for good. The target leaves
+// and comes back; one reader forwards its removal, while the other one's feed reports
+// only that it is there, which is no change.
 func TestPassiveInstanceReloadsOnDigestMismatch(t *testing.T) {
 	fake := &standin.Store{}
 	server := httptest.NewServer(fake)
@@ -163,7 +163,7 @@
 	var group errgroup.Group
 	group.Go(func() error { return targets.Serve(ctx) })
 	defer func() { cancel(); server.CloseClientConnections(); _ = group.Wait() }()
-	knows := func(n int) func(poll.LogT) poll.Result {
+	hasTargets := func(n int) func(poll.LogT) poll.Result {
 		return func(poll.LogT) poll.Result {
 			if got := len(i.state.roster.Load().Targets); got != n {
 				return poll.Continue("%d targets", got)
@@ -171,42 +171,42 @@
 			return poll.Success()
 		}
 	}
-	poll.WaitOn(t, knows(1))
-	readers := i.state.roster.Load().Digest
+	poll.WaitOn(t, hasTargets(1))
+	digest := i.state.roster.Load().Digest
 	i.replicator.setPassive(true)
 	reached := targets.Revision()
 	assert.Assert(t, i.replicator.handleMessage(&peers.Message{Rows: &peers.Rows{
 		Table: platform.TargetTable, From: reached, To: reached + 1, Newest: reached + 1,
 		Rows: []peers.Row{{Key: "a", Revision: reached + 1, Removed: true}},
 	}}))
-	poll.WaitOn(t, knows(0))
+	poll.WaitOn(t, hasTargets(0))
 	for range maxDigestMismatches {
-		beat := &peers.Reader{Targets: readers, Reached: map[string]uint64{platform.TargetTable: reached + 1}}
-		assert.Assert(t, i.replicator.handleMessage(&peers.Message{From: "r", Reader: beat}))
+		heartbeat := &peers.Reader{Targets: digest, Reached: map[string]uint64{platform.TargetTable: reached + 1}}
+		assert.Assert(t, i.replicator.handleMessage(&peers.Message{From: "r", Reader: heartbeat}))
 	}
 	fake.Put("other", "x", nil)
 	fake.Put("other", "y", nil)
-	poll.WaitOn(t, knows(1))
+	poll.WaitOn(t, hasTargets(1))
 }
 
-// A configuration is too large for a datagram. Its reader says so, and each
-// listener asks for its copy, once, instead of calling the store: there would be
-// a call of each instance for each configuration.
+// Guards against a call to the store by each instance for each configuration that is
+// too large for a datagram. The reader sends a notice instead, and each passive
+// instance fetches the reader's copy once.
 func TestOversizedRowsAreFetchedFromReader(t *testing.T) {
 	large := mirror.ForwardedUpdate{From: 3, To: 5, NewestChange: 5, Rows: []platform.Row{{Key: "config", Value: make([]byte, 3*maxUpdateBytes), Revision: 5}}}
 	assert.Assert(t, splitUpdate("op", large) == nil)
 	i := testInstance()
 	s := i.replicator
-	said := &peers.Message{From: "reader", Rows: &peers.Rows{Table: platform.OperatorTable, From: 3, To: 5, Fetch: true}}
-	assert.Assert(t, s.handleMessage(said))
-	assert.Equal(t, len(s.copyRequests), 0, "it follows the feed itself")
+	notice := &peers.Message{From: "reader", Rows: &peers.Rows{Table: platform.OperatorTable, From: 3, To: 5, Fetch: true}}
+	assert.Assert(t, s.handleMessage(notice))
+	assert.Equal(t, len(s.copyRequests), 0, "it polls the feed itself")
 	s.setPassive(true)
-	assert.Assert(t, s.handleMessage(said))
+	assert.Assert(t, s.handleMessage(notice))
 	assert.DeepEqual(t, (<-s.copyRequests).from, "reader")
 }
 
-// A listener missed a datagram. It asks a reader for its copy, and calls the
-// store only if that brings nothing.
+// Guards against a call to the store for each lost datagram: a passive instance must
+// fetch a reader's copy first, and call the store only if that does not fill the gap.
 func TestGapIsFilledByReader(t *testing.T) {
 	i := testInstance()
 	s := i.replicator
@@ -214,20 +214,20 @@
 	s.handleMessage(&peers.Message{From: "reader", Reader: &peers.Reader{Reached: map[string]uint64{platform.TargetTable: 7}}})
 	now := time.Now()
 	s.checkGaps(now)
-	assert.Equal(t, len(s.copyRequests), 0, "its rows may be on their way")
+	assert.Equal(t, len(s.copyRequests), 0, "its rows may be in transit")
 	s.checkGaps(now.Add(gapTimeout))
 	assert.Equal(t, (<-s.copyRequests).from, "reader")
 	s.checkGaps(now.Add(2 * gapTimeout))
-	assert.Equal(t, len(s.copyRequests), 0, "asked once")
-	_, waits := s.gaps[platform.TargetTable]
-	assert.Assert(t, waits, "the copy may be on its way")
+	assert.Equal(t, len(s.copyRequests), 0, "requested once")
+	_, open := s.gaps[platform.TargetTable]
+	assert.Assert(t, open, "the copy may be in transit")
 	s.checkGaps(now.Add(gapTimeout + copyTimeout))
-	_, waits = s.gaps[platform.TargetTable]
-	assert.Assert(t, !waits, "the store is called")
+	_, open = s.gaps[platform.TargetTable]
+	assert.Assert(t, !open, "the store is called")
 }
 
-// A reader sends each change to its whole zone: 52 new targets filled the link
-// of a small one, and what homes said was lost behind it.
+// Guards against a small instance as feed reader: it sends each change to its whole
+// zone, and 52 new targets filled its link, so that other datagrams were lost.
 func TestInstancesWithMoreCoresReadFirst(t *testing.T) {
 	small, other, strong := peers.Instance{Name: "a", Cores: 0.16}, peers.Instance{Name: "b", Cores: 0.16}, peers.Instance{Name: "c", Cores: 0.8}
 	assert.Assert(t, ranksBefore(strong, small) && ranksBefore(strong, other))
@@ -235,8 +235,8 @@
 	assert.Assert(t, ranksBefore(small, other) != ranksBefore(other, small))
 }
 
-// Guards against readers that rely on a coordinator whose writes are not answered
-// any more, though its signs of life go on for the rest of its lease.
+// Guards against readers that rely on a coordinator whose writes are no longer
+// answered, though its heartbeats continue for the rest of its lease.
 func TestCoordinatorInDoubtConfirmsNothing(t *testing.T) {
 	i := testInstance()
 	s := i.replicator
@@ -246,20 +246,21 @@
 	assert.Assert(t, !s.isFresh(time.Now()))
 }
 
-// The store refuses this instance alone. It listens to its zone's readers,
-// though it is strong enough to be one.
+// Guards against an instance that stays a feed reader though the store refuses only
+// its calls: it must rely on the zone's other reader.
 func TestInstanceRefusedByStoreIsPassive(t *testing.T) {
 	i := testInstance()
 	s := i.replicator
 	i.recordCoordinator("c", 3)
-	assert.Assert(t, !s.feedsHealthy(), "nothing was read yet")
+	assert.Assert(t, !s.feedsHealthy(), "nothing has been read")
 	assert.Assert(t, !s.shouldBePassive(time.Now()), "there is no reader")
 	s.handleMessage(&peers.Message{From: "reader", Reader: &peers.Reader{Reached: map[string]uint64{}}})
 	assert.Assert(t, s.shouldBePassive(time.Now()))
 }
 
-// An instance that restarts while the store is away asks others for their
-// copies: one of its own zone if it knows any, since bytes further off are paid.
+// Guards against an instance that restarts while the store is unavailable and fetches
+// the tables from far away, although its own zone has an instance: traffic between
+// zones and regions is billed.
 func TestNearestInstanceIsQueriedFirst(t *testing.T) {
 	i := testInstance()
 	i.settings.Regions = map[string]string{"local": "local", "near": "local", "far": "abroad"}
@@ -278,8 +279,8 @@
 	}
 }
 
-// Guards against a copy that counts as behind for good, and is read each second: a
-// target was removed before it was read whole, so no row has that revision.
+// Guards against a mirror that counts as behind for good, and is read each second. If
+// a target was removed before the table was read in full, no row has that revision.
 func TestCopyReadAfterRemovalIsNotBehind(t *testing.T) {
 	i := testInstance()
 	targets := i.replicator.polledMirrors[1]
--- a/gateway/instance/settings_test.go
+++ b/gateway/instance/settings_test.go
@@ -28,6 +28,8 @@
 	return s, err
 }
 
+// Guards against a wrong precedence: flags override the environment, which overrides
+// the file.
 func TestSettingsPrecedence(t *testing.T) {
 	s, err := load(t, []string{"--zone=flag"},
 		map[string]string{"BASILCROSS_ZONE": "env", "BASILCROSS_REGION": "env"},
@@ -40,6 +42,7 @@
 	assert.DeepEqual(t, s.Regions, map[string]string{"a": "x", "b": "y"})
 }
 
+// Guards against errors that do not name the invalid setting.
 func TestErrorsNameTheField(t *testing.T) {
 	_, err := load(t, nil, nil, "BASILCROSS_LONGEST_HOLD=soon\n")
 	assert.ErrorContains(t, err, "longest-hold")
--- a/gateway/instance/state.go
+++ b/gateway/instance/state.go
@@ -18,27 +18,30 @@
 	"basilcross.example/platform"
 )
 
-// state is what an instance believes, decoded from its copies of the tables.
+// state is the decoded content of an instance's mirrors.
 type state struct {
-	log    *slog.Logger
-	zone   string
-	routes  atomic.Pointer[routing.Table]
-	roster *roster.Roster
-	revisionReport   atomic.Pointer[revisionReport]
+	log            *slog.Logger
+	zone           string
+	routes         atomic.Pointer[routing.Table]
+	roster         *roster.Roster
+	revisionReport atomic.Pointer[revisionReport]
 
 	mu          sync.Mutex
 	assignments map[string]*versionedAssignment
 	instances   map[string]peers.Instance
-	updateParts       map[int]*peers.News
-	updatePartsRevision     uint64
+	// updateParts are the parts received so far, by number, of the assignment update
+	// that was recorded at updatePartsRevision.
+	updateParts         map[int]*peers.News
+	updatePartsRevision uint64
 }
 
-// versionedAssignment is a service's assignment, and who waits for the next one.
+// versionedAssignment is a service's assignment at a revision of its table.
 type versionedAssignment struct {
 	assignment *ownership.Assignment
 	revision   uint64
-	superseded      chan struct{}
-	// ownerChanges are the latest changes of owners, the oldest first.
+	// superseded is closed when a newer assignment is in force.
+	superseded chan struct{}
+	// ownerChanges are the latest changes of owners, oldest first.
 	ownerChanges []ownerChange
 }
 
@@ -48,25 +51,26 @@
 	at          time.Time
 }
 
-// ownerChangeRetention is how long changes of owners are kept: longer than any request may be
-// sent once more.
+// ownerChangeRetention is how long changes of owners are kept: longer than any
+// request may be retried.
 const ownerChangeRetention = 15 * time.Second
 
-// ownerChangesTo returns the moves with those that lead to the next assignment.
+// ownerChangesTo returns the changes of owners, extended by those that lead to the
+// next assignment. Expired ones are left out.
 func (a *versionedAssignment) ownerChangesTo(now time.Time, next *ownership.Assignment) []ownerChange {
-	old := 0
-	for old < len(a.ownerChanges) && now.Sub(a.ownerChanges[old].at) > ownerChangeRetention {
-		old++
+	expired := 0
+	for expired < len(a.ownerChanges) && now.Sub(a.ownerChanges[expired].at) > ownerChangeRetention {
+		expired++
 	}
-	// Whoever reads the former list does not see what is appended.
-	moves := a.ownerChanges[old:]
+	// Appending is safe: concurrent readers hold the former, shorter slice.
+	changes := a.ownerChanges[expired:]
 	for _, p := range a.assignment.OwnerChanges(next) {
-		moves = append(moves, ownerChange{p.First, p.Last, now})
+		changes = append(changes, ownerChange{p.First, p.Last, now})
 	}
-	return moves
+	return changes
 }
 
-// ownerChangedSince tells whether a key got another owner after a time.
+// ownerChangedSince reports whether a key got another owner after a time.
 func (s *state) ownerChangedSince(service string, key int, since time.Time) bool {
 	s.mu.Lock()
 	a := s.assignments[service]
@@ -74,14 +78,15 @@
 	if a == nil {
 		return false
 	}
-	return slices.ContainsFunc(a.ownerChanges, func(m ownerChange) bool {
-		return m.first <= key && key <= m.last && m.at.After(since)
+	return slices.ContainsFunc(a.ownerChanges, func(c ownerChange) bool {
+		return c.first <= key && key <= c.last && c.at.After(since)
 	})
 }
 
-// applyConfig puts a newer configuration in force. An older one never follows.
-func (s *state) applyConfig(c mirror.Update) {
-	for _, r := range c.Rows {
+// applyConfig puts a newer configuration in force. Older ones and invalid ones are
+// ignored.
+func (s *state) applyConfig(u mirror.Update) {
+	for _, r := range u.Rows {
 		if r.Key != platform.ConfigKey || r.Removed {
 			continue
 		}
@@ -90,9 +95,9 @@
 			event.RowUnusable.Log(s.log, "table", r.Table, "key", r.Key, "revision", r.Revision, "error", err)
 			continue
 		}
-		now := s.routes.Load()
-		if now != nil && now.Config.Version >= config.Version {
-			event.ConfigStale.Log(s.log, "offered", config.Version, "inForce", now.Config.Version)
+		current := s.routes.Load()
+		if current != nil && current.Config.Version >= config.Version {
+			event.ConfigStale.Log(s.log, "offered", config.Version, "inForce", current.Config.Version)
 			continue
 		}
 		s.routes.Store(routing.New(config))
@@ -100,42 +105,44 @@
 	}
 }
 
-func (s *state) applyTargets(c mirror.Update) {
+// applyTargets updates the roster, and logs which targets were added or are leaving.
+func (s *state) applyTargets(u mirror.Update) {
 	now := time.Now()
-	var came, left []*roster.Target
+	var added, leaving []*roster.Target
 	first := len(s.roster.Load().Targets) == 0
-	if c.Full {
-		list := make([]*roster.Target, 0, len(c.Rows))
-		for _, r := range c.Rows {
+	if u.Full {
+		list := make([]*roster.Target, 0, len(u.Rows))
+		for _, r := range u.Rows {
 			if t := s.parseTarget(r); t != nil {
 				list = append(list, t)
 			}
 		}
-		came, left = s.roster.Replace(now, list, c.Revision)
+		added, leaving = s.roster.Replace(now, list, u.Revision)
 	} else {
-		changes := make([]roster.Change, 0, len(c.Rows))
-		for _, r := range c.Rows {
+		changes := make([]roster.Change, 0, len(u.Rows))
+		for _, r := range u.Rows {
 			if r.Removed {
 				changes = append(changes, roster.Change{ID: r.Key})
 			} else if t := s.parseTarget(r); t != nil {
 				changes = append(changes, roster.Change{ID: r.Key, Target: t})
 			}
 		}
-		came, left = s.roster.Apply(now, changes, c.Revision)
+		added, leaving = s.roster.Apply(now, changes, u.Revision)
 	}
-	if first && c.Full {
-		event.TargetsLoaded.Log(s.log, "targets", len(came), "leaving", len(left), "revision", c.Revision)
+	if first && u.Full {
+		event.TargetsLoaded.Log(s.log, "targets", len(added), "leaving", len(leaving), "revision", u.Revision)
 		return
 	}
-	for _, t := range came {
+	for _, t := range added {
 		event.TargetCame.Log(s.log, "target", t.ID, "born", t.Born, "service", t.Service, "zone", t.Zone, "address", t.Address,
-			"slots", t.Slots, "warmingMs", t.Warming.Milliseconds(), "revision", c.Revision)
+			"slots", t.Slots, "warmingMs", t.Warming.Milliseconds(), "revision", u.Revision)
 	}
-	for _, t := range left {
-		event.TargetLeft.Log(s.log, "target", t.ID, "born", t.Born, "service", t.Service, "draining", t.Draining, "revision", c.Revision)
+	for _, t := range leaving {
+		event.TargetLeft.Log(s.log, "target", t.ID, "born", t.Born, "service", t.Service, "draining", t.Draining, "revision", u.Revision)
 	}
 }
 
+// parseTarget returns the target of a row; nil if the row is invalid.
 func (s *state) parseTarget(r platform.Row) *roster.Target {
 	t, err := platform.ParseTarget(r.Key, r.Value)
 	if err != nil {
@@ -145,9 +152,9 @@
 	return t
 }
 
-// isMinorTargetChange tells of a target's row that nobody has to act on: only how far
-// it has warmed up, which every instance counts down by itself. All targets of
-// a fleet warm up together, each with a change at every report.
+// isMinorTargetChange reports whether a target's row changed only in its warm-up
+// progress, which every instance counts down by itself. All targets of a fleet warm
+// up together, each with a change at every report.
 func isMinorTargetChange(old, next platform.Row) bool {
 	if old.Removed || next.Removed {
 		return false
@@ -164,8 +171,8 @@
 		a.Slots == b.Slots && a.Draining == b.Draining
 }
 
-func (s *state) applyAssignments(c mirror.Update) {
-	for _, r := range c.Rows {
+func (s *state) applyAssignments(u mirror.Update) {
+	for _, r := range u.Rows {
 		if r.Removed || s.hasAssignment(r.Key, r.Revision) {
 			continue
 		}
@@ -178,7 +185,6 @@
 	}
 }
 
-// hasAssignment tells whether a service's assignment is known as of a revision.
 func (s *state) hasAssignment(service string, revision uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,7 +192,7 @@
 	return a != nil && a.revision >= revision
 }
 
-// setAssignment puts a service's assignment in force unless a newer one is.
+// setAssignment puts a service's assignment in force unless the one in force is as new.
 func (s *state) setAssignment(service string, a *ownership.Assignment, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,15 +217,15 @@
 	s.mu.Lock()
 	a := s.assignments[service]
 	s.mu.Unlock()
-	text, err := json.Marshal(a.assignment)
+	value, err := json.Marshal(a.assignment)
 	if err != nil {
-		panic("instance: assignment does not encode: " + err.Error())
+		panic("instance: encode assignment of service " + service + ": " + err.Error())
 	}
-	return platform.Row{Table: coordinator.AssignmentTable, Key: service, Value: text, Revision: a.revision}
+	return platform.Row{Table: coordinator.AssignmentTable, Key: service, Value: value, Revision: a.revision}
 }
 
 // currentAssignment returns a service's assignment and a channel that is closed when
-// there is a newer one; both are nil while none is known.
+// a newer one is in force. Both are nil while there is none.
 func (s *state) currentAssignment(service string) (*ownership.Assignment, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -230,57 +236,59 @@
 	return a.assignment, a.superseded
 }
 
-// withUpdate returns the assignment after a change, or nil if that is a change of
-// another one than is known here. Known tells that it was taken in already.
-func (s *state) withUpdate(n *peers.News) (next *ownership.Assignment, known bool) {
+// withUpdate returns the assignment that results from an update; nil if the update's
+// base is not the assignment in force. Handled is set if there is nothing more to
+// do: the update is in force already, or parts of it are still missing.
+func (s *state) withUpdate(u *peers.News) (next *ownership.Assignment, handled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.assignments[n.Service]
-	if a != nil && a.revision < n.Revision && n.Parts > 1 {
-		if n = s.collectParts(n); n == nil {
+	a := s.assignments[u.Service]
+	if a != nil && a.revision < u.Revision && u.Parts > 1 {
+		if u = s.collectParts(u); u == nil {
 			return nil, true
 		}
 	}
-	if a == nil || a.revision < n.Base {
+	if a == nil || a.revision < u.Base {
 		return nil, false
 	}
-	if a.revision >= n.Revision {
+	if a.revision >= u.Revision {
 		return nil, true
 	}
-	if a.revision != n.Base {
+	if a.revision != u.Base {
 		return nil, false
 	}
-	return a.assignment.With(n.Term, n.Pieces), false
+	return a.assignment.With(u.Term, u.Pieces), false
 }
 
-// collectParts keeps the parts of a change until all are there, and returns the whole.
-func (s *state) collectParts(n *peers.News) *peers.News {
-	if s.updateParts == nil || s.updatePartsRevision != n.Revision {
-		s.updateParts, s.updatePartsRevision = map[int]*peers.News{}, n.Revision
+// collectParts keeps the parts of an update until all have arrived, and then returns
+// the complete update; nil before.
+func (s *state) collectParts(u *peers.News) *peers.News {
+	if s.updateParts == nil || s.updatePartsRevision != u.Revision {
+		s.updateParts, s.updatePartsRevision = map[int]*peers.News{}, u.Revision
 	}
-	s.updateParts[n.Part] = n
-	if len(s.updateParts) < n.Parts {
+	s.updateParts[u.Part] = u
+	if len(s.updateParts) < u.Parts {
 		return nil
 	}
-	whole := *n
-	whole.Pieces = nil
+	complete := *u
+	complete.Pieces = nil
 	for _, p := range s.updateParts {
-		whole.Pieces = append(whole.Pieces, p.Pieces...)
+		complete.Pieces = append(complete.Pieces, p.Pieces...)
 	}
-	return &whole
+	return &complete
 }
 
-// applyInstances returns all instances known.
-func (s *state) applyInstances(c mirror.Update) map[string]peers.Instance {
+// applyInstances applies a change of the instances' table, and returns all instances.
+func (s *state) applyInstances(u mirror.Update) map[string]peers.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := map[string]peers.Instance{}
-	if !c.Full {
+	if !u.Full {
 		for name, i := range s.instances {
 			all[name] = i
 		}
 	}
-	for _, r := range c.Rows {
+	for _, r := range u.Rows {
 		if r.Removed {
 			delete(all, r.Key)
 			continue
--- a/gateway/instance/duties.go
+++ b/gateway/instance/tasks.go
@@ -18,26 +18,28 @@
 const (
 	// reportInterval is the time between two reports to the coordinator.
 	reportInterval = 500 * time.Millisecond
-	// housekeepingInterval is the time between two clearings of what is over.
+	// housekeepingInterval is the time between two runs of the housekeeper.
 	housekeepingInterval = 2 * time.Second
-	// registerRetryDelay is the pause after a row could not be written.
+	// registerRetryDelay is the mean pause after this instance's row could not be
+	// written.
 	registerRetryDelay = 500 * time.Millisecond
-	// registerTimeout bounds the write of that row: a fleet's rows are written one
-	// after the other.
+	// registerTimeout bounds the write of that row: the store writes the rows of a
+	// fleet one after the other.
 	registerTimeout = 1500 * time.Millisecond
 )
 
-// registrar writes this instance's row, by which others find it.
+// registrar writes this instance's row to the store, by which other instances find it.
 type registrar struct{ *Instance }
 
-// Serve writes the row once, and then has nothing to do.
+// Serve writes the row, retrying until it is stored, and then waits until the
+// context ends.
 func (i *registrar) Serve(ctx context.Context) error {
-	text, err := json.Marshal(i.peers.Self)
+	row, err := json.Marshal(i.peers.Self)
 	if err != nil {
 		return err
 	}
 	tx := platform.Transaction{Set: []platform.Write{{
-		Table: coordinator.InstanceTable, Key: i.peers.Self.Name, Value: text,
+		Table: coordinator.InstanceTable, Key: i.peers.Self.Name, Value: row,
 	}}}
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
@@ -50,8 +52,9 @@
 		sleep(ctx, registerRetryDelay/2+rand.N(registerRetryDelay))
 	}
 	i.registered.Store(true)
-	// Whoever came before is read from the store; whoever comes later does the
-	// same, and says hello. A list with the row of a former life has all others.
+	// Instances that registered earlier are read from the store; later ones do the
+	// same and announce themselves. A list that has the row of an earlier
+	// incarnation of this instance is complete.
 	if i.settings.Bootstrap || !i.awaitInstances(ctx) || i.peers.Find(i.peers.Self.Name).Name == "" {
 		i.instances.Refresh()
 	}
@@ -59,23 +62,23 @@
 	return ctx.Err()
 }
 
-// announcer says hello to all instances known. Those forgot this one when it
-// ended the last time, and without them it hears of nothing while the store is
-// away, so it does not wait for its row to be written.
+// announcer sends a hello to all known instances. They removed this one when its
+// last incarnation ended, and it receives no updates from them until they list it
+// again. It does not wait for its row to be written: the store may be unreachable.
 type announcer struct{ *Instance }
 
-// helloDelays are the pauses between its hellos: datagrams may get lost, and
-// others become known during the first seconds. In a large fleet that starts at
-// once each is a datagram from all to all, so there are few.
+// helloDelays are the pauses before the hello is repeated: datagrams may get lost,
+// and other instances become known during the first seconds. In a large fleet that
+// starts at once each repetition is a datagram from all to all, so there are few.
 var helloDelays = []time.Duration{900 * time.Millisecond, 2 * time.Second}
 
-// Serve says hello as soon as others are known, and again while the platform's
-// table may not have told them of this instance.
+// Serve sends the hello as soon as other instances are known, repeats it once, and
+// again if this instance's row is still not in the store.
 func (g *announcer) Serve(ctx context.Context) error {
 	g.awaitInstances(ctx)
 	g.peers.Broadcast(&peers.Message{Hello: &g.peers.Self})
-	for n, pause := range helloDelays {
-		sleep(ctx, pause)
+	for n, delay := range helloDelays {
+		sleep(ctx, delay)
 		if n == 0 || !g.registered.Load() {
 			g.peers.Broadcast(&peers.Message{Hello: &g.peers.Self})
 		}
@@ -93,10 +96,12 @@
 	}
 }
 
-// reporter tells the coordinator of this instance and its loads.
+// reporter sends the coordinator this instance's loads. The reports also count
+// the instance as a member.
 type reporter struct{ *Instance }
 
-// Serve reports until the context ends.
+// Serve sends reports until the context ends. While the coordinator is unknown or
+// this instance coordinates, they go to the local coordinator.
 func (r *reporter) Serve(ctx context.Context) error {
 	rounds := 0
 	for ctx.Err() == nil {
@@ -108,34 +113,35 @@
 		if rounds++; rounds%latencyReportEvery == 0 {
 			reports[0].Speeds = r.targetLatencies()
 		}
-		lead := r.coordinatorName.Load()
+		name := r.coordinatorName.Load()
 		for _, report := range reports {
-			if lead == nil || *lead == r.settings.Instance {
+			if name == nil || *name == r.settings.Instance {
 				r.coordinator.TakeLoads(report)
 				continue
 			}
-			r.peers.Send(*lead, &peers.Message{Report: report})
+			r.peers.Send(*name, &peers.Message{Report: report})
 		}
 	}
 	return ctx.Err()
 }
 
 const (
-	// latencyReportEvery is how many reports come with speeds.
+	// latencyReportEvery is the number of report rounds per round with latencies.
 	latencyReportEvery = 2
-	// maxReportedLatencies bounds the speeds in one datagram.
+	// maxReportedLatencies bounds the latencies in one datagram.
 	maxReportedLatencies = 12
 )
 
-// targetLatencies returns the speeds of the targets of sharded services.
+// targetLatencies returns the latencies of a random selection of the targets of
+// sharded services.
 func (r *reporter) targetLatencies() []peers.Speed {
-	table := r.state.routes.Load()
-	if table == nil {
+	routes := r.state.routes.Load()
+	if routes == nil {
 		return nil
 	}
 	var list []peers.Speed
 	for _, s := range r.dispatcher.Speeds() {
-		if service := table.Service(s.Service); service == nil || !service.Sharded {
+		if service := routes.Service(s.Service); service == nil || !service.Sharded {
 			continue
 		}
 		list = append(list, peers.Speed{Service: s.Service, Target: s.Target, Ms: int(s.Latency.Milliseconds())})
@@ -144,7 +150,7 @@
 	return list[:min(len(list), maxReportedLatencies)]
 }
 
-// receive takes in a datagram.
+// receive passes a datagram on to the parts that it is for.
 func (i *Instance) receive(m *peers.Message) {
 	if i.broker.Receive(m) || i.replicator.handleMessage(m) {
 		return
@@ -166,29 +172,30 @@
 	i.coordinator.Hear(m)
 }
 
-// receiveCoordinatorHeartbeat takes in a coordinator's sign of life.
+// receiveCoordinatorHeartbeat records the coordinator's heartbeat. If it is the
+// first after a gap, a feed reader retries failing tables at once.
 func (i *Instance) receiveCoordinatorHeartbeat(m *peers.Message) {
-	wasHeard := i.replicator.coordinatorAlive()
+	wasAlive := i.replicator.coordinatorAlive()
 	i.recordCoordinator(m.From, m.Beat.Members)
 	if m.Beat.InDoubt {
-		// Whoever listens to readers must not rely on its way to the store.
+		// The coordinator's connection to the store confirms nothing any more.
 		i.lastHeartbeat.Store(nil)
 		return
 	}
-	if wasHeard || i.replicator.rank() >= readerCount(i.replicator.zoneSize()) {
+	if wasAlive || i.replicator.rank() >= readerCount(i.replicator.zoneSize()) {
 		return
 	}
-	// The store answers a coordinator again: what fails at those who read for the
-	// zone need not wait longer. The others hear them.
-	for _, table := range i.mirrors {
-		if table.Failing() {
-			table.Refresh()
+	// The store answers a coordinator again, so the zone's feed readers end their
+	// retry pauses. Passive instances receive their updates.
+	for _, t := range i.mirrors {
+		if t.Failing() {
+			t.Refresh()
 		}
 	}
 }
 
-// recordLeading notes that this instance coordinates. While the store does not answer, its
-// authority proves nothing of its copies.
+// recordLeading records that this instance coordinates. While the store does not
+// answer, its lease does not confirm that its mirrors are fresh.
 func (i *Instance) recordLeading(members int, answers bool) {
 	i.recordCoordinator(i.settings.Instance, members)
 	if !answers {
@@ -196,7 +203,8 @@
 	}
 }
 
-// recordCoordinator notes who coordinates, and how many instances report to it.
+// recordCoordinator records the coordinator's name, the time of its heartbeat, and
+// the number of instances that report to it.
 func (i *Instance) recordCoordinator(name string, members int) {
 	now := time.Now()
 	i.coordinatorName.Store(&name)
@@ -204,27 +212,29 @@
 	i.memberCount.Store(int64(members))
 }
 
-// applyAssignmentUpdate lays a recorded change over the assignment that it is a change of.
-func (i *Instance) applyAssignmentUpdate(n *peers.News) {
-	next, known := i.state.withUpdate(n)
-	if known {
+// applyAssignmentUpdate applies an update of an assignment that was recorded in the
+// store. If its base is missing here, the assignments are read from the store.
+func (i *Instance) applyAssignmentUpdate(u *peers.News) {
+	next, handled := i.state.withUpdate(u)
+	if handled {
 		return
 	}
 	if next == nil {
 		if !i.replicator.passive.Load() {
 			i.assignments.Refresh()
 		}
-		// A listener asks a reader, once the next beat shows that it is behind.
+		// A passive instance fetches it from a feed reader, once the next heartbeat
+		// shows that its mirror is behind.
 		return
 	}
-	i.state.setAssignment(n.Service, next, n.Revision)
-	i.assignments.ApplyRow(platform.Row{Table: coordinator.AssignmentTable, Key: n.Service, Revision: n.Revision})
+	i.state.setAssignment(u.Service, next, u.Revision)
+	i.assignments.ApplyRow(platform.Row{Table: coordinator.AssignmentTable, Key: u.Service, Revision: u.Revision})
 }
 
-// housekeeper forgets targets that are gone.
+// housekeeper frees the connections and statistics of targets that are gone.
 type housekeeper struct{ *Instance }
 
-// Serve looks after it until the context ends.
+// Serve cleans up periodically until the context ends.
 func (h *housekeeper) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		sleep(ctx, housekeepingInterval)
@@ -234,7 +244,7 @@
 	return ctx.Err()
 }
 
-// readinessHandler answers the platform's question.
+// readinessHandler serves the platform's readiness probe.
 func (i *Instance) readinessHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		status := http.StatusServiceUnavailable
@@ -249,7 +259,7 @@
 	})
 }
 
-// metricsHandler serves what monitoring asks for.
+// metricsHandler serves metrics, and profiles if they are enabled.
 func (i *Instance) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(i.registry, promhttp.HandlerOpts{}))
