--- a/gateway/broker/broker.go
+++ b/gateway/broker/broker.go
@@ -119,7 +119,7 @@
 		if b.isFull(req.Service, zone) && zone != b.Self.Zone {
 			continue
 		}
-		req.Zone, req.OnTime = zone, true
+		req.Zone, req.RejectLate = zone, true
 		res, err := b.acquireInZone(ctx, req)
 		if err == nil || ctx.Err() != nil {
 			return res, err
@@ -128,7 +128,7 @@
 			b.markFull(req.Service, zone)
 		}
 	}
-	req.Zone, req.OnTime = zones[0], false
+	req.Zone, req.RejectLate = zones[0], false
 	return b.acquireInZone(ctx, req)
 }
 
@@ -136,7 +136,7 @@
 func (b *Broker) zonesByDistance(service string) []string {
 	var tiers [3][]string
 	seen := map[string]bool{}
-	for _, t := range b.Roster.Load().Services[service] {
+	for _, t := range b.Roster.Load().ByService[service] {
 		if t.Draining || seen[t.Zone] {
 			continue
 		}
@@ -300,7 +300,7 @@
 		return nil, &schedule.BusyError{Service: req.Service, Wait: time.Duration(r.WaitMs) * time.Millisecond, Queued: r.Waiting}
 	}
 	t := b.Roster.Load().Targets[r.Target]
-	if t == nil || t.Born != r.Born || req.Target == "" && t.Draining {
+	if t == nil || t.Started != r.Born || req.Target == "" && t.Draining {
 		b.sendRelease(scheduler, seq, schedule.Abandoned, 0)
 		return nil, &schedule.NoTargetError{Service: req.Service}
 	}
@@ -315,7 +315,7 @@
 func encodeReserveRequest(seq uint64, req *schedule.Request) *peers.Reserve {
 	now := time.Now()
 	msg := &peers.Reserve{
-		Seq: seq, Service: req.Service, Kind: req.Kind, Target: req.Target, Zone: req.Zone, Priority: req.Priority, OnTime: req.OnTime,
+		Seq: seq, Service: req.Service, Kind: req.Kind, Target: req.Target, Zone: req.Zone, Priority: req.Priority, OnTime: req.RejectLate,
 		ObjectiveMs: req.Objective.Sub(now).Milliseconds(), DeadlineMs: req.Deadline.Sub(now).Milliseconds(),
 	}
 	for id := range req.Excluded {
--- a/gateway/broker/broker_test.go
+++ b/gateway/broker/broker_test.go
@@ -33,7 +33,7 @@
 func startInstances(t *testing.T, names ...string) map[string]*testInstance {
 	t.Helper()
 	targets := &roster.Roster{}
-	targets.Replace(time.Now(), []*roster.Target{{ID: "t", Born: 1, Service: "s", Zone: "z", Slots: 1}}, 1)
+	targets.Replace(time.Now(), []*roster.Target{{ID: "t", Started: 1, Service: "s", Zone: "z", Slots: 1}}, 1)
 	all, members := map[string]*testInstance{}, map[string]peers.Instance{}
 	log := slog.New(slog.DiscardHandler)
 	for _, name := range names {
@@ -179,7 +179,7 @@
 			id = req.Target
 		}
 	}
-	all["a"].roster.Replace(time.Now(), []*roster.Target{{ID: id, Born: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
+	all["a"].roster.Replace(time.Now(), []*roster.Target{{ID: id, Started: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
 	ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
 	defer cancel()
 	start := time.Now()
@@ -218,9 +218,9 @@
 				req.Target = "t" + strconv.Itoa(i)
 			}
 			all["a"].roster.Replace(time.Now(), []*roster.Target{
-				{ID: req.Target, Born: 1, Service: "s", Zone: "z", Slots: 1},
-				{ID: "second", Born: 1, Service: "s", Zone: "z", Slots: 1},
-				{ID: "other", Born: 7, Service: "elsewhere", Zone: "z", Slots: 1},
+				{ID: req.Target, Started: 1, Service: "s", Zone: "z", Slots: 1},
+				{ID: "second", Started: 1, Service: "s", Zone: "z", Slots: 1},
+				{ID: "other", Started: 7, Service: "elsewhere", Zone: "z", Slots: 1},
 			}, 2)
 			res, err := all["a"].broker.Acquire(t.Context(), req)
 			assert.NilError(t, err)
@@ -249,7 +249,7 @@
 		for i := 0; req.Target == "" || all["a"].broker.Scheduler(&req) != "scheduler"; i++ {
 			req.Target = "t" + strconv.Itoa(i)
 		}
-		all["a"].roster.Replace(time.Now(), []*roster.Target{{ID: req.Target, Born: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
+		all["a"].roster.Replace(time.Now(), []*roster.Target{{ID: req.Target, Started: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		_, err := all["a"].broker.Acquire(ctx, req)
 		cancel()
--- a/gateway/broker/scheduler.go
+++ b/gateway/broker/scheduler.go
@@ -73,7 +73,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), req.Deadline)
 	r = &remoteRequest{cancel: cancel}
 	b.remoteRequests[key] = r
-	req.Transit = b.oneWayDelays[m.From]
+	req.OneWayDelay = b.oneWayDelays[m.From]
 	b.mu.Unlock()
 	time.AfterFunc(time.Until(req.Deadline)+releaseGrace, func() { b.releaseRemote(key, schedule.Abandoned) })
 	b.group.Go(func() error {
@@ -85,7 +85,7 @@
 // decodeReserveRequest returns the request of another instance's message.
 func decodeReserveRequest(now time.Time, m *peers.Reserve) schedule.Request {
 	req := schedule.Request{
-		Service: m.Service, Kind: m.Kind, Target: m.Target, Zone: m.Zone, Priority: m.Priority, OnTime: m.OnTime,
+		Service: m.Service, Kind: m.Kind, Target: m.Target, Zone: m.Zone, Priority: m.Priority, RejectLate: m.OnTime,
 		Objective: now.Add(time.Duration(m.ObjectiveMs) * time.Millisecond),
 		Deadline:  now.Add(time.Duration(m.DeadlineMs) * time.Millisecond),
 	}
@@ -106,7 +106,7 @@
 	var noTarget *schedule.NoTargetError
 	switch {
 	case err == nil:
-		reply.Target, reply.Born = res.Target.ID, res.Target.Born
+		reply.Target, reply.Born = res.Target.ID, res.Target.Started
 	case errors.As(err, &busy):
 		reply.WaitMs, reply.Waiting = busy.Wait.Milliseconds(), busy.Queued
 	case errors.As(err, &noTarget):
--- a/gateway/instance/state.go
+++ b/gateway/instance/state.go
@@ -134,11 +134,11 @@
 		return
 	}
 	for _, t := range added {
-		event.TargetCame.Log(s.log, "target", t.ID, "born", t.Born, "service", t.Service, "zone", t.Zone, "address", t.Address,
-			"slots", t.Slots, "warmingMs", t.Warming.Milliseconds(), "revision", u.Revision)
+		event.TargetCame.Log(s.log, "target", t.ID, "born", t.Started, "service", t.Service, "zone", t.Zone, "address", t.Address,
+			"slots", t.Slots, "warmingMs", t.WarmupLeft.Milliseconds(), "revision", u.Revision)
 	}
 	for _, t := range leaving {
-		event.TargetLeft.Log(s.log, "target", t.ID, "born", t.Born, "service", t.Service, "draining", t.Draining, "revision", u.Revision)
+		event.TargetLeft.Log(s.log, "target", t.ID, "born", t.Started, "service", t.Service, "draining", t.Draining, "revision", u.Revision)
 	}
 }
 
@@ -167,7 +167,7 @@
 	if err != nil {
 		return false
 	}
-	return a.Life() == b.Life() && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone &&
+	return a.Incarnation() == b.Incarnation() && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone &&
 		a.Slots == b.Slots && a.Draining == b.Draining
 }
 
--- a/gateway/instance/tasks.go
+++ b/gateway/instance/tasks.go
@@ -140,7 +140,7 @@
 		return nil
 	}
 	var list []peers.Speed
-	for _, s := range r.dispatcher.Speeds() {
+	for _, s := range r.dispatcher.TargetLatencies() {
 		if service := routes.Service(s.Service); service == nil || !service.Sharded {
 			continue
 		}
@@ -239,7 +239,7 @@
 	for ctx.Err() == nil {
 		sleep(ctx, housekeepingInterval)
 		h.pools.Keep(h.state.roster.Load())
-		h.dispatcher.Forget()
+		h.dispatcher.Prune()
 	}
 	return ctx.Err()
 }
