--- a/basilcross/dispatch/dispatch_test.go
+++ b/basilcross/dispatch/dispatch_test.go
@@ -18,7 +18,7 @@
 func dispatcher(targets ...*roster.Target) *dispatch.Dispatcher {
 	r := &roster.Roster{}
 	for _, t := range targets {
-		t.Service, t.Zone, t.Born = "s", "z", 1
+		t.Service, t.Zone, t.Started = "s", "z", 1
 	}
 	r.Replace(time.Now(), targets, 1)
 	return &dispatch.Dispatcher{Roster: r}
@@ -186,7 +186,7 @@
 			p.Release(schedule.Answered)
 		}
 		assert.Equal(t, len(d.Speeds()), 1)
-		d.Roster.Replace(time.Now(), []*roster.Target{{ID: "a", Slots: 1, Service: "s", Zone: "z", Born: 2}}, 2)
+		d.Roster.Replace(time.Now(), []*roster.Target{{ID: "a", Slots: 1, Service: "s", Zone: "z", Started: 2}}, 2)
 		assert.Equal(t, len(d.Speeds()), 0)
 	})
 }
--- a/basilcross/roster/benchmark_test.go
+++ b/basilcross/roster/benchmark_test.go
@@ -8,7 +8,8 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// One target of many reports that it leaves.
+// Measures Apply of a single change, a target that starts or stops draining, at
+// different sizes of the list.
 func BenchmarkApplyOneChange(b *testing.B) {
 	for _, n := range []int{100, 300, 1000, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
--- a/basilcross/roster/roster.go
+++ b/basilcross/roster/roster.go
@@ -1,4 +1,4 @@
-// Package roster keeps the list of targets that the platform names.
+// Package roster keeps the list of targets that the platform announces.
 package roster
 
 import (
@@ -7,62 +7,65 @@
 	"time"
 )
 
-// Target is one lifetime of a server that runs requests.
+// Target is one incarnation of a server that runs requests.
 type Target struct {
 	ID string
-	// Born is the start of this lifetime, in Unix milliseconds; a higher one
-	// under the same ID is another lifetime, which knows nothing of before.
-	Born    int64
+	// Started is the start time of this incarnation, in Unix milliseconds. A higher
+	// value under the same ID is another incarnation, which keeps no state of the
+	// one before.
+	Started int64
 	Service string
 	Address string
 	Zone    string
-	Slots   int
-	// Seq grows with each of the target's own reports.
+	// Slots is how many requests the target runs at a time.
+	Slots int
+	// Seq grows with each report of the target.
 	Seq      int64
 	Draining bool
-	// Warming is how much longer the target is slow, at its report.
-	Warming time.Duration
-	// Seen is when this instance first saw this lifetime.
-	Seen time.Time
-	// Left is when this instance first saw it leaving; zero if it does not.
-	Left time.Time
+	// WarmupLeft is how much longer the target is slow, as of its report.
+	WarmupLeft time.Duration
+	// FirstSeen is when this instance first saw the incarnation.
+	FirstSeen time.Time
+	// LeavingSince is when this instance first saw the target draining; zero if it
+	// is not.
+	LeavingSince time.Time
 }
 
-// Life names one lifetime.
-type Life struct {
-	ID   string
-	Born int64
+// Incarnation identifies one start of a target under its ID.
+type Incarnation struct {
+	ID      string
+	Started int64
 }
 
-// Life returns the lifetime's name.
-func (t *Target) Life() Life { return Life{t.ID, t.Born} }
+// Incarnation returns the target's identity.
+func (t *Target) Incarnation() Incarnation { return Incarnation{t.ID, t.Started} }
 
-// View is the list at one moment. It does not change.
+// View is an immutable snapshot of the list.
 type View struct {
-	Targets  map[string]*Target
-	Services map[string][]*Target
-	// Addresses has the youngest target at each address.
-	Addresses map[string]*Target
+	// Targets has the targets by ID.
+	Targets   map[string]*Target
+	ByService map[string][]*Target
+	// ByAddress has the target that started last at each address.
+	ByAddress map[string]*Target
 	// Revision is the store's revision up to which the view is complete.
 	Revision uint64
-	// Digest is the same for views that name the same targets in the same
-	// states.
+	// Digest is equal for views that list the same targets in the same states.
 	Digest uint64
 }
 
-// Roster is the list as it changes. The zero value is empty.
+// Roster holds the current view and applies changes to it. The zero value is empty.
 type Roster struct {
 	mu   sync.Mutex
 	view atomic.Pointer[View]
 }
 
-// Change is one row's news; a nil Target says that the row is gone.
+// Change is the new content of one row; Target is nil if the row was deleted.
 type Change struct {
 	ID     string
 	Target *Target
 }
 
-// Load returns the present view.
+// Load returns the current view.
 func (r *Roster) Load() *View {
 	if v := r.view.Load(); v != nil {
 		return v
@@ -70,45 +73,48 @@
 	return &View{}
 }
 
-// Apply takes in changes up to a revision. It returns the lifetimes that
-// appeared and those that left or began to leave.
-func (r *Roster) Apply(now time.Time, changes []Change, revision uint64) (came, left []*Target) {
+// Apply applies changes up to a revision of the store; outdated ones are ignored.
+// It returns the incarnations that were added, and those that were removed or began
+// to drain.
+func (r *Roster) Apply(now time.Time, changes []Change, revision uint64) (added, leaving []*Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	d := newDraft(r.Load(), revision)
+	b := newViewBuilder(r.Load(), revision)
 	for _, c := range changes {
-		in, out := d.apply(now, c)
+		in, out := b.apply(now, c)
 		if in != nil {
-			came = append(came, in)
+			added = append(added, in)
 		}
 		if out != nil {
-			left = append(left, out)
+			leaving = append(leaving, out)
 		}
 	}
-	r.view.Store(d.finish())
-	return came, left
+	r.view.Store(b.finish())
+	return added, leaving
 }
 
-// Replace takes in a whole list.
-func (r *Roster) Replace(now time.Time, list []*Target, revision uint64) (came, left []*Target) {
-	named := map[string]bool{}
+// Replace applies a complete list: targets that it does not contain are removed. It
+// returns the same as Apply.
+func (r *Roster) Replace(now time.Time, list []*Target, revision uint64) (added, leaving []*Target) {
+	listed := map[string]bool{}
 	changes := make([]Change, 0, len(list))
 	for _, t := range list {
-		named[t.ID] = true
+		listed[t.ID] = true
 		changes = append(changes, Change{ID: t.ID, Target: t})
 	}
 	for id := range r.Load().Targets {
-		if !named[id] {
+		if !listed[id] {
 			changes = append(changes, Change{ID: id})
 		}
 	}
 	return r.Apply(now, changes, revision)
 }
 
-// isOlder tells of a report that was overtaken by a newer one.
-func isOlder(t, than *Target) bool {
-	if t.Born != than.Born {
-		return t.Born < than.Born
+// isOutdated reports whether t comes from an earlier incarnation or an earlier report
+// than the known target.
+func isOutdated(t, known *Target) bool {
+	if t.Started != known.Started {
+		return t.Started < known.Started
 	}
-	return t.Seq < than.Seq
+	return t.Seq < known.Seq
 }
--- a/basilcross/roster/roster_test.go
+++ b/basilcross/roster/roster_test.go
@@ -10,33 +10,33 @@
 	"gotest.tools/v3/assert"
 )
 
-func target(id string, born, seq int64) *roster.Target {
-	return &roster.Target{ID: id, Born: born, Seq: seq, Service: "s"}
+func target(id string, started, seq int64) *roster.Target {
+	return &roster.Target{ID: id, Started: started, Seq: seq, Service: "s"}
 }
 
 func TestApply(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var r roster.Roster
-	came, left := r.Replace(now, []*roster.Target{target("a", 1, 1), target("b", 1, 1)}, 10)
-	assert.Equal(t, len(came), 2)
-	assert.Equal(t, len(left), 0)
+	added, leaving := r.Replace(now, []*roster.Target{target("a", 1, 1), target("b", 1, 1)}, 10)
+	assert.Equal(t, len(added), 2)
+	assert.Equal(t, len(leaving), 0)
 
 	draining := target("a", 1, 2)
 	draining.Draining = true
-	_, left = r.Apply(now.Add(time.Second), []roster.Change{{ID: "a", Target: draining}}, 11)
-	assert.Equal(t, len(left), 1)
-	assert.Equal(t, r.Load().Targets["a"].Left, now.Add(time.Second))
-	assert.Equal(t, r.Load().Targets["a"].Seen, now)
+	_, leaving = r.Apply(now.Add(time.Second), []roster.Change{{ID: "a", Target: draining}}, 11)
+	assert.Equal(t, len(leaving), 1)
+	assert.Equal(t, r.Load().Targets["a"].LeavingSince, now.Add(time.Second))
+	assert.Equal(t, r.Load().Targets["a"].FirstSeen, now)
 
-	_, left = r.Replace(now, []*roster.Target{target("a", 2, 1)}, 12)
-	assert.Equal(t, len(left), 1, "b is gone")
-	assert.Equal(t, r.Load().Targets["a"].Born, int64(2))
-	assert.Assert(t, r.Load().Targets["a"].Left.IsZero(), "another lifetime does not leave")
+	_, leaving = r.Replace(now, []*roster.Target{target("a", 2, 1)}, 12)
+	assert.Equal(t, len(leaving), 1, "b was removed")
+	assert.Equal(t, r.Load().Targets["a"].Started, int64(2))
+	assert.Assert(t, r.Load().Targets["a"].LeavingSince.IsZero(), "the new incarnation does not drain")
 }
 
-// A report that was overtaken comes late, or another writer repeats an old one.
-// Taken in, it would bring a target back that is leaving.
-func TestOlderReportsChangeNothing(t *testing.T) {
+// Guards against a draining target that becomes ready again because an outdated
+// report arrives late, or because another writer repeats an old one.
+func TestOutdatedReportsAreIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var r roster.Roster
 	newest := target("a", 5, 7)
@@ -48,9 +48,9 @@
 	}
 }
 
-// Guards against a view that, change by change, becomes unlike the one made of
-// the same targets at once.
-func TestChangesLeadToTheViewOfTheWholeList(t *testing.T) {
+// Guards against a view built by successive changes that differs from the view
+// built of the same targets at once.
+func TestApplyAndReplaceAgree(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 2))
 	var r roster.Roster
@@ -67,24 +67,24 @@
 			next := target(id, int64(revision)/7, int64(revision))
 			next.Address = fmt.Sprintf("10.0.0.%d:80", random.IntN(12))
 			next.Service = fmt.Sprintf("s%d", random.IntN(3))
-			if old := present[id]; old != nil && (old.Born > next.Born || old.Born == next.Born && old.Seq > next.Seq) {
+			if old := present[id]; old != nil && (old.Started > next.Started || old.Started == next.Started && old.Seq > next.Seq) {
 				continue
 			}
 			present[id] = next
 			changes = append(changes, roster.Change{ID: id, Target: next})
 		}
 		r.Apply(now, changes, revision)
-		var whole roster.Roster
+		var replaced roster.Roster
 		var list []*roster.Target
 		for _, p := range present {
 			list = append(list, p)
 		}
-		whole.Replace(now, list, revision)
-		compare(t, r.Load(), whole.Load())
+		replaced.Replace(now, list, revision)
+		assertSameView(t, r.Load(), replaced.Load())
 	}
 }
 
-func compare(t *testing.T, got, want *roster.View) {
+func assertSameView(t *testing.T, got, want *roster.View) {
 	t.Helper()
 	assert.Equal(t, got.Digest, want.Digest)
 	assert.Equal(t, got.Revision, want.Revision)
@@ -93,15 +93,15 @@
 		assert.Equal(t, got.Targets[id].Seq, w.Seq)
 	}
 	for _, service := range []string{"s0", "s1", "s2"} {
-		assert.Equal(t, len(got.Services[service]), len(want.Services[service]))
-		for _, g := range got.Services[service] {
+		assert.Equal(t, len(got.ByService[service]), len(want.ByService[service]))
+		for _, g := range got.ByService[service] {
 			assert.Assert(t, g == got.Targets[g.ID] && g.Service == service)
 		}
 	}
-	assert.Equal(t, len(got.Addresses), len(want.Addresses))
-	for address, w := range want.Addresses {
-		g := got.Addresses[address]
+	assert.Equal(t, len(got.ByAddress), len(want.ByAddress))
+	for address, w := range want.ByAddress {
+		g := got.ByAddress[address]
 		assert.Assert(t, g == got.Targets[g.ID])
-		assert.Equal(t, g.Born, w.Born)
+		assert.Equal(t, g.Started, w.Started)
 	}
 }
--- a/basilcross/schedule/choose.go
+++ b/basilcross/schedule/choose.go
@@ -94,7 +94,7 @@
 		return nil
 	}
 	var list []*roster.Target
-	for _, t := range view.Services[r.Service] {
+	for _, t := range view.ByService[r.Service] {
 		if t.Zone == r.Zone && !t.Draining {
 			list = append(list, t)
 		}
--- a/basilcross/schedule/estimate.go
+++ b/basilcross/schedule/estimate.go
@@ -54,7 +54,7 @@
 
 // cold is how much slower a target is since it warms up.
 func cold(now time.Time, t *roster.Target) float64 {
-	if now.Sub(t.Seen) < t.Warming {
+	if now.Sub(t.FirstSeen) < t.WarmupLeft {
 		return coldFactor
 	}
 	return 1
--- a/basilcross/schedule/schedule.go
+++ b/basilcross/schedule/schedule.go
@@ -77,7 +77,7 @@
 
 type service struct {
 	name   string
-	states map[roster.Life]*state
+	states map[roster.Incarnation]*state
 	queues map[queueKey]*queue
 	kinds  map[uint32]*kind
 	// mean is the work of an average request, in seconds; 0 before the first answer.
@@ -172,7 +172,7 @@
 	}
 	sv := s.services[name]
 	if sv == nil {
-		sv = &service{name: name, states: map[roster.Life]*state{}, queues: map[queueKey]*queue{}, kinds: map[uint32]*kind{}}
+		sv = &service{name: name, states: map[roster.Incarnation]*state{}, queues: map[queueKey]*queue{}, kinds: map[uint32]*kind{}}
 		s.services[name] = sv
 	}
 	return sv
@@ -186,7 +186,7 @@
 		maps.DeleteFunc(sv.kinds, func(_ uint32, k *kind) bool { return now.Sub(k.at) > kindFor })
 		for life, st := range sv.states {
 			t := view.Targets[life.ID]
-			if len(st.inFlight) == 0 && (t == nil || t.Born != life.Born) {
+			if len(st.inFlight) == 0 && (t == nil || t.Started != life.Started) {
 				delete(sv.states, life)
 			}
 		}
@@ -213,7 +213,7 @@
 	var speeds []Speed
 	for name, sv := range s.services {
 		for life, st := range sv.states {
-			if t := view.Targets[life.ID]; t != nil && t.Born == life.Born && st.answers > 0 {
+			if t := view.Targets[life.ID]; t != nil && t.Started == life.Started && st.answers > 0 {
 				speeds = append(speeds, Speed{name, life.ID, seconds(sv.usualWork() * st.slowness)})
 			}
 		}
--- a/basilcross/schedule/schedule_test.go
+++ b/basilcross/schedule/schedule_test.go
@@ -24,7 +24,7 @@
 func newSchedule(targets ...*roster.Target) *schedule.Schedule {
 	known := &roster.Roster{}
 	for _, t := range targets {
-		t.Service, t.Zone, t.Born = "s", "z", 1
+		t.Service, t.Zone, t.Started = "s", "z", 1
 	}
 	known.Replace(now.Add(-time.Hour), targets, 1)
 	return &schedule.Schedule{Roster: known}
--- a/basilcross/schedule/state.go
+++ b/basilcross/schedule/state.go
@@ -52,10 +52,10 @@
 }
 
 func (s *service) state(t *roster.Target) *state {
-	st := s.states[t.Life()]
+	st := s.states[t.Incarnation()]
 	if st == nil {
 		st = &state{limit: float64(t.Slots) + overSlots, slowness: 1}
-		s.states[t.Life()] = st
+		s.states[t.Incarnation()] = st
 	}
 	return st
 }
--- a/ctl/command/fleetowner.go
+++ b/ctl/command/fleetowner.go
@@ -47,7 +47,7 @@
 			if err != nil {
 				return err
 			}
-			if at := view.Addresses[o.Piece.Address]; at != nil {
+			if at := view.ByAddress[o.Piece.Address]; at != nil {
 				resident := newFleetTarget(at, view)
 				o.Resident = &resident
 			}
--- a/gateway/broker/broker.go
+++ b/gateway/broker/broker.go
@@ -132,7 +132,7 @@
 func (b *Broker) zones(service string) []string {
 	var tiers [3][]string
 	seen := map[string]bool{}
-	for _, t := range b.Roster.Load().Services[service] {
+	for _, t := range b.Roster.Load().ByService[service] {
 		if t.Draining || seen[t.Zone] {
 			continue
 		}
@@ -293,7 +293,7 @@
 		return nil, &schedule.BusyError{Service: a.Service, Wait: time.Duration(r.WaitMs) * time.Millisecond, Queued: r.Waiting}
 	}
 	t := b.Roster.Load().Targets[r.Target]
-	if t == nil || t.Born != r.Born || a.Target == "" && t.Draining {
+	if t == nil || t.Started != r.Born || a.Target == "" && t.Draining {
 		b.done(scheduler, seq, schedule.Abandoned, 0)
 		return nil, &schedule.NoTargetError{Service: a.Service}
 	}
--- a/gateway/broker/broker_test.go
+++ b/gateway/broker/broker_test.go
@@ -32,7 +32,7 @@
 func nodes(t *testing.T, names ...string) map[string]*node {
 	t.Helper()
 	list := &roster.Roster{}
-	list.Replace(time.Now(), []*roster.Target{{ID: "t", Born: 1, Service: "s", Zone: "z", Slots: 1}}, 1)
+	list.Replace(time.Now(), []*roster.Target{{ID: "t", Started: 1, Service: "s", Zone: "z", Slots: 1}}, 1)
 	all, known := map[string]*node{}, map[string]peers.Instance{}
 	log := slog.New(slog.DiscardHandler)
 	for _, name := range names {
@@ -176,7 +176,7 @@
 			id = a.Target
 		}
 	}
-	all["a"].list.Replace(time.Now(), []*roster.Target{{ID: id, Born: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
+	all["a"].list.Replace(time.Now(), []*roster.Target{{ID: id, Started: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
 	ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
 	defer cancel()
 	began := time.Now()
@@ -215,9 +215,9 @@
 				a.Target = "t" + strconv.Itoa(i)
 			}
 			all["a"].list.Replace(time.Now(), []*roster.Target{
-				{ID: a.Target, Born: 1, Service: "s", Zone: "z", Slots: 1},
-				{ID: "second", Born: 1, Service: "s", Zone: "z", Slots: 1},
-				{ID: "other", Born: 7, Service: "elsewhere", Zone: "z", Slots: 1},
+				{ID: a.Target, Started: 1, Service: "s", Zone: "z", Slots: 1},
+				{ID: "second", Started: 1, Service: "s", Zone: "z", Slots: 1},
+				{ID: "other", Started: 7, Service: "elsewhere", Zone: "z", Slots: 1},
 			}, 2)
 			p, err := all["a"].broker.Acquire(t.Context(), a)
 			assert.NilError(t, err)
@@ -246,7 +246,7 @@
 		for i := 0; a.Target == "" || all["a"].broker.Scheduler(&a) != "scheduler"; i++ {
 			a.Target = "t" + strconv.Itoa(i)
 		}
-		all["a"].list.Replace(time.Now(), []*roster.Target{{ID: a.Target, Born: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
+		all["a"].list.Replace(time.Now(), []*roster.Target{{ID: a.Target, Started: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		_, err := all["a"].broker.Acquire(ctx, a)
 		cancel()
--- a/gateway/broker/scheduler.go
+++ b/gateway/broker/scheduler.go
@@ -106,7 +106,7 @@
 	var none *schedule.NoTargetError
 	switch {
 	case err == nil:
-		reply.Target, reply.Born = p.Target.ID, p.Target.Born
+		reply.Target, reply.Born = p.Target.ID, p.Target.Started
 	case errors.As(err, &busy):
 		reply.WaitMs, reply.Waiting = busy.Wait.Milliseconds(), busy.Queued
 	case errors.As(err, &none):
--- a/gateway/coordinator/address_test.go
+++ b/gateway/coordinator/address_test.go
@@ -110,7 +110,7 @@
 	p := &process{Target: &standin.Target{ID: id, Sharded: true}}
 	p.server = &http.Server{Handler: p.Target, ReadHeaderTimeout: time.Second, ErrorLog: slog.NewLogLogger(slog.NewTextHandler(io.Discard, nil), slog.LevelDebug)}
 	p.listed = &roster.Target{
-		ID: id, Service: "lists", Address: listener.Addr().String(), Slots: 3, Born: time.Now().UnixMilli(),
+		ID: id, Service: "lists", Address: listener.Addr().String(), Slots: 3, Started: time.Now().UnixMilli(),
 	}
 	var group errgroup.Group
 	group.Go(func() error { return p.server.Serve(listener) })
@@ -199,7 +199,7 @@
 	first.end()
 	second := f.start("newcomer", first.listed.Address)
 	// It is slow at first, so some of the keys go to others.
-	second.listed.Warming = 3 * time.Second
+	second.listed.WarmupLeft = 3 * time.Second
 	f.watch(time.Second, second, targets[1], targets[2])
 	f.list(second, true)
 	f.list(first, false)
@@ -222,7 +222,7 @@
 	newcomer, other = f.start("newcomer", "127.0.0.1:0"), f.start("other", "127.0.0.1:0")
 	newcomer.listed.Service, other.listed.Service = "others", "others"
 	dead := &process{Target: &standin.Target{ID: "dead"}, listed: &roster.Target{
-		ID: "dead", Service: "lists", Address: newcomer.listed.Address, Slots: 3, Born: newcomer.listed.Born - 5000,
+		ID: "dead", Service: "lists", Address: newcomer.listed.Address, Slots: 3, Started: newcomer.listed.Started - 5000,
 	}}
 	f.list(dead, true)
 	f.list(f.start("last", "127.0.0.1:0"), true)
--- a/gateway/coordinator/lead.go
+++ b/gateway/coordinator/lead.go
@@ -197,7 +197,7 @@
 			l.managers[s.Name] = k
 		}
 		c.noteReplaced(k, table, view)
-		for _, o := range k.Step(now, view.Services[s.Name]) {
+		for _, o := range k.Step(now, view.ByService[s.Name]) {
 			c.carryOut(k, o)
 		}
 	}
--- a/gateway/coordinator/orders.go
+++ b/gateway/coordinator/orders.go
@@ -110,8 +110,8 @@
 // strangerAt returns another service's target that is named at the order's
 // address and is younger than the one meant; it would take the order for its own.
 func (c *Coordinator) strangerAt(service string, o *ownership.Grant) string {
-	at := c.Roster.Load().Addresses[o.Address]
-	if at == nil || at.Service == service || at.Born <= o.Owner.Born {
+	at := c.Roster.Load().ByAddress[o.Address]
+	if at == nil || at.Service == service || at.Started <= o.Owner.Started {
 		return ""
 	}
 	return at.ID
@@ -211,8 +211,8 @@
 // the same. What the manager's own service has at the address, it sees itself.
 func (c *Coordinator) noteReplaced(k *ownership.Manager, table *routing.Table, view *roster.View) {
 	for life, owner := range k.Owners() {
-		at := view.Addresses[owner.Address]
-		if at == nil || at.Service == k.Service || at.Born <= life.Born {
+		at := view.ByAddress[owner.Address]
+		if at == nil || at.Service == k.Service || at.Started <= life.Started {
 			continue
 		}
 		if !owner.Silent && view.Targets[life.ID] != nil {
@@ -228,8 +228,8 @@
 }
 
 // inherited returns what tells of keys that stay at their address.
-func (c *Coordinator) inherited(service string) func(ownership.Piece, roster.Life) {
-	return func(p ownership.Piece, to roster.Life) {
+func (c *Coordinator) inherited(service string) func(ownership.Piece, roster.Incarnation) {
+	return func(p ownership.Piece, to roster.Incarnation) {
 		event.KeysInherited.Log(c.Log, "service", service, "target", p.Owner, "address", p.Address,
 			"now", to.ID, "first", p.First, "last", p.Last)
 	}
--- a/gateway/front/owner_test.go
+++ b/gateway/front/owner_test.go
@@ -122,7 +122,7 @@
 	}))
 	t.Cleanup(server.Close)
 	k.roster.Replace(time.Now(), []*roster.Target{{
-		ID: "a", Born: 1, Service: "s", Zone: "z", Slots: 3, Address: strings.TrimPrefix(server.URL, "http://"),
+		ID: "a", Started: 1, Service: "s", Zone: "z", Slots: 3, Address: strings.TrimPrefix(server.URL, "http://"),
 	}}, 1)
 	k.assign("a", "a")
 	assert.Equal(t, k.get(t, 5), http.StatusOK)
--- a/gateway/instance/state.go
+++ b/gateway/instance/state.go
@@ -128,11 +128,11 @@
 		return
 	}
 	for _, t := range came {
-		event.TargetCame.Log(s.log, "target", t.ID, "born", t.Born, "service", t.Service, "zone", t.Zone, "address", t.Address,
-			"slots", t.Slots, "warmingMs", t.Warming.Milliseconds(), "revision", c.Revision)
+		event.TargetCame.Log(s.log, "target", t.ID, "born", t.Started, "service", t.Service, "zone", t.Zone, "address", t.Address,
+			"slots", t.Slots, "warmingMs", t.WarmupLeft.Milliseconds(), "revision", c.Revision)
 	}
 	for _, t := range left {
-		event.TargetLeft.Log(s.log, "target", t.ID, "born", t.Born, "service", t.Service, "draining", t.Draining, "revision", c.Revision)
+		event.TargetLeft.Log(s.log, "target", t.ID, "born", t.Started, "service", t.Service, "draining", t.Draining, "revision", c.Revision)
 	}
 }
 
@@ -160,7 +160,7 @@
 	if err != nil {
 		return false
 	}
-	return a.Life() == b.Life() && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone &&
+	return a.Incarnation() == b.Incarnation() && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone &&
 		a.Slots == b.Slots && a.Draining == b.Draining
 }
 
--- a/standin/experiment/play.go
+++ b/standin/experiment/play.go
@@ -70,7 +70,7 @@
 	for n, s := range p.servers {
 		id := fmt.Sprintf("t%03d", n)
 		p.names[id] = n
-		list = append(list, &roster.Target{ID: id, Service: "s", Zone: "z", Slots: s.Slots, Born: 1})
+		list = append(list, &roster.Target{ID: id, Service: "s", Zone: "z", Slots: s.Slots, Started: 1})
 		p.queues = append(p.queues, &targetQueue{})
 	}
 	known := &roster.Roster{}
