--- a/basilcross/roster/builder.go
+++ b/basilcross/roster/builder.go
@@ -91,7 +91,6 @@
 	return b.View
 }
 
-// digest hashes the fields that View.Digest covers.
 // digest hashes what View.Digest covers: ID, address, start and whether the target drains.
 func (t *Target) digest() uint64 {
 	text := t.ID + "\x00" + t.Address + "\x00" + strconv.FormatInt(t.Started, 10) + strconv.FormatBool(t.Draining)
