--- a/basilcross/dispatch/dispatch.go
+++ b/basilcross/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch lets requests wait for slots at targets, as a schedule
-// decides. One instance of a zone decides for a group of targets, so that the
-// few slots of a target are shared out by somebody who knows them.
+// Package dispatch blocks requests until a scheduler assigns them slots at targets.
+// One instance of a zone dispatches for a group of targets, so that the few slots of
+// a target are assigned by one instance that tracks all of its requests.
 package dispatch
 
 import (
@@ -12,21 +12,22 @@
 	"basilcross.example/basilcross/schedule"
 )
 
-// recheck is how often waiting requests are looked at without any slot being
-// given back: pauses end and targets come by themselves.
-const recheck = 50 * time.Millisecond
+// recheckInterval is how often slots are assigned to waiting requests even if none was
+// released: backoffs end and targets are added without a call of Release.
+const recheckInterval = 50 * time.Millisecond
 
-// Dispatcher shares out the slots of targets. Roster must be set.
+// Dispatcher assigns the slots of targets to requests. Roster must be set. It is safe
+// for concurrent use.
 type Dispatcher struct {
 	Roster *roster.Roster
 
-	mu       sync.Mutex
-	schedule schedule.Schedule
-	waiting  map[*schedule.Ticket]chan struct{}
+	mu        sync.Mutex
+	scheduler schedule.Scheduler
+	waiting   map[*schedule.Ticket]chan struct{}
 }
 
-// Reservation is a request's right to a target's slot. Release must be called
-// once.
+// Reservation is a slot of a target that a request holds. Release must be called
+// exactly once.
 type Reservation struct {
 	Target *roster.Target
 
@@ -34,12 +35,12 @@
 	ticket *schedule.Ticket
 }
 
-// Acquire returns a reservation, or waits for one. The error is a
+// Acquire waits for a slot and returns its reservation. The error is a
 // *schedule.BusyError, a *schedule.NoTargetError or the context's.
 func (d *Dispatcher) Acquire(ctx context.Context, r schedule.Request) (*Reservation, error) {
 	d.mu.Lock()
-	d.schedule.Roster = d.Roster
-	t, err := d.schedule.Enter(time.Now(), r)
+	d.scheduler.Roster = d.Roster
+	t, err := d.scheduler.Submit(time.Now(), r)
 	if err != nil || t.Target != nil {
 		d.mu.Unlock()
 		if err != nil {
@@ -61,84 +62,85 @@
 }
 
 func (d *Dispatcher) wait(ctx context.Context, t *schedule.Ticket, ready <-chan struct{}) (*Reservation, error) {
-	timer := time.NewTimer(time.Until(t.Until))
+	timer := time.NewTimer(time.Until(t.WaitUntil))
 	defer timer.Stop()
-	again := time.NewTicker(recheck)
-	defer again.Stop()
+	recheck := time.NewTicker(recheckInterval)
+	defer recheck.Stop()
 	for {
 		select {
 		case <-ready:
 			return d.reservation(t), nil
-		case <-again.C:
+		case <-recheck.C:
 			d.mu.Lock()
-			d.wake(d.schedule.Admit(time.Now(), t))
+			d.notify(d.scheduler.Admit(time.Now(), t))
 			d.mu.Unlock()
 		case <-timer.C:
 			if err := d.expire(t); err != nil {
 				return nil, err
 			}
-			timer.Reset(time.Until(t.Until))
+			timer.Reset(time.Until(t.WaitUntil))
 		case <-ctx.Done():
-			return d.withdraw(ctx, t)
+			return d.cancel(ctx, t)
 		}
 	}
 }
 
-// expire ends the wait of a ticket, unless it goes on.
+// expire is called when a ticket's WaitUntil has passed. It returns an error if the
+// ticket does not wait any longer.
 func (d *Dispatcher) expire(t *schedule.Ticket) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if t.Target != nil {
 		return nil
 	}
-	err := d.schedule.Expire(time.Now(), t)
+	err := d.scheduler.Expire(time.Now(), t)
 	if err != nil {
 		delete(d.waiting, t)
 	}
 	return err
 }
 
-// withdraw ends the wait of a ticket whose context is over. It may have got its
-// slot at the same moment.
-func (d *Dispatcher) withdraw(ctx context.Context, t *schedule.Ticket) (*Reservation, error) {
+// cancel ends the wait of a ticket whose context is done. The ticket may have got its
+// slot at the same moment; its reservation is returned then.
+func (d *Dispatcher) cancel(ctx context.Context, t *schedule.Ticket) (*Reservation, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if t.Target != nil {
 		return d.reservation(t), nil
 	}
 	delete(d.waiting, t)
-	d.schedule.Withdraw(t)
+	d.scheduler.Cancel(t)
 	return nil, ctx.Err()
 }
 
-// wake tells requests that wait that they have a slot.
-func (d *Dispatcher) wake(placed []*schedule.Ticket) {
-	for _, t := range placed {
+// notify unblocks the requests whose tickets got a slot.
+func (d *Dispatcher) notify(admitted []*schedule.Ticket) {
+	for _, t := range admitted {
 		d.waiting[t] <- struct{}{}
 		delete(d.waiting, t)
 	}
 }
 
-// Release gives the slot back.
-func (r *Reservation) Release(out schedule.Result) {
+// Release frees the slot and records how the request ended.
+func (r *Reservation) Release(result schedule.Result) {
 	d := r.d
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.wake(d.schedule.Release(time.Now(), r.ticket, out))
+	d.notify(d.scheduler.Release(time.Now(), r.ticket, result))
 }
 
-// Forget drops what is known of lifetimes that are over.
-func (d *Dispatcher) Forget() {
+// Prune drops the state of ended incarnations, as schedule.Scheduler.Prune.
+func (d *Dispatcher) Prune() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.schedule.Roster = d.Roster
-	d.schedule.Forget(time.Now())
+	d.scheduler.Roster = d.Roster
+	d.scheduler.Prune(time.Now())
 }
 
-// Speeds returns what was learnt of targets.
-func (d *Dispatcher) Speeds() []schedule.Speed {
+// TargetLatencies returns the estimated response times of targets.
+func (d *Dispatcher) TargetLatencies() []schedule.TargetLatency {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.schedule.Roster = d.Roster
-	return d.schedule.Speeds()
+	d.scheduler.Roster = d.Roster
+	return d.scheduler.TargetLatencies()
 }
--- a/basilcross/dispatch/dispatch_test.go
+++ b/basilcross/dispatch/dispatch_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func dispatcher(targets ...*roster.Target) *dispatch.Dispatcher {
+func newDispatcher(targets ...*roster.Target) *dispatch.Dispatcher {
 	r := &roster.Roster{}
 	for _, t := range targets {
 		t.Service, t.Zone, t.Started = "s", "z", 1
@@ -24,59 +24,63 @@
 	return &dispatch.Dispatcher{Roster: r}
 }
 
-func ask(priority int, soon time.Duration) schedule.Request {
+// request returns a request with the objective, and a deadline of three times that.
+func request(priority int, objective time.Duration) schedule.Request {
 	now := time.Now()
-	return schedule.Request{Service: "s", Zone: "z", Priority: priority, Objective: now.Add(soon), Deadline: now.Add(3 * soon)}
+	return schedule.Request{Service: "s", Zone: "z", Priority: priority, Objective: now.Add(objective), Deadline: now.Add(3 * objective)}
 }
 
-func acquire(t *testing.T, d *dispatch.Dispatcher, a schedule.Request) *dispatch.Reservation {
+func acquire(t *testing.T, d *dispatch.Dispatcher, r schedule.Request) *dispatch.Reservation {
 	t.Helper()
-	p, err := d.Acquire(context.Background(), a)
+	reservation, err := d.Acquire(context.Background(), r)
 	assert.NilError(t, err)
-	return p
+	return reservation
 }
 
-func TestEmptiestTargetFirst(t *testing.T) {
-	d := dispatcher(&roster.Target{ID: "a", Slots: 2}, &roster.Target{ID: "b", Slots: 2})
+// Guards against requests that wait at one target while another has free slots.
+func TestLeastLoadedTargetFirst(t *testing.T) {
+	d := newDispatcher(&roster.Target{ID: "a", Slots: 2}, &roster.Target{ID: "b", Slots: 2})
 	seen := map[string]int{}
 	for range 4 {
-		seen[acquire(t, d, ask(0, time.Second)).Target.ID]++
+		seen[acquire(t, d, request(0, time.Second)).Target.ID]++
 	}
 	assert.DeepEqual(t, seen, map[string]int{"a": 2, "b": 2})
 }
 
+// Guards against requests that are sent to a draining target.
 func TestNoTarget(t *testing.T) {
-	d := dispatcher(&roster.Target{ID: "a", Slots: 2, Draining: true})
-	_, err := d.Acquire(context.Background(), ask(0, time.Second))
+	d := newDispatcher(&roster.Target{ID: "a", Slots: 2, Draining: true})
+	_, err := d.Acquire(context.Background(), request(0, time.Second))
 	var none *schedule.NoTargetError
 	assert.Assert(t, errors.As(err, &none))
 }
 
-// All slots are taken and three requests wait: the urgent one came last and
-// goes first; of the others the one that can still make its objective.
-func TestOrderOfWaiting(t *testing.T) {
+// Guards against a queue that ignores priority and objectives: with all slots taken and
+// three requests waiting, the urgent one is served first although it came last, and of
+// the others the one that can still meet its objective.
+func TestQueueOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := dispatcher(&roster.Target{ID: "a", Slots: 2})
-		first, second := acquire(t, d, ask(1, time.Second)), acquire(t, d, ask(1, time.Second))
+		d := newDispatcher(&roster.Target{ID: "a", Slots: 2})
+		first, second := acquire(t, d, request(1, time.Second)), acquire(t, d, request(1, time.Second))
 		var mu sync.Mutex
 		var order []string
 		var group sync.WaitGroup
-		wait := func(name string, a schedule.Request) {
+		wait := func(name string, r schedule.Request) {
 			group.Go(func() {
-				p := acquire(t, d, a)
+				reservation := acquire(t, d, r)
 				mu.Lock()
 				order = append(order, name)
 				mu.Unlock()
 				time.Sleep(200 * time.Millisecond)
-				p.Release(schedule.Answered)
+				reservation.Release(schedule.Answered)
 			})
 			synctest.Wait()
 		}
-		late := ask(2, 100*time.Millisecond)
+		late := request(2, 100*time.Millisecond)
 		late.Deadline = time.Now().Add(10 * time.Second)
 		wait("late", late)
-		wait("inTime", ask(2, 2*time.Second))
-		wait("urgent", ask(1, 2*time.Second))
+		wait("inTime", request(2, 2*time.Second))
+		wait("urgent", request(1, 2*time.Second))
 		time.Sleep(200 * time.Millisecond)
 		first.Release(schedule.Answered)
 		synctest.Wait()
@@ -86,53 +90,55 @@
 	})
 }
 
-func TestWhatWouldBeLateIsRefusedAtOnce(t *testing.T) {
-	d := dispatcher(&roster.Target{ID: "a", Slots: 2})
-	acquire(t, d, ask(0, time.Second))
-	acquire(t, d, ask(0, time.Second))
-	a := ask(0, 250*time.Millisecond)
-	a.OnTime = true
-	_, err := d.Acquire(context.Background(), a)
+// Guards against a request with RejectLate that waits although its answer would be late.
+func TestLateRequestIsRefusedAtOnce(t *testing.T) {
+	d := newDispatcher(&roster.Target{ID: "a", Slots: 2})
+	acquire(t, d, request(0, time.Second))
+	acquire(t, d, request(0, time.Second))
+	r := request(0, 250*time.Millisecond)
+	r.RejectLate = true
+	_, err := d.Acquire(context.Background(), r)
 	var busy *schedule.BusyError
 	assert.Assert(t, errors.As(err, &busy))
 	assert.Assert(t, busy.Wait > 0)
 }
 
-// A target sheds half of what it gets though its slots are free. Sending it
-// less would not help; were its limit cut each time, all targets that do so
-// would end with one slot each, and requests be refused with slots free.
+// Guards against a limit that falls because a target sheds requests at random although
+// its slots are free. All such targets would end with a limit of one request, and
+// requests would be refused while slots are free.
 func TestRandomSheddingDoesNotCutTheLimit(t *testing.T) {
-	d := dispatcher(&roster.Target{ID: "a", Slots: 3})
+	d := newDispatcher(&roster.Target{ID: "a", Slots: 3})
 	for range 50 {
-		acquire(t, d, ask(0, time.Second)).Release(schedule.Shed)
+		acquire(t, d, request(0, time.Second)).Release(schedule.Shed)
 	}
 	for range 3 {
-		acquire(t, d, ask(0, time.Second))
+		acquire(t, d, request(0, time.Second))
 	}
 }
 
-func TestSilentTargetIsLeftAlone(t *testing.T) {
-	d := dispatcher(&roster.Target{ID: "a", Slots: 3}, &roster.Target{ID: "b", Slots: 3})
+// Guards against requests that are sent to a target that has failed twice in a row.
+func TestFailingTargetIsAvoided(t *testing.T) {
+	d := newDispatcher(&roster.Target{ID: "a", Slots: 3}, &roster.Target{ID: "b", Slots: 3})
 	for range 8 {
-		p := acquire(t, d, ask(0, time.Second))
-		if p.Target.ID == "a" {
-			p.Release(schedule.Failed)
+		reservation := acquire(t, d, request(0, time.Second))
+		if reservation.Target.ID == "a" {
+			reservation.Release(schedule.Failed)
 			continue
 		}
-		p.Release(schedule.Answered)
+		reservation.Release(schedule.Answered)
 	}
-	left := acquire(t, d, ask(0, time.Second))
-	assert.Equal(t, left.Target.ID, "b")
+	next := acquire(t, d, request(0, time.Second))
+	assert.Equal(t, next.Target.ID, "b")
 }
 
-// Twice as many requests come as four targets of different speed can run. What
-// is served must be served in time: a queue in order of arrival would make
-// nearly all late, since the ones in front have waited longest.
+// Guards against late answers under overload: with twice as many requests as four
+// targets of different slowness can run, a queue in order of arrival makes nearly all
+// answers late, since its oldest requests have waited longest.
 func TestOverloadServesInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		targets := []*roster.Target{{ID: "a", Slots: 3}, {ID: "b", Slots: 3}, {ID: "c", Slots: 3}, {ID: "d", Slots: 3}}
 		speed := map[string]float64{"a": 0.7, "b": 0.7, "c": 1, "d": 1.6}
-		d := dispatcher(targets...)
+		d := newDispatcher(targets...)
 		slots := map[string]chan bool{}
 		for _, target := range targets {
 			slots[target.ID] = make(chan bool, target.Slots)
@@ -147,18 +153,18 @@
 			work := time.Duration((0.5 + random.Float64()) * float64(220*time.Millisecond))
 			group.Go(func() {
 				began := time.Now()
-				p, err := d.Acquire(context.Background(), ask(2, objective))
+				reservation, err := d.Acquire(context.Background(), request(2, objective))
 				if err != nil {
 					mu.Lock()
 					refused++
 					mu.Unlock()
 					return
 				}
-				// A target runs as many as it has slots; the others wait there.
-				slots[p.Target.ID] <- true
-				time.Sleep(time.Duration(float64(work) * speed[p.Target.ID]))
-				<-slots[p.Target.ID]
-				p.Release(schedule.Answered)
+				// A target runs as many requests as it has slots; the others wait there.
+				slots[reservation.Target.ID] <- true
+				time.Sleep(time.Duration(float64(work) * speed[reservation.Target.ID]))
+				<-slots[reservation.Target.ID]
+				reservation.Release(schedule.Answered)
 				mu.Lock()
 				defer mu.Unlock()
 				if time.Since(began) <= objective {
@@ -170,23 +176,23 @@
 		}
 		group.Wait()
 		t.Logf("%d in time, %d late, %d refused", inTime, late, refused)
-		assert.Assert(t, refused > 500, "there is twice the load")
+		assert.Assert(t, refused > 500, "the load is twice the capacity")
 		assert.Assert(t, float64(inTime) > 0.85*float64(inTime+late))
 	})
 }
 
-// A target was slow and starts again under its name. Its former speed is told
-// to nobody any more.
-func TestSpeedsAreOfPresentLives(t *testing.T) {
+// Guards against the latency of a slow target that is still reported after the target
+// has restarted under its ID.
+func TestLatenciesOmitEarlierIncarnations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := dispatcher(&roster.Target{ID: "a", Slots: 1})
+		d := newDispatcher(&roster.Target{ID: "a", Slots: 1})
 		for range 3 {
-			p := acquire(t, d, ask(0, time.Minute))
+			reservation := acquire(t, d, request(0, time.Minute))
 			time.Sleep(time.Second)
-			p.Release(schedule.Answered)
+			reservation.Release(schedule.Answered)
 		}
-		assert.Equal(t, len(d.Speeds()), 1)
+		assert.Equal(t, len(d.TargetLatencies()), 1)
 		d.Roster.Replace(time.Now(), []*roster.Target{{ID: "a", Slots: 1, Service: "s", Zone: "z", Started: 2}}, 2)
-		assert.Equal(t, len(d.Speeds()), 0)
+		assert.Equal(t, len(d.TargetLatencies()), 0)
 	})
 }
--- a/basilcross/schedule/choose.go
+++ b/basilcross/schedule/choose.go
@@ -6,86 +6,91 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// room is what the targets of a request can take together.
-type room struct {
-	best    *roster.Target
-	state   *state
-	seconds float64
+// capacity summarizes the targets that a request may go to.
+type capacity struct {
+	// best is the target with the earliest expected answer, nil if none has capacity;
+	// state is its state, and bestSeconds the time until the answer.
+	best        *roster.Target
+	state       *targetState
+	bestSeconds float64
+	// targets is the number of usable targets.
 	targets int
-	// slots are those of all, slowness is theirs on average, and latency is what
-	// they need for the request on average.
+	// slots is the sum over the targets, slowness their average, and latency their
+	// average for the request, in expected.
 	slots    float64
 	slowness float64
 	latency  float64
-	// free is when the first of them is expected to have a slot.
-	free time.Duration
+	// freeIn is the expected time until the first of them has a free slot.
+	freeIn time.Duration
 }
 
-// place gives the ticket the best target with room, if there is one.
-func (s *Schedule) place(now time.Time, t *Ticket) room {
-	best, r := s.best(now, t)
+// assign gives the ticket a slot of the best target with free capacity, if there is one.
+func (s *Scheduler) assign(now time.Time, t *Ticket) capacity {
+	best, avail := s.bestTarget(now, t)
 	if best == nil {
-		return r
+		return avail
 	}
-	t.Target, t.state = best, r.state
-	t.state.begin(now, t)
-	return r
+	t.Target, t.state = best, avail.state
+	t.state.add(now, t)
+	return avail
 }
 
-// best returns the target with room where the answer is expected first.
-func (s *Schedule) best(now time.Time, t *Ticket) (*roster.Target, room) {
-	var r room
+// bestTarget returns the target with free capacity whose answer is expected first, or
+// nil, and the capacity of all usable targets.
+func (s *Scheduler) bestTarget(now time.Time, t *Ticket) (*roster.Target, capacity) {
+	var avail capacity
 	rate := 0.0
-	for _, c := range s.usable(now, t) {
-		st := t.service.state(c)
-		latency := t.service.usual(now, c, st, t.Request.Kind)
-		r.targets++
-		r.slots += min(float64(c.Slots), max(1, st.limit))
+	for _, c := range s.usableTargets(now, t) {
+		st := t.service.stateOf(c)
+		latency := t.service.expectedLatency(now, c, st, t.Request.Kind)
+		avail.targets++
+		avail.slots += min(float64(c.Slots), max(1, st.limit))
 		rate += min(float64(c.Slots), max(1, st.limit)) / latency
-		wait := st.nextFree(now, c.Slots)
-		if r.targets == 1 || wait < r.free {
-			r.free = wait
+		wait := st.timeToFreeSlot(now, c.Slots)
+		if avail.targets == 1 || wait < avail.freeIn {
+			avail.freeIn = wait
 		}
-		if float64(len(st.inFlight)) >= max(1, st.limit) || wait > aheadOf(&t.Request) || st.keeps(now, t, c.Slots, latency) {
+		if float64(len(st.inFlight)) >= max(1, st.limit) || wait > sendAheadTime(&t.Request) || st.reservesLastSlot(now, t, c.Slots, latency) {
 			continue
 		}
-		seconds := latency + wait.Seconds()
-		if r.best == nil || seconds < r.seconds || seconds == r.seconds && c.ID < r.best.ID {
-			r.best, r.state, r.seconds = c, st, seconds
+		expected := latency + wait.Seconds()
+		if avail.best == nil || expected < avail.bestSeconds || expected == avail.bestSeconds && c.ID < avail.best.ID {
+			avail.best, avail.state, avail.bestSeconds = c, st, expected
 		}
 	}
-	work := t.service.work(t.Request.Kind)
-	r.latency, r.slowness = work, 1
+	work := t.service.workOf(t.Request.Kind)
+	avail.latency, avail.slowness = work, 1
 	if rate > 0 {
-		r.latency = r.slots / rate
-		r.slowness = r.latency / work
+		avail.latency = avail.slots / rate
+		avail.slowness = avail.latency / work
 	}
-	return r.best, r
+	return avail.best, avail
 }
 
-// usable returns the targets that the request may go to. If all are paused, the
-// ones that failed are used all the same by a request that has nowhere else to go:
-// most targets that fail at times answer more often than not.
-func (s *Schedule) usable(now time.Time, t *Ticket) []*roster.Target {
+// usableTargets returns the targets that the request may go to. If all are in backoff,
+// failing ones are returned for a request without alternatives, since most targets
+// that fail now and then still answer more often than not.
+func (s *Scheduler) usableTargets(now time.Time, t *Ticket) []*roster.Target {
 	var open, failing []*roster.Target
 	for _, c := range s.candidates(&t.Request) {
 		if t.Request.Target == "" && t.Request.Excluded[c.ID] {
 			continue
 		}
-		switch st := t.service.state(c); {
-		case !now.Before(st.pause):
+		switch st := t.service.stateOf(c); {
+		case !now.Before(st.pausedUntil):
 			open = append(open, c)
 		case st.failures > 0:
 			failing = append(failing, c)
 		}
 	}
-	if len(open) == 0 && t.Request.Target == "" && !t.Request.OnTime {
+	if len(open) == 0 && t.Request.Target == "" && !t.Request.RejectLate {
 		return failing
 	}
 	return open
 }
 
-func (s *Schedule) candidates(r *Request) []*roster.Target {
+// candidates returns the request's target, or the zone's targets that do not drain.
+func (s *Scheduler) candidates(r *Request) []*roster.Target {
 	view := s.Roster.Load()
 	if r.Target != "" {
 		if t := view.Targets[r.Target]; t != nil && t.Service == r.Service {
--- a/basilcross/schedule/queue.go
+++ b/basilcross/schedule/queue.go
@@ -3,80 +3,84 @@
 import "time"
 
 const (
-	// safety is the share of a usual answer's time that is kept free before
-	// the objective: work varies around its mean.
-	safety = 1.4
-	// lateShare of the time left is how long a request waits that cannot make
-	// its objective any more. It goes behind all that can.
-	lateShare = 0.4
-	// answerTrips is how many messages pass from a slot's reservation to the
+	// safetyFactor is the multiple of the expected latency that is kept free before
+	// the objective, since work varies around its mean.
+	safetyFactor = 1.4
+	// lateWaitShare is the share of the time left until its deadline for which a
+	// request waits that can no longer meet its objective. It is served after all
+	// requests of its priority that can.
+	lateWaitShare = 0.4
+	// answerMessages is how many one-way delays pass from a slot's reservation to the
 	// answer: the reservation, the request and the answer itself.
-	answerTrips = 3
+	answerMessages = 3
 )
 
-// queueKey names a target, or a zone's targets.
+// queueKey identifies a queue: requests for one target, or for any target of a zone.
 type queueKey struct{ target, zone string }
 
-// queue is the requests that wait for the same targets.
+// queue holds the requests that wait for the same targets.
 type queue struct {
-	waiting  []*Ticket
-	order    uint64
-	arrivals map[uint32]*arrivals
+	waiting []*Ticket
+	// lastSeq is the sequence number of the last ticket that was queued.
+	lastSeq  uint64
+	arrivals map[uint32]*arrivalStats
 }
 
-func (s *service) queue(r *Request) *queue {
+func (s *service) queueFor(r *Request) *queue {
 	key := queueKey{zone: r.Zone}
 	if r.Target != "" {
 		key = queueKey{target: r.Target}
 	}
 	q := s.queues[key]
 	if q == nil {
-		q = &queue{arrivals: map[uint32]*arrivals{}}
+		q = &queue{arrivals: map[uint32]*arrivalStats{}}
 		s.queues[key] = q
 	}
 	return q
 }
 
-// wait decides whether a request may wait, and until when.
-func (t *Ticket) wait(now time.Time, r room) error {
+// enqueue adds the ticket to its queue and sets WaitUntil, or returns a *BusyError if
+// the request cannot be answered in time.
+func (t *Ticket) enqueue(now time.Time, avail capacity) error {
 	q, req := t.queue, &t.Request
-	wait := q.expected(t, r)
-	t.Until = req.Objective.Add(-seconds(r.latency*safety) - answerTrips*req.Transit)
-	if now.Add(wait).After(t.Until) {
-		if err := t.waitLate(now, r); err != nil {
+	wait := q.expectedWait(t, avail)
+	t.WaitUntil = req.Objective.Add(-seconds(avail.latency*safetyFactor) - answerMessages*req.OneWayDelay)
+	if now.Add(wait).After(t.WaitUntil) {
+		if err := t.waitPastObjective(now, avail); err != nil {
 			return err
 		}
 	}
-	q.order++
-	t.order = q.order
+	q.lastSeq++
+	t.seq = q.lastSeq
 	q.waiting = append(q.waiting, t)
 	return nil
 }
 
-// waitLate decides the same for a request that cannot make its objective any
-// more.
-func (t *Ticket) waitLate(now time.Time, r room) error {
+// waitPastObjective sets WaitUntil for a request that can no longer meet its
+// objective. It returns a *BusyError if the request may not wait that long, or has
+// been extended before.
+func (t *Ticket) waitPastObjective(now time.Time, avail capacity) error {
 	req := &t.Request
-	usual := seconds(r.latency) + answerTrips*req.Transit
-	wait := t.queue.expected(t, r)
-	t.Until = now.Add(time.Duration(float64(req.Deadline.Sub(now)-usual) * lateShare))
-	if req.OnTime || t.late || now.Add(wait).After(t.Until) {
+	expected := seconds(avail.latency) + answerMessages*req.OneWayDelay
+	wait := t.queue.expectedWait(t, avail)
+	t.WaitUntil = now.Add(time.Duration(float64(req.Deadline.Sub(now)-expected) * lateWaitShare))
+	if req.RejectLate || t.late || now.Add(wait).After(t.WaitUntil) {
 		return &BusyError{Service: t.service.name, Wait: wait, Queued: len(t.queue.waiting)}
 	}
 	t.late = true
 	return nil
 }
 
-// expected is the wait for a slot: for the first that is free, and for the work of
-// those that wait and are not less urgent.
-func (q *queue) expected(t *Ticket, r room) time.Duration {
+// expectedWait estimates the wait for a slot: the time until the first is free, and the
+// work of waiting requests of the same or a higher priority.
+func (q *queue) expectedWait(t *Ticket, avail capacity) time.Duration {
 	ahead := 0.0
 	for _, o := range q.waiting {
 		if o != t && o.Request.Priority <= t.Request.Priority {
-			ahead += o.service.work(o.Request.Kind) * r.slowness
+			ahead += o.service.workOf(o.Request.Kind) * avail.slowness
 		}
 	}
-	return r.free + seconds(ahead/max(1, r.slots))
+	return avail.freeIn + seconds(ahead/max(1, avail.slots))
 }
 
 func (q *queue) remove(t *Ticket) {
@@ -88,40 +92,41 @@
 	}
 }
 
-// next returns the most urgent ticket. Of equally urgent ones those go first
-// that make their objective on a target of the given slowness, and of those the
-// oldest.
+// next returns the waiting ticket with the highest priority. At equal priority those
+// precede that meet their objective on a target of the given slowness, and of those
+// the oldest.
 func (q *queue) next(now time.Time, slowness float64) *Ticket {
 	var best *Ticket
 	for _, t := range q.waiting {
-		if best == nil || t.before(best, now, slowness) {
+		if best == nil || t.precedes(best, now, slowness) {
 			best = t
 		}
 	}
 	return best
 }
 
-// goesBefore tells whether one that waits goes before a request that comes.
-func (q *queue) goesBefore(now time.Time, t *Ticket, slowness float64) bool {
-	t.order = q.order + 1
+// outranks reports whether a waiting ticket precedes a new one.
+func (q *queue) outranks(now time.Time, t *Ticket, slowness float64) bool {
+	t.seq = q.lastSeq + 1
 	next := q.next(now, slowness)
-	return next != nil && next.before(t, now, slowness)
+	return next != nil && next.precedes(t, now, slowness)
 }
 
-func (t *Ticket) before(o *Ticket, now time.Time, slowness float64) bool {
+// precedes reports whether t is served before o.
+func (t *Ticket) precedes(o *Ticket, now time.Time, slowness float64) bool {
 	if t.Request.Priority != o.Request.Priority {
 		return t.Request.Priority < o.Request.Priority
 	}
-	onTime, other := t.onTime(now, slowness), o.onTime(now, slowness)
+	onTime, other := t.meetsObjective(now, slowness), o.meetsObjective(now, slowness)
 	if onTime != other {
 		return onTime
 	}
-	return t.order < o.order
+	return t.seq < o.seq
 }
 
-// onTime tells whether the request makes its objective if a target of the given
-// slowness gets it now.
-func (t *Ticket) onTime(now time.Time, slowness float64) bool {
-	work := seconds(t.service.work(t.Request.Kind) * slowness * safety)
-	return now.Add(work + answerTrips*t.Request.Transit).Before(t.Request.Objective)
+// meetsObjective reports whether the request meets its objective if it is sent to a
+// target of the given slowness now.
+func (t *Ticket) meetsObjective(now time.Time, slowness float64) bool {
+	work := seconds(t.service.workOf(t.Request.Kind) * slowness * safetyFactor)
+	return now.Add(work + answerMessages*t.Request.OneWayDelay).Before(t.Request.Objective)
 }
--- a/basilcross/schedule/schedule.go
+++ b/basilcross/schedule/schedule.go
@@ -1,7 +1,7 @@
 // Package schedule decides which target's slot a request gets, which request is
-// next when all are busy, and which is refused at once because it cannot be
-// answered in time. It keeps no clock and starts nothing: every call says what
-// time it is, so that a load can be played against it in no time.
+// next when all slots are busy, and which is refused at once because it cannot be
+// answered in time. It reads no clock and starts no goroutines: every call is given
+// the time, so that simulations need not run in real time.
 package schedule
 
 import (
@@ -15,22 +15,22 @@
 // Request asks for a slot at a target.
 type Request struct {
 	Service string
-	// Kind numbers requests that are alike in work.
+	// Kind identifies requests that need a similar amount of work.
 	Kind uint32
-	// Target is the only one that will do; empty if any of the zone's will.
+	// Target is the ID of the only acceptable target; empty if any of the zone is.
 	Target string
 	Zone   string
-	// Excluded are targets that this request has been sent to.
+	// Excluded are the IDs of targets that this request has been sent to before.
 	Excluded map[string]bool
 	// Priority 0 goes first.
 	Priority int
-	// Objective is when the answer should be there, Deadline when it is of no use.
+	// Objective is when the answer is due; after Deadline it is useless.
 	Objective time.Time
 	Deadline  time.Time
-	// Transit is the time of a message from whoever asks to the targets, one way.
-	Transit time.Duration
-	// OnTime asks for a refusal if the answer would come after Objective.
-	OnTime bool
+	// OneWayDelay is the network delay from the requesting instance to the targets.
+	OneWayDelay time.Duration
+	// RejectLate requests a refusal if the answer would come after Objective.
+	RejectLate bool
 }
 
 // Result is how a request ended at its target.
@@ -38,187 +38,193 @@
 
 // The results.
 const (
-	// Answered: the target gave its answer.
+	// Answered: the target answered.
 	Answered Result = iota
-	// Shed: the target had no room.
+	// Shed: the target was overloaded and did not run the request.
 	Shed
-	// Failed: no answer, or none that can be used.
+	// Failed: no answer, or an unusable one.
 	Failed
-	// Abandoned: the caller went away, or its time was over; this tells nothing.
+	// Abandoned: the caller disconnected or its deadline passed; this says nothing
+	// about the target.
 	Abandoned
 )
 
-// BusyError says that the request cannot be answered in time, and when room is
-// expected.
+// BusyError is returned for a request that cannot be answered in time.
 type BusyError struct {
 	Service string
-	Wait    time.Duration
-	Queued  int
+	// Wait is the expected time until a slot is free.
+	Wait time.Duration
+	// Queued is how many requests wait already.
+	Queued int
 }
 
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("schedule: no room at %s: %d wait, about %v", e.Service, e.Queued, e.Wait.Round(time.Millisecond))
+	return fmt.Sprintf("schedule: no free slot at service %s: %d requests wait, expected wait %v", e.Service, e.Queued, e.Wait.Round(time.Millisecond))
 }
 
-// NoTargetError says that there is no target that would do.
+// NoTargetError is returned if no target of the service is usable for the request.
 type NoTargetError struct {
 	Service string
 }
 
-func (e *NoTargetError) Error() string { return "schedule: no target of " + e.Service }
+func (e *NoTargetError) Error() string { return "schedule: no usable target of service " + e.Service }
 
-// Schedule shares out the slots of targets. Roster must be set. It is not safe
-// for concurrent use.
-type Schedule struct {
+// Scheduler assigns the slots of targets to requests. Roster must be set. It is not
+// safe for concurrent use.
+type Scheduler struct {
 	Roster *roster.Roster
 
 	services map[string]*service
 }
 
+// service is what the scheduler keeps of a service: its targets, queues and estimates.
 type service struct {
-	name   string
-	states map[roster.Incarnation]*state
-	queues map[queueKey]*queue
-	kinds  map[uint32]*kind
-	// mean is the work of an average request, in seconds; 0 before the first answer.
-	mean float64
+	name    string
+	targets map[roster.Incarnation]*targetState
+	queues  map[queueKey]*queue
+	kinds   map[uint32]*kindStats
+	// meanWork is the average work of a request, in seconds; 0 before the first answer.
+	meanWork float64
 }
 
-// Ticket is a request's turn: it has a target's slot if Target is set, and waits
-// for one otherwise, until Until at most.
+// Ticket is a request's place in the schedule: it holds a slot of Target if that is
+// set, and otherwise waits for one until WaitUntil at most.
 type Ticket struct {
-	Request Request
-	Target  *roster.Target
-	Until   time.Time
+	Request   Request
+	Target    *roster.Target
+	WaitUntil time.Time
 
 	service *service
 	queue   *queue
-	state   *state
-	order   uint64
-	// late is set if it waits though it cannot make its objective.
+	state   *targetState
+	seq     uint64
+	// late is set if it waits although it cannot meet its objective.
 	late bool
-	// arrives is when the target has the request, and started when a slot was
-	// free for it; that is zero before.
-	arrives time.Time
-	started time.Time
-	// work is how long the target was expected to work on it.
-	work time.Duration
+	// arrivesAt is when the request reaches the target; startedAt is when it got a
+	// slot there, and zero while it waits at the target.
+	arrivesAt time.Time
+	startedAt time.Time
+	// expectedWork is how long the target was expected to run it.
+	expectedWork time.Duration
 }
 
-// Enter gives a request a slot, or lets it wait for one. The error is a
+// Submit assigns a slot to a request, or queues it. The error is a
 // *BusyError or a *NoTargetError.
-func (s *Schedule) Enter(now time.Time, r Request) (*Ticket, error) {
-	sv := s.service(r.Service)
-	t := &Ticket{Request: r, service: sv, queue: sv.queue(&r)}
-	t.queue.arrive(now, &r)
-	_, room := s.best(now, t)
-	if !t.queue.goesBefore(now, t, room.slowness) {
-		room = s.place(now, t)
+func (s *Scheduler) Submit(now time.Time, r Request) (*Ticket, error) {
+	svc := s.serviceFor(r.Service)
+	t := &Ticket{Request: r, service: svc, queue: svc.queueFor(&r)}
+	t.queue.recordArrival(now, &r)
+	_, avail := s.bestTarget(now, t)
+	if !t.queue.outranks(now, t, avail.slowness) {
+		avail = s.assign(now, t)
 	}
 	if t.Target != nil {
 		return t, nil
 	}
-	if room.targets == 0 {
+	if avail.targets == 0 {
 		return nil, &NoTargetError{Service: r.Service}
 	}
-	return t, t.wait(now, room)
+	return t, t.enqueue(now, avail)
 }
 
-// Expire is called when a ticket has waited until Until. It goes on waiting, until
-// a later Until, if it is still worth while although the answer will be late; the
-// error says why nothing came of it otherwise.
-func (s *Schedule) Expire(now time.Time, t *Ticket) error {
-	_, room := s.best(now, t)
-	err := t.waitLate(now, room)
+// Expire must be called when a ticket has waited until WaitUntil. If a late answer is
+// still useful it extends WaitUntil once and the ticket stays queued; otherwise the
+// ticket leaves the queue and the error is a *BusyError.
+func (s *Scheduler) Expire(now time.Time, t *Ticket) error {
+	_, avail := s.bestTarget(now, t)
+	err := t.waitPastObjective(now, avail)
 	if err != nil {
-		s.Withdraw(t)
+		s.Cancel(t)
 	}
 	return err
 }
 
-// Withdraw ends a ticket's wait.
-func (s *Schedule) Withdraw(t *Ticket) { t.queue.remove(t) }
+// Cancel removes a waiting ticket from its queue.
+func (s *Scheduler) Cancel(t *Ticket) { t.queue.remove(t) }
 
-// Release gives a ticket's slot back, and returns the tickets that have got one.
-func (s *Schedule) Release(now time.Time, t *Ticket, r Result) []*Ticket {
-	t.state.ended(now, t, r)
+// Release frees a ticket's slot, records the request's result, and returns the waiting
+// tickets that got a slot.
+func (s *Scheduler) Release(now time.Time, t *Ticket, r Result) []*Ticket {
+	t.state.recordResult(now, t, r)
 	return s.Admit(now, t)
 }
 
-// Admit gives slots to requests that wait for the same targets as the ticket's,
-// and returns those that have got one.
-func (s *Schedule) Admit(now time.Time, like *Ticket) []*Ticket {
-	var placed []*Ticket
+// Admit assigns free slots to the tickets in the same queue as the given one, and
+// returns those that got one.
+func (s *Scheduler) Admit(now time.Time, like *Ticket) []*Ticket {
+	var admitted []*Ticket
 	for q := like.queue; len(q.waiting) > 0; {
-		best, room := s.best(now, q.waiting[0])
+		best, avail := s.bestTarget(now, q.waiting[0])
 		if best != nil {
-			// Who makes its objective depends on whose slot is free.
-			room.slowness = room.state.slowness * cold(now, best)
+			// Which requests meet their objective depends on the target that is free.
+			avail.slowness = avail.state.slowness * warmupFactor(now, best)
 		}
-		next := q.next(now, room.slowness)
-		s.place(now, next)
+		next := q.next(now, avail.slowness)
+		s.assign(now, next)
 		if next.Target == nil {
 			break
 		}
 		q.remove(next)
-		placed = append(placed, next)
+		admitted = append(admitted, next)
 	}
-	return placed
+	return admitted
 }
 
-func (s *Schedule) service(name string) *service {
+func (s *Scheduler) serviceFor(name string) *service {
 	if s.services == nil {
 		s.services = map[string]*service{}
 	}
-	sv := s.services[name]
-	if sv == nil {
-		sv = &service{name: name, states: map[roster.Incarnation]*state{}, queues: map[queueKey]*queue{}, kinds: map[uint32]*kind{}}
-		s.services[name] = sv
+	svc := s.services[name]
+	if svc == nil {
+		svc = &service{name: name, targets: map[roster.Incarnation]*targetState{}, queues: map[queueKey]*queue{}, kinds: map[uint32]*kindStats{}}
+		s.services[name] = svc
 	}
-	return sv
+	return svc
 }
 
-// Forget drops what is known of lifetimes that are over, and of kinds of requests
-// that do not come any more.
-func (s *Schedule) Forget(now time.Time) {
+// Prune drops the state of ended incarnations, and of kinds without requests for
+// kindTTL.
+func (s *Scheduler) Prune(now time.Time) {
 	view := s.Roster.Load()
-	for _, sv := range s.services {
-		maps.DeleteFunc(sv.kinds, func(_ uint32, k *kind) bool { return now.Sub(k.at) > kindFor })
-		for life, st := range sv.states {
-			t := view.Targets[life.ID]
-			if len(st.inFlight) == 0 && (t == nil || t.Started != life.Started) {
-				delete(sv.states, life)
+	for _, svc := range s.services {
+		maps.DeleteFunc(svc.kinds, func(_ uint32, k *kindStats) bool { return now.Sub(k.lastAnswer) > kindTTL })
+		for incarnation, st := range svc.targets {
+			t := view.Targets[incarnation.ID]
+			if len(st.inFlight) == 0 && (t == nil || t.Started != incarnation.Started) {
+				delete(svc.targets, incarnation)
 			}
 		}
-		for key, q := range sv.queues {
-			maps.DeleteFunc(q.arrivals, func(_ uint32, a *arrivals) bool { return now.Sub(a.at) > kindFor })
+		for key, q := range svc.queues {
+			maps.DeleteFunc(q.arrivals, func(_ uint32, a *arrivalStats) bool { return now.Sub(a.updated) > kindTTL })
 			if len(q.waiting) == 0 && key.target != "" && view.Targets[key.target] == nil {
-				delete(sv.queues, key)
+				delete(svc.queues, key)
 			}
 		}
 	}
 }
 
-// Speed is a target's usual time of an answer to an average request.
-type Speed struct {
+// TargetLatency is a target's estimated response time for an average request.
+type TargetLatency struct {
 	Service string
 	Target  string
 	Latency time.Duration
 }
 
-// Speeds returns what was learnt of targets. A lifetime that is over says
-// nothing of the next one under its name.
-func (s *Schedule) Speeds() []Speed {
+// TargetLatencies returns the estimates for all targets that have answered. Estimates
+// of ended incarnations are left out, since they say nothing about the next one under
+// the same ID.
+func (s *Scheduler) TargetLatencies() []TargetLatency {
 	view := s.Roster.Load()
-	var speeds []Speed
-	for name, sv := range s.services {
-		for life, st := range sv.states {
-			if t := view.Targets[life.ID]; t != nil && t.Started == life.Started && st.answers > 0 {
-				speeds = append(speeds, Speed{name, life.ID, seconds(sv.usualWork() * st.slowness)})
+	var latencies []TargetLatency
+	for name, svc := range s.services {
+		for incarnation, st := range svc.targets {
+			if t := view.Targets[incarnation.ID]; t != nil && t.Started == incarnation.Started && st.answers > 0 {
+				latencies = append(latencies, TargetLatency{name, incarnation.ID, seconds(svc.averageWork() * st.slowness)})
 			}
 		}
 	}
-	return speeds
+	return latencies
 }
 
+// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/basilcross/schedule/schedule_test.go
+++ b/basilcross/schedule/schedule_test.go
@@ -18,19 +18,19 @@
 	long
 )
 
-// now is a moment as good as any.
+// now is the arbitrary time at which the tests begin.
 var now = time.Unix(1_000_000, 0)
 
-func newSchedule(targets ...*roster.Target) *schedule.Schedule {
-	known := &roster.Roster{}
+func newScheduler(targets ...*roster.Target) *schedule.Scheduler {
+	targetList := &roster.Roster{}
 	for _, t := range targets {
 		t.Service, t.Zone, t.Started = "s", "z", 1
 	}
-	known.Replace(now.Add(-time.Hour), targets, 1)
-	return &schedule.Schedule{Roster: known}
+	targetList.Replace(now.Add(-time.Hour), targets, 1)
+	return &schedule.Scheduler{Roster: targetList}
 }
 
-// request is one of a kind; the urgent kind has a priority above the long one's.
+// request returns a request of a kind; the urgent kind precedes the long one.
 func request(at time.Time, kind uint32, target string) schedule.Request {
 	r := schedule.Request{Service: "s", Zone: "z", Kind: kind, Target: target, Priority: int(kind)}
 	r.Objective, r.Deadline = at.Add(200*time.Millisecond), at.Add(1200*time.Millisecond)
@@ -40,16 +40,16 @@
 	return r
 }
 
-func enter(t *testing.T, s *schedule.Schedule, at time.Time, r schedule.Request) *schedule.Ticket {
+func submit(t *testing.T, s *schedule.Scheduler, at time.Time, r schedule.Request) *schedule.Ticket {
 	t.Helper()
-	ticket, err := s.Enter(at, r)
+	ticket, err := s.Submit(at, r)
 	assert.NilError(t, err)
 	return ticket
 }
 
-// teach lets targets answer both kinds for a while: 40 ms and 240 ms of work, and
-// slowness times as long where that is given. It returns the time afterwards.
-func teach(t *testing.T, s *schedule.Schedule, at time.Time, slowness map[string]float64) time.Time {
+// trainEstimates has the targets in slowness answer both kinds 60 times each: 40 ms and
+// 240 ms of work, times the target's slowness. It returns the time afterwards.
+func trainEstimates(t *testing.T, s *schedule.Scheduler, at time.Time, slowness map[string]float64) time.Time {
 	t.Helper()
 	for range 60 {
 		for _, id := range slices.Sorted(maps.Keys(slowness)) {
@@ -57,7 +57,7 @@
 				if work == 0 {
 					continue
 				}
-				ticket := enter(t, s, at, request(at, uint32(kind), id))
+				ticket := submit(t, s, at, request(at, uint32(kind), id))
 				at = at.Add(time.Duration(work * slowness[id] * float64(time.Millisecond)))
 				s.Release(at, ticket, schedule.Answered)
 			}
@@ -66,110 +66,112 @@
 	return at
 }
 
-// urgentTraffic lets urgent requests come to a target all the time for a while. It
-// returns the time after the last one's answer.
-func urgentTraffic(t *testing.T, s *schedule.Schedule, at time.Time) time.Time {
+// urgentTraffic sends a series of urgent requests to target a. It returns the time
+// after the last answer.
+func urgentTraffic(t *testing.T, s *schedule.Scheduler, at time.Time) time.Time {
 	t.Helper()
 	for range 20 {
-		ticket := enter(t, s, at, request(at, urgent, "a"))
+		ticket := submit(t, s, at, request(at, urgent, "a"))
 		s.Release(at.Add(40*time.Millisecond), ticket, schedule.Answered)
 		at = at.Add(60 * time.Millisecond)
 	}
 	return at
 }
 
-// Guards against a target that looks slow because it gets more of a long kind.
-func TestWorkAndSpeedAreLearntApart(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "fast", Slots: 1}, &roster.Target{ID: "slow", Slots: 1})
-	at := teach(t, s, now, map[string]float64{"fast": 0.5, "slow": 1.5})
+// Guards against a target that is estimated as slow because it gets more requests of a
+// long kind.
+func TestWorkAndSlownessAreEstimatedSeparately(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "fast", Slots: 1}, &roster.Target{ID: "slow", Slots: 1})
+	at := trainEstimates(t, s, now, map[string]float64{"fast": 0.5, "slow": 1.5})
 	for range 50 {
-		// The fast one gets only the long kind, the slow one only the other.
+		// The fast target gets only the long kind, the slow one only the urgent kind.
 		for id, kind := range map[string]uint32{"fast": long, "slow": urgent} {
-			ticket := enter(t, s, at, request(at, kind, id))
+			ticket := submit(t, s, at, request(at, kind, id))
 			took := map[string]time.Duration{"fast": 120 * time.Millisecond, "slow": 60 * time.Millisecond}[id]
 			at = at.Add(took)
 			s.Release(at, ticket, schedule.Answered)
 		}
 	}
-	speeds := map[string]time.Duration{}
-	for _, v := range s.Speeds() {
-		speeds[v.Target] = v.Latency
+	latencies := map[string]time.Duration{}
+	for _, l := range s.TargetLatencies() {
+		latencies[l.Target] = l.Latency
 	}
-	ratio := float64(speeds["slow"]) / float64(speeds["fast"])
+	ratio := float64(latencies["slow"]) / float64(latencies["fast"])
 	assert.Assert(t, ratio > 2.5 && ratio < 3.5, "slow / fast is %.2f, not 3", ratio)
 }
 
-// Guards against speeds that differ because one instance knows a rare kind.
-func TestRareKindDoesNotChangeSpeeds(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 1})
-	at := teach(t, s, now, map[string]float64{"a": 1})
-	before := s.Speeds()[0].Latency
-	rare := enter(t, s, at, request(at, 99, "a"))
+// Guards against latencies that depend on whether an instance has seen a rare kind.
+func TestRareKindDoesNotChangeLatencies(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 1})
+	at := trainEstimates(t, s, now, map[string]float64{"a": 1})
+	before := s.TargetLatencies()[0].Latency
+	rare := submit(t, s, at, request(at, 99, "a"))
 	at = at.Add(2 * time.Millisecond)
 	s.Release(at, rare, schedule.Answered)
-	after := float64(s.Speeds()[0].Latency) / float64(before)
+	after := float64(s.TargetLatencies()[0].Latency) / float64(before)
 	assert.Assert(t, after > 0.9 && after < 1.1, "%.2f of before", after)
 }
 
-// Guards against a slow target that is not noticed while its slots are always taken.
-func TestSpeedIsLearntWhileAllSlotsAreTaken(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 1})
-	at := teach(t, s, now, map[string]float64{"a": 1})
-	before := s.Speeds()[0].Latency
-	running := enter(t, s, at, request(at, long, "a"))
+// Guards against a target that became slow and is not detected while all its slots are
+// taken all the time.
+func TestLatencyIsUpdatedWhileAllSlotsAreTaken(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 1})
+	at := trainEstimates(t, s, now, map[string]float64{"a": 1})
+	before := s.TargetLatencies()[0].Latency
+	running := submit(t, s, at, request(at, long, "a"))
 	for range 40 {
 		r := request(at, long, "a")
 		r.Deadline, r.Objective = at.Add(time.Minute), at.Add(time.Minute)
-		next := enter(t, s, at, r)
+		next := submit(t, s, at, r)
 		at = at.Add(960 * time.Millisecond)
 		s.Release(at, running, schedule.Answered)
 		running = next
 	}
-	assert.Assert(t, s.Speeds()[0].Latency > 3*before)
+	assert.Assert(t, s.TargetLatencies()[0].Latency > 3*before)
 }
 
-// Guards against long requests that take every slot while urgent ones come.
-func TestLastSlotIsKeptForUrgentRequests(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 2})
-	at := teach(t, s, now, map[string]float64{"a": 1})
+// Guards against long requests that take every slot while urgent ones arrive.
+func TestLastSlotIsReservedForUrgentRequests(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 2})
+	at := trainEstimates(t, s, now, map[string]float64{"a": 1})
 	at = urgentTraffic(t, s, at)
-	first := enter(t, s, at, request(at, long, "a"))
+	first := submit(t, s, at, request(at, long, "a"))
 	assert.Assert(t, first.Target != nil)
-	second := enter(t, s, at, request(at, long, "a"))
-	assert.Assert(t, second.Target == nil, "the last slot went to a long request")
-	assert.Assert(t, enter(t, s, at, request(at, urgent, "a")).Target != nil)
+	second := submit(t, s, at, request(at, long, "a"))
+	assert.Assert(t, second.Target == nil, "the last slot was assigned to a long request")
+	assert.Assert(t, submit(t, s, at, request(at, urgent, "a")).Target != nil)
 }
 
-// Guards against a slot that stays idle though another one is free soon enough.
-func TestSlotIsNotKeptIfAnotherIsFreeSoon(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 2})
-	at := teach(t, s, now, map[string]float64{"a": 1})
+// Guards against a slot that stays idle although another one is free soon enough.
+func TestSlotIsNotReservedIfAnotherIsFreeSoon(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 2})
+	at := trainEstimates(t, s, now, map[string]float64{"a": 1})
 	at = urgentTraffic(t, s, at)
-	enter(t, s, at, request(at, long, "a"))
-	second := enter(t, s, at, request(at, long, "a"))
-	placed := s.Admit(at.Add(200*time.Millisecond), second)
-	assert.Equal(t, len(placed), 1)
+	submit(t, s, at, request(at, long, "a"))
+	second := submit(t, s, at, request(at, long, "a"))
+	admitted := s.Admit(at.Add(200*time.Millisecond), second)
+	assert.Equal(t, len(admitted), 1)
 }
 
-// Guards against an only slot that no kind but the most urgent ever gets.
-func TestOnlySlotIsNotKept(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 1})
-	at := teach(t, s, now, map[string]float64{"a": 1})
+// Guards against a target with one slot that only the most urgent kind ever gets.
+func TestOnlySlotIsNotReserved(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 1})
+	at := trainEstimates(t, s, now, map[string]float64{"a": 1})
 	at = urgentTraffic(t, s, at)
-	assert.Assert(t, enter(t, s, at, request(at, long, "a")).Target != nil)
+	assert.Assert(t, submit(t, s, at, request(at, long, "a")).Target != nil)
 }
 
-// Guards against a slot kept for a kind that does not come any more.
-func TestSlotIsNotKeptForNobody(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 2})
-	at := teach(t, s, now, map[string]float64{"a": 1}).Add(time.Minute)
+// Guards against a slot that stays reserved for a kind without further requests.
+func TestSlotIsNotReservedForKindWithoutTraffic(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 2})
+	at := trainEstimates(t, s, now, map[string]float64{"a": 1}).Add(time.Minute)
 	for range 2 {
-		assert.Assert(t, enter(t, s, at, request(at, long, "a")).Target != nil)
+		assert.Assert(t, submit(t, s, at, request(at, long, "a")).Target != nil)
 	}
 }
 
-// Guards against slots that are idle while messages go to another region and back.
-func TestRequestFromAfarIsSentAheadOfTheSlot(t *testing.T) {
+// Guards against slots that are idle during the round trip to another region.
+func TestRemoteRequestIsSentBeforeSlotIsFree(t *testing.T) {
 	for _, c := range []struct {
 		transit time.Duration
 		after   time.Duration
@@ -179,66 +181,67 @@
 		{8 * time.Millisecond, 200 * time.Millisecond, false},
 		{8 * time.Millisecond, 220 * time.Millisecond, true},
 	} {
-		s := newSchedule(&roster.Target{ID: "a", Slots: 1})
-		at := teach(t, s, now, map[string]float64{"a": 1})
-		enter(t, s, at, request(at, long, "a"))
+		s := newScheduler(&roster.Target{ID: "a", Slots: 1})
+		at := trainEstimates(t, s, now, map[string]float64{"a": 1})
+		submit(t, s, at, request(at, long, "a"))
 		at = at.Add(c.after)
 		r := request(at, long, "a")
-		r.Transit = c.transit
-		assert.Equal(t, enter(t, s, at, r).Target != nil, c.sent, "%v", c)
+		r.OneWayDelay = c.transit
+		assert.Equal(t, submit(t, s, at, r).Target != nil, c.sent, "%v", c)
 	}
 }
 
-// Guards against late requests that come back as new ones and displace those in time.
-func TestLateRequestWaitsBehindAllInTime(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 1})
-	at := teach(t, s, now, map[string]float64{"a": 1})
-	running := enter(t, s, at, request(at, long, "a"))
-	late := enter(t, s, at, request(at, long, "a"))
-	at = late.Until
+// Guards against late requests that are refused, sent again as new ones, and then
+// displace those that can still be answered in time.
+func TestLateRequestWaitsBehindTimelyRequests(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 1})
+	at := trainEstimates(t, s, now, map[string]float64{"a": 1})
+	running := submit(t, s, at, request(at, long, "a"))
+	late := submit(t, s, at, request(at, long, "a"))
+	at = late.WaitUntil
 	assert.NilError(t, s.Expire(at, late))
-	inTime := enter(t, s, at, request(at, long, "a"))
-	placed := s.Release(at, running, schedule.Answered)
-	assert.Assert(t, len(placed) == 1 && placed[0] == inTime)
+	inTime := submit(t, s, at, request(at, long, "a"))
+	admitted := s.Release(at, running, schedule.Answered)
+	assert.Assert(t, len(admitted) == 1 && admitted[0] == inTime)
 	var busy *schedule.BusyError
-	assert.Assert(t, errors.As(s.Expire(late.Until, late), &busy))
-	assert.Equal(t, len(s.Release(late.Until, inTime, schedule.Answered)), 0)
+	assert.Assert(t, errors.As(s.Expire(late.WaitUntil, late), &busy))
+	assert.Equal(t, len(s.Release(late.WaitUntil, inTime, schedule.Answered)), 0)
 }
 
-// Guards against refusals while there are targets that lose only some answers.
-func TestTargetsThatAllFailedAreUsed(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 2}, &roster.Target{ID: "b", Slots: 2})
+// Guards against refusals while the only targets are ones that fail now and then.
+func TestFailingTargetsAreUsedWithoutAlternative(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 2}, &roster.Target{ID: "b", Slots: 2})
 	for range 6 {
-		s.Release(now, enter(t, s, now, request(now, urgent, "")), schedule.Failed)
+		s.Release(now, submit(t, s, now, request(now, urgent, "")), schedule.Failed)
 	}
-	assert.Assert(t, enter(t, s, now, request(now, urgent, "")).Target != nil)
+	assert.Assert(t, submit(t, s, now, request(now, urgent, "")).Target != nil)
 	r := request(now, urgent, "")
-	r.OnTime = true
-	_, err := s.Enter(now, r)
+	r.RejectLate = true
+	_, err := s.Submit(now, r)
 	var none *schedule.NoTargetError
-	assert.Assert(t, errors.As(err, &none), "another zone may still do: %v", err)
+	assert.Assert(t, errors.As(err, &none), "want NoTargetError, so that another zone is tried; got %v", err)
 }
 
-// Guards against a pause that goes on though the target answers again.
-func TestAnswerEndsAPause(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 4})
-	under := enter(t, s, now, request(now, urgent, "a"))
+// Guards against a backoff that continues although the target answers again.
+func TestAnswerEndsBackoff(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 4})
+	inFlight := submit(t, s, now, request(now, urgent, "a"))
 	for range 2 {
-		s.Release(now, enter(t, s, now, request(now, urgent, "a")), schedule.Failed)
+		s.Release(now, submit(t, s, now, request(now, urgent, "a")), schedule.Failed)
 	}
-	_, err := s.Enter(now, request(now, urgent, "a"))
+	_, err := s.Submit(now, request(now, urgent, "a"))
 	assert.Assert(t, err != nil)
-	s.Release(now.Add(time.Millisecond), under, schedule.Answered)
-	assert.Assert(t, enter(t, s, now.Add(time.Millisecond), request(now, urgent, "a")).Target != nil)
+	s.Release(now.Add(time.Millisecond), inFlight, schedule.Answered)
+	assert.Assert(t, submit(t, s, now.Add(time.Millisecond), request(now, urgent, "a")).Target != nil)
 }
 
-func ExampleSchedule_Enter() {
-	known := &roster.Roster{}
-	known.Replace(now, []*roster.Target{{ID: "a", Service: "s", Zone: "z", Slots: 1}}, 1)
-	s := &schedule.Schedule{Roster: known}
+func ExampleScheduler_Submit() {
+	targetList := &roster.Roster{}
+	targetList.Replace(now, []*roster.Target{{ID: "a", Service: "s", Zone: "z", Slots: 1}}, 1)
+	s := &schedule.Scheduler{Roster: targetList}
 	r := schedule.Request{Service: "s", Zone: "z", Objective: now.Add(time.Second), Deadline: now.Add(3 * time.Second)}
-	first, _ := s.Enter(now, r)
-	second, _ := s.Enter(now, r)
+	first, _ := s.Submit(now, r)
+	second, _ := s.Submit(now, r)
 	fmt.Println(first.Target.ID, second.Target == nil)
 	for _, t := range s.Release(now.Add(200*time.Millisecond), first, schedule.Answered) {
 		fmt.Println(t.Target.ID, t == second)
@@ -248,20 +251,20 @@
 	// a true
 }
 
-// Guards against a slow target's slot that goes to a request which only a faster one
-// answers in time, while another waits that the slow one answers in time.
-func TestSlowTargetsSlotGoesToWhoMakesItThere(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "fast", Slots: 1}, &roster.Target{ID: "slow", Slots: 1})
-	at := teach(t, s, now, map[string]float64{"fast": 0.5, "slow": 2})
-	fast := enter(t, s, at, request(at, long, ""))
-	slow := enter(t, s, at, request(at, long, ""))
+// Guards against a slow target's slot that goes to a request which only a faster target
+// answers in time, while another request waits that the slow one answers in time.
+func TestSlowTargetGetsRequestThatMeetsObjectiveThere(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "fast", Slots: 1}, &roster.Target{ID: "slow", Slots: 1})
+	at := trainEstimates(t, s, now, map[string]float64{"fast": 0.5, "slow": 2})
+	fast := submit(t, s, at, request(at, long, ""))
+	slow := submit(t, s, at, request(at, long, ""))
 	assert.Assert(t, fast.Target.ID == "fast" && slow.Target.ID == "slow")
 	tight := request(at, long, "")
 	tight.Objective = at.Add(400 * time.Millisecond)
-	first := enter(t, s, at, tight)
-	second := enter(t, s, at, request(at, long, ""))
-	placed := s.Release(at.Add(60*time.Millisecond), slow, schedule.Answered)
-	assert.Assert(t, len(placed) == 1 && placed[0] == second)
-	placed = s.Release(at.Add(90*time.Millisecond), fast, schedule.Answered)
-	assert.Assert(t, len(placed) == 1 && placed[0] == first)
+	first := submit(t, s, at, tight)
+	second := submit(t, s, at, request(at, long, ""))
+	admitted := s.Release(at.Add(60*time.Millisecond), slow, schedule.Answered)
+	assert.Assert(t, len(admitted) == 1 && admitted[0] == second)
+	admitted = s.Release(at.Add(90*time.Millisecond), fast, schedule.Answered)
+	assert.Assert(t, len(admitted) == 1 && admitted[0] == first)
 }
--- a/basilcross/schedule/state.go
+++ b/basilcross/schedule/state.go
@@ -8,103 +8,108 @@
 )
 
 const (
-	// overSlots is how many requests more than its slots a target is sent, so
-	// that the next one is there when one ends. Further ones wait here, where
-	// their order can still change.
-	overSlots = 1.0
-	// aheadTrips is how many messages a request is sent ahead of a free slot: the
-	// word of the slot, the answer to who asks, and the request itself.
-	aheadTrips = 3
-	// overdueShare of its usual time is what a request that has taken longer is
-	// expected to take yet.
-	overdueShare = 0.05
-	// coldFactor is how much slower a target is that warms up.
-	coldFactor = 2.0
-	// shedPause keeps requests away from a target that has just shed one though
-	// its slots were full; shedCut is what that takes off its limit, limitRise
-	// what an answer adds. A target that sheds with slots free does so at
-	// random: less traffic would not help, so only its cost rises with the
-	// share that it sheds, known from about ten requests.
-	shedPause = 50 * time.Millisecond
-	shedShare = 0.1
-	maxShed   = 0.9
-	shedCut   = 0.8
-	limitRise = 0.05
-	// failPause keeps requests away from a target that gave no answer twice in
-	// a row; it doubles up to maxFailPause.
-	failPause    = 200 * time.Millisecond
-	maxFailPause = 3200 * time.Millisecond
+	// extraInFlight is how many requests a target is sent beyond its slots, so that
+	// the next one is already there when one ends. Further ones wait in the queue,
+	// where their order can still change.
+	extraInFlight = 1.0
+	// sendAheadMessages is how many one-way delays before a slot is free a request is
+	// sent. It saves the wait for three messages: the release of the slot, the
+	// scheduler's reply and the request itself.
+	sendAheadMessages = 3
+	// overdueRemainder is the share of its expected work that a request is expected to
+	// need still when it has run longer than expected.
+	overdueRemainder = 0.05
+	// warmupSlowdown is the factor by which a target is slower while it warms up.
+	warmupSlowdown = 2.0
+	// shedBackoff is how long a target that shed a request with all slots taken gets
+	// no others; its limit is multiplied by shedLimitFactor, and each answer adds
+	// limitIncrement. A target that sheds with slots free does so at random, and less
+	// traffic would not help: only its expected latency rises with the share that it
+	// sheds, estimated with weight shedWeight, that is from about ten requests, and
+	// counted up to maxShedRatio.
+	shedBackoff     = 50 * time.Millisecond
+	shedWeight      = 0.1
+	maxShedRatio    = 0.9
+	shedLimitFactor = 0.8
+	limitIncrement  = 0.05
+	// failureBackoff is how long a target that failed twice in a row gets no requests.
+	// It doubles with each further failure, up to maxFailureBackoff.
+	failureBackoff    = 200 * time.Millisecond
+	maxFailureBackoff = 3200 * time.Millisecond
 )
 
-// state is what is known of a target.
-type state struct {
+// targetState is the load and the estimates of one incarnation of a target.
+type targetState struct {
 	// inFlight are the requests sent to it, the oldest first.
 	inFlight []*Ticket
-	limit    float64
-	// slowness is how long the target needs for the work of an average one,
-	// known from so many answers.
+	// limit is how many requests may be in flight; it is adapted to sheds and answers.
+	limit float64
+	// slowness is the target's time for a piece of work, as a multiple of an average
+	// target's; answers is how many answers it was estimated from.
 	slowness float64
 	answers  int
-	pause    time.Time
+	// pausedUntil is the end of a backoff.
+	pausedUntil time.Time
+	// failures counts failures since the last answer.
 	failures int
-	// shedding is the share of requests that were shed with slots free.
-	shedding float64
+	// shedRatio is the share of requests that were shed with slots free.
+	shedRatio float64
 }
 
-func (s *service) state(t *roster.Target) *state {
-	st := s.states[t.Incarnation()]
+func (s *service) stateOf(t *roster.Target) *targetState {
+	st := s.targets[t.Incarnation()]
 	if st == nil {
-		st = &state{limit: float64(t.Slots) + overSlots, slowness: 1}
-		s.states[t.Incarnation()] = st
+		st = &targetState{limit: float64(t.Slots) + extraInFlight, slowness: 1}
+		s.targets[t.Incarnation()] = st
 	}
 	return st
 }
 
-// begin notes that a request is sent to the target. It waits there if all slots
-// are taken.
-func (st *state) begin(now time.Time, t *Ticket) {
+// add records that a request is sent to the target, where it waits if all slots are
+// taken.
+func (st *targetState) add(now time.Time, t *Ticket) {
 	st.inFlight = append(st.inFlight, t)
-	t.work = seconds(t.service.usual(now, t.Target, st, t.Request.Kind))
-	t.arrives = now.Add(2 * t.Request.Transit)
+	t.expectedWork = seconds(t.service.expectedLatency(now, t.Target, st, t.Request.Kind))
+	t.arrivesAt = now.Add(2 * t.Request.OneWayDelay)
 	if len(st.inFlight) <= t.Target.Slots {
-		t.started = t.arrives
+		t.startedAt = t.arrivesAt
 	}
 }
 
-// leave notes that a request has left the target, where another one that waits
-// has its slot now.
-func (st *state) leave(now time.Time, t *Ticket) {
+// remove records that a request has ended at the target. The oldest request that
+// waits there takes over its slot.
+func (st *targetState) remove(now time.Time, t *Ticket) {
 	st.inFlight = slices.DeleteFunc(st.inFlight, func(o *Ticket) bool { return o == t })
-	if t.started.IsZero() {
+	if t.startedAt.IsZero() {
 		return
 	}
 	for _, o := range st.inFlight {
-		if o.started.IsZero() {
-			o.started = now.Add(-2 * t.Request.Transit)
-			if o.started.Before(o.arrives) {
-				o.started = o.arrives
+		if o.startedAt.IsZero() {
+			o.startedAt = now.Add(-2 * t.Request.OneWayDelay)
+			if o.startedAt.Before(o.arrivesAt) {
+				o.startedAt = o.arrivesAt
 			}
 			return
 		}
 	}
 }
 
-// aheadOf is how long before a slot is free a request may be sent: it is there
-// when the slot is, instead of when word of that has come to the one who asks.
-func aheadOf(r *Request) time.Duration { return aheadTrips * r.Transit }
+// sendAheadTime is how long before a slot is free a request may be sent, so that it
+// arrives when the slot is free instead of after the messages about it.
+func sendAheadTime(r *Request) time.Duration { return sendAheadMessages * r.OneWayDelay }
 
-// nextFree is when the target is expected to have a slot for one request more.
-func (st *state) nextFree(now time.Time, slots int) time.Duration {
+// timeToFreeSlot is the expected time until the target has a free slot.
+func (st *targetState) timeToFreeSlot(now time.Time, slots int) time.Duration {
 	if len(st.inFlight) < slots {
 		return 0
 	}
-	left := st.left(now)
+	left := st.remaining(now)
 	return left[len(left)-slots]
 }
 
-// freeAfter is the same once another request with the given work is sent.
-func (st *state) freeAfter(now time.Time, slots int, work time.Duration) time.Duration {
-	left := append(st.left(now), st.nextFree(now, slots)+work)
+// timeToFreeSlotAfter is the same if another request with the given work is sent first.
+func (st *targetState) timeToFreeSlotAfter(now time.Time, slots int, work time.Duration) time.Duration {
+	left := append(st.remaining(now), st.timeToFreeSlot(now, slots)+work)
 	if len(left) < slots {
 		return 0
 	}
@@ -112,46 +117,46 @@
 	return left[len(left)-slots]
 }
 
-// left are the times that the requests under way are expected to take yet, the
+// remaining returns the expected remaining times of the requests in flight, the
 // shortest first.
-func (st *state) left(now time.Time) []time.Duration {
+func (st *targetState) remaining(now time.Time) []time.Duration {
 	left := make([]time.Duration, 0, len(st.inFlight))
 	for _, t := range st.inFlight {
-		if t.started.IsZero() {
-			// It takes the slot that is free next.
-			left = append(left, t.work)
+		if t.startedAt.IsZero() {
+			// It waits at the target and takes the next free slot.
+			left = append(left, t.expectedWork)
 			continue
 		}
-		left = append(left, max(t.work-now.Sub(t.started), time.Duration(overdueShare*float64(t.work))))
+		left = append(left, max(t.expectedWork-now.Sub(t.startedAt), time.Duration(overdueRemainder*float64(t.expectedWork))))
 	}
 	slices.Sort(left)
 	return left
 }
 
-// ended takes in how a request ended.
-func (st *state) ended(now time.Time, t *Ticket, r Result) {
-	st.leave(now, t)
+// recordResult updates limit, backoff and estimates with the result of a request.
+func (st *targetState) recordResult(now time.Time, t *Ticket, r Result) {
+	st.remove(now, t)
 	if r == Shed && len(st.inFlight) < t.Target.Slots {
-		st.shedding += shedShare * (1 - st.shedding)
+		st.shedRatio += shedWeight * (1 - st.shedRatio)
 		return
 	}
-	st.shedding -= shedShare * st.shedding
+	st.shedRatio -= shedWeight * st.shedRatio
 	switch r {
 	case Answered:
-		if !t.started.IsZero() {
-			t.service.learn(now, t, now.Sub(t.started)-2*t.Request.Transit)
+		if !t.startedAt.IsZero() {
+			t.service.observe(now, t, now.Sub(t.startedAt)-2*t.Request.OneWayDelay)
 		}
 		if st.failures > 0 {
-			st.failures, st.pause = 0, now
+			st.failures, st.pausedUntil = 0, now
 		}
-		st.limit = min(st.limit+limitRise, float64(t.Target.Slots)+overSlots)
+		st.limit = min(st.limit+limitIncrement, float64(t.Target.Slots)+extraInFlight)
 	case Shed:
-		st.limit = max(1, st.limit*shedCut)
-		st.pause = now.Add(shedPause)
+		st.limit = max(1, st.limit*shedLimitFactor)
+		st.pausedUntil = now.Add(shedBackoff)
 	case Failed:
 		st.failures++
 		if st.failures > 1 {
-			st.pause = now.Add(min(failPause<<min(st.failures-2, 4), maxFailPause))
+			st.pausedUntil = now.Add(min(failureBackoff<<min(st.failures-2, 4), maxFailureBackoff))
 		}
 	case Abandoned:
 	}
--- a/gateway/broker/broker.go
+++ b/gateway/broker/broker.go
@@ -115,7 +115,7 @@
 		if b.isFull(a.Service, zone) && zone != b.Self.Zone {
 			continue
 		}
-		a.Zone, a.OnTime = zone, true
+		a.Zone, a.RejectLate = zone, true
 		p, err := b.at(ctx, a)
 		if err == nil || ctx.Err() != nil {
 			return p, err
@@ -124,7 +124,7 @@
 			b.noteFull(a.Service, zone)
 		}
 	}
-	a.Zone, a.OnTime = zones[0], false
+	a.Zone, a.RejectLate = zones[0], false
 	return b.at(ctx, a)
 }
 
@@ -308,7 +308,7 @@
 func encode(seq uint64, a *schedule.Request) *peers.Reserve {
 	now := time.Now()
 	w := &peers.Reserve{
-		Seq: seq, Service: a.Service, Kind: a.Kind, Target: a.Target, Zone: a.Zone, Priority: a.Priority, OnTime: a.OnTime,
+		Seq: seq, Service: a.Service, Kind: a.Kind, Target: a.Target, Zone: a.Zone, Priority: a.Priority, OnTime: a.RejectLate,
 		ObjectiveMs: a.Objective.Sub(now).Milliseconds(), DeadlineMs: a.Deadline.Sub(now).Milliseconds(),
 	}
 	for id := range a.Excluded {
--- a/gateway/broker/scheduler.go
+++ b/gateway/broker/scheduler.go
@@ -73,7 +73,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline)
 	r = &remote{cancel: cancel}
 	b.remotes[key] = r
-	a.Transit = b.transits[m.From]
+	a.OneWayDelay = b.transits[m.From]
 	b.mu.Unlock()
 	time.AfterFunc(time.Until(a.Deadline)+keptBeyond, func() { b.end(key, schedule.Abandoned) })
 	b.group.Go(func() error {
@@ -85,7 +85,7 @@
 // decode returns the request that another instance asks a slot for.
 func decode(now time.Time, m *peers.Reserve) schedule.Request {
 	a := schedule.Request{
-		Service: m.Service, Kind: m.Kind, Target: m.Target, Zone: m.Zone, Priority: m.Priority, OnTime: m.OnTime,
+		Service: m.Service, Kind: m.Kind, Target: m.Target, Zone: m.Zone, Priority: m.Priority, RejectLate: m.OnTime,
 		Objective: now.Add(time.Duration(m.ObjectiveMs) * time.Millisecond),
 		Deadline:  now.Add(time.Duration(m.DeadlineMs) * time.Millisecond),
 	}
--- a/gateway/instance/duties.go
+++ b/gateway/instance/duties.go
@@ -134,7 +134,7 @@
 		return nil
 	}
 	var list []peers.Speed
-	for _, s := range r.dispatcher.Speeds() {
+	for _, s := range r.dispatcher.TargetLatencies() {
 		if service := table.Service(s.Service); service == nil || !service.Sharded {
 			continue
 		}
@@ -229,7 +229,7 @@
 	for ctx.Err() == nil {
 		sleep(ctx, housekeepEvery)
 		h.pools.Keep(h.state.roster.Load())
-		h.dispatcher.Forget()
+		h.dispatcher.Prune()
 	}
 	return ctx.Err()
 }
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -118,10 +118,10 @@
 	i.state.log = log
 	i.state.roster = &roster.Roster{}
 	i.state.zone = s.Zone
-	storeDialer := &egress.Dialer{Timeout: storeDial, UserTimeout: storeUnacked, Probe: probeEvery}
+	storeDialer := &egress.Dialer{Timeout: storeDial, UserTimeout: storeUnacked, KeepAliveInterval: probeEvery}
 	i.store = &platform.Store{Address: s.Store, HTTP: newClient(storeDialer)}
-	i.calls = newClient(&egress.Dialer{Timeout: storeDial, UserTimeout: storeUnacked, Probe: probeEvery})
-	targetDialer := &egress.Dialer{Timeout: targetDial, UserTimeout: targetUnacked, Probe: probeEvery, Reset: true}
+	i.calls = newClient(&egress.Dialer{Timeout: storeDial, UserTimeout: storeUnacked, KeepAliveInterval: probeEvery})
+	targetDialer := &egress.Dialer{Timeout: targetDial, UserTimeout: targetUnacked, KeepAliveInterval: probeEvery, ResetOnClose: true}
 	i.peers = &peers.Peers{Log: log, Receive: i.receive, Self: peers.Instance{
 		Name: s.Instance, Life: rand.Text()[:lifeLength], Zone: s.Zone, Datagram: s.DatagramListen, Control: s.ControlListen,
 		Cores: s.Cores,
--- a/standin/experiment/play.go
+++ b/standin/experiment/play.go
@@ -29,7 +29,7 @@
 // play is one run of a load against the product's schedule.
 type play struct {
 	events
-	schedule schedule.Schedule
+	schedule schedule.Scheduler
 	random   *rand.Rand
 	servers  []*server
 	queues   []*targetQueue
@@ -96,12 +96,12 @@
 		Service: "s", Kind: a.r.number, Zone: "z", Excluded: a.excluded, Priority: a.r.kind.Priority,
 		Objective: epoch.Add(a.at + millis(a.r.kind.Objective)),
 		Deadline:  epoch.Add(a.r.at + millis(a.r.kind.Deadline)),
-		Transit:   a.r.transit,
+		OneWayDelay:   a.r.transit,
 	}
 	if a.r.target >= 0 {
 		r.Target = fmt.Sprintf("t%03d", a.r.target)
 	}
-	t, err := p.schedule.Enter(p.time(), r)
+	t, err := p.schedule.Submit(p.time(), r)
 	if err != nil {
 		p.refuse(a, err)
 		return
@@ -118,7 +118,7 @@
 }
 
 func (p *play) expireAt(t *schedule.Ticket) {
-	p.after(t.Until.Sub(p.time()), func() {
+	p.after(t.WaitUntil.Sub(p.time()), func() {
 		a := p.waiting[t]
 		if a == nil {
 			return
