--- a/basilcross/dispatch/dispatch_test.go
+++ b/basilcross/dispatch/dispatch_test.go
@@ -56,7 +56,7 @@
 }
 
 // Guards against a queue that ignores priority and objectives: with all slots taken and
-// three requests waiting, the urgent one is served first although it came last, and of
+// three requests waiting, the urgent one is served first although it arrived last, and of
 // the others the one that can still meet its objective.
 func TestQueueOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/basilcross/schedule/schedule.go
+++ b/basilcross/schedule/schedule.go
@@ -12,7 +12,7 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// Request asks for a slot at a target.
+// Request is a request for a slot at a target.
 type Request struct {
 	Service string
 	// Kind identifies requests that need a similar amount of work.
--- a/basilcross/slot/overload_test.go
+++ b/basilcross/slot/overload_test.go
@@ -24,8 +24,8 @@
 	runTime     = 20 * time.Second
 )
 
-// target has slots and a short queue, and sheds what does not fit; a queue
-// without limit takes all.
+// target has slots and a short queue, and sheds requests that exceed it. With an
+// unlimited queue it sheds none.
 type target struct {
 	mu      sync.Mutex
 	waiting int
@@ -37,27 +37,27 @@
 	return &target{queue: queue, slots: make(chan struct{}, targetSlots)}
 }
 
-func (s *target) serve(ctx context.Context, work time.Duration) slot.Result {
-	s.mu.Lock()
-	if s.waiting >= s.queue {
-		s.mu.Unlock()
+func (t *target) serve(ctx context.Context, work time.Duration) slot.Result {
+	t.mu.Lock()
+	if t.waiting >= t.queue {
+		t.mu.Unlock()
 		return slot.Shed
 	}
-	s.waiting++
-	s.mu.Unlock()
-	s.slots <- struct{}{}
-	s.mu.Lock()
-	s.waiting--
-	s.mu.Unlock()
+	t.waiting++
+	t.mu.Unlock()
+	t.slots <- struct{}{}
+	t.mu.Lock()
+	t.waiting--
+	t.mu.Unlock()
 	time.Sleep(work)
-	<-s.slots
+	<-t.slots
 	if ctx.Err() != nil {
 		return slot.Failed
 	}
 	return slot.Answered
 }
 
-// runResult is what a run showed.
+// runResult has the measurements of a run.
 type runResult struct {
 	mu            sync.Mutex
 	goodput       int
@@ -86,8 +86,8 @@
 	return o.confirmations[len(o.confirmations)*99/100]
 }
 
-// runLoad sends requests at a multiple of the capacity; a tenth of the capacity
-// are confirmations, the rest pulls that may wait.
+// runLoad sends requests at a multiple of the capacity: confirmations at a tenth of the
+// capacity, and pulls of the lowest class.
 func runLoad(times float64, send func(ctx context.Context, gateway, priority int, work time.Duration) bool) *runResult {
 	random := rand.New(rand.NewPCG(1, 2))
 	o := &runResult{}
@@ -105,15 +105,15 @@
 		group.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), deadline)
 			defer cancel()
-			began := time.Now()
+			started := time.Now()
 			good := send(ctx, gateway, priority, work) && ctx.Err() == nil
-			o.record(priority, time.Since(began), good)
+			o.record(priority, time.Since(started), good)
 		})
 	}
 	return o
 }
 
-// withLimits sends through one limiter a gateway, with retries after a shed.
+// withLimits sends through one limiter per gateway, with retries after a shed.
 func withLimits(s *target) func(context.Context, int, int, time.Duration) bool {
 	limiters := make([]*slot.Limiter, gateways)
 	for i := range limiters {
@@ -136,10 +136,9 @@
 	}
 }
 
-// Callers want three times what a target can do. What it does stays useful:
-// nearly all its work is answered in time, and confirmations pass the waiting
-// pulls. Without limits the target works on requests whose callers have given
-// up, and confirmations stand in the same line as pulls.
+// Guards against lost goodput at three times a target's capacity. Without limits the
+// target runs requests whose deadline has passed, and confirmations wait behind pulls.
+// With limits nearly all its work is answered in time, and confirmations precede pulls.
 func TestLimitsKeepGoodputUnderOverload(t *testing.T) {
 	run := func(times float64, queue int, limits bool) *runResult {
 		var o *runResult
@@ -156,11 +155,11 @@
 		return o
 	}
 	share := func(o *runResult) float64 { return float64(o.goodput) / (capacity * runTime.Seconds()) }
-	calm := run(0.3, targetQueue, true)
+	unloaded := run(0.3, targetQueue, true)
 	limited := run(3, targetQueue, true)
 	fifo := run(3, targetQueue, false)
-	endless := run(3, 1<<30, false)
-	for name, o := range map[string]*runResult{"unloaded": calm, "limits": limited, "short queue, first come": fifo, "endless queue": endless} {
+	unlimited := run(3, 1<<30, false)
+	for name, o := range map[string]*runResult{"unloaded": unloaded, "limits": limited, "short queue, FIFO": fifo, "unlimited queue": unlimited} {
 		if len(o.confirmations) > 0 {
 			t.Logf("%-24s goodput %.3f of capacity, confirmations p99 %v, %d of %d lost", name, share(o), o.p99(), o.lost, o.lost+len(o.confirmations))
 		} else {
--- a/basilcross/slot/slot.go
+++ b/basilcross/slot/slot.go
@@ -1,41 +1,45 @@
-// Package slot shares a target's few slots among the requests of one gateway,
-// and, by what the target's answers show, among gateways that never talk to
-// each other about it.
+// Package slot limits the requests that one gateway sends to a target. The limit
+// adapts to the target's answers, so that gateways share the target's slots without
+// communicating with each other.
 package slot
 
 import (
 	"context"
+	"fmt"
 	"math"
 	"sync"
 	"time"
 )
 
 const (
-	// NumPriorities is the number of classes; 0 goes first.
+	// NumPriorities is the number of priority classes; class 0 is the highest.
 	NumPriorities = 10
-	// classRatio is how many more turns a class gets than the next lower one
-	// while both wait. The lowest still gets some, so nothing starves.
+	// classRatio is how many times as many admissions a class gets as the next lower
+	// one while both wait. No class starves.
 	classRatio = 4.0
 
-	// urgentBelow is the first class that keeps to the limit strictly. Those
-	// before it may go one over it and do not wait for pauses: they are few,
-	// and a pause earned by pulls must not hold up a confirmation.
+	// urgentBelow is the first class that is bound by the limit strictly. Higher
+	// classes may exceed it by one request and ignore pauses: their requests are few,
+	// and a pause caused by pulls must not delay a confirmation.
 	urgentBelow = 3
 
+	// minLimit is the lowest limit; a shed multiplies the limit by shedFactor.
 	minLimit   = 1.0 / 64
 	shedFactor = 0.8
-	// limitStep is what an answer adds to the limit while it is used up.
+	// limitStep is what an answer adds to the limit while the limit is reached.
 	limitStep = 0.02
-	// initialLimit and startRise are for a target that this gateway knows
-	// nothing of: it may have just been started and be cold. The limit rises
-	// fast until the target sheds for the first time.
+	// initialLimit and initialStep apply to a target without history in this gateway,
+	// which may have just started and still be warming up. The limit rises by
+	// initialStep until the target sheds for the first time.
 	initialLimit = 1.0
 	initialStep  = 0.25
-	// slowFactor is milder than shedCut: a slow answer may be the request's own
-	// nature, a shed one is the target's word.
+	// slowFactor multiplies the limit if the recent latency exceeds slowRatio times
+	// the baseline. It is milder than shedFactor: an answer may be slow because of the
+	// request itself, a shed always comes from the target's load.
 	slowFactor = 0.95
 	slowRatio  = 6.0
-	// smoothing of the latency averages, per answer.
+	// recentWeight and baselineWeight are the weights of an answer in the averages of
+	// the latency.
 	recentWeight   = 0.1
 	baselineWeight = 0.01
 )
@@ -43,32 +47,36 @@
 // Result is how an admitted request ended.
 type Result int
 
-// The results that a limit learns from.
+// The results.
 const (
-	// Answered: the target gave an answer in time.
+	// Answered: the target answered in time.
 	Answered Result = iota
-	// Shed: the target had no slot.
+	// Shed: the target had no free slot.
 	Shed
-	// Failed: no answer; tells nothing about slots.
+	// Failed: no answer; this says nothing about the target's slots.
 	Failed
 )
 
-// QueueFullError says that too many requests wait already.
+// QueueFullError is returned if too many requests wait already.
 type QueueFullError struct {
+	// Waiting is how many requests wait.
 	Waiting int
 }
 
-func (e *QueueFullError) Error() string { return "slot: queue is full" }
+func (e *QueueFullError) Error() string {
+	return fmt.Sprintf("slot: queue is full: %d requests wait", e.Waiting)
+}
 
-// WaitTooLongError says that a request would wait too long to be answered in time.
-// Refused at once, its caller can try elsewhere; admitted at the end of its
-// time, it would only cost the target work that nobody waits for any more.
+// WaitTooLongError is returned for a request that would wait too long to be answered
+// in time. Refusing it at once lets its caller retry elsewhere; admitted shortly before
+// its deadline, it would cost the target work whose result is useless.
 type WaitTooLongError struct {
+	// Wait is the expected time until the answer.
 	Wait time.Duration
 }
 
 func (e *WaitTooLongError) Error() string {
-	return "slot: the wait of " + e.Wait.String() + " would outlast the deadline"
+	return "slot: expected time of " + e.Wait.String() + " until the answer exceeds the deadline"
 }
 
 // Limiter admits requests to one target. Set Slots and QueueLimit before the
@@ -77,38 +85,46 @@
 // The limit is a number of requests in flight, and may fall below one: then
 // one request is in flight at a time, with a pause after it, so that hundreds
 // of gateways can share three slots. It falls when the target sheds or answers
-// much later than usual, and rises slowly with every answer while it is used up.
+// much later than usual, and rises slowly with every answer while it is reached.
 type Limiter struct {
 	// Slots is how many requests the target runs at a time.
 	Slots int
 	// QueueLimit is how many requests may wait.
 	QueueLimit int
 
-	mu          sync.Mutex
-	limit       float64
-	inFlight    int
-	waiting     int
-	queues      [NumPriorities][]*waiter
+	mu       sync.Mutex
+	limit    float64
+	inFlight int
+	waiting  int
+	queues   [NumPriorities][]*waiter
+	// pass is each class's position in stride scheduling; the lowest is next.
 	pass        [NumPriorities]float64
 	pausedUntil time.Time
 	timer       *time.Timer
-	// admissionGap is the average time between two admissions while others wait.
-	admissionGap    float64
-	lastAdmission   time.Time
+	// admissionGap is the average time between two admissions while others wait, in
+	// seconds; lastAdmission is zero if no request waited after the last one.
+	admissionGap  float64
+	lastAdmission time.Time
+	// recentLatency and baselineLatency are averages over about 10 and 100 answers, in
+	// seconds.
 	recentLatency   float64
 	baselineLatency float64
-	hasShed         bool
+	// hasShed is set once the target has shed a request.
+	hasShed bool
 }
 
+// waiter is a queued request.
 type waiter struct {
+	// ready is closed when the request is admitted or dropped.
 	ready chan struct{}
 	// admitted and dropped are guarded by the limiter's lock.
 	admitted bool
 	dropped  bool
 }
 
-// Acquire waits for a slot. The caller calls the returned function once, when
-// the request has ended. The error is the context's, a FullError or a LateError.
+// Acquire waits until the request is admitted. The caller must call release once, when
+// the request has ended. The error is the context's, a *QueueFullError or a
+// *WaitTooLongError.
 func (l *Limiter) Acquire(ctx context.Context, priority int) (release func(Result), err error) {
 	deadline, _ := ctx.Deadline()
 	w, err := l.admitOrQueue(priority, deadline)
@@ -120,11 +136,11 @@
 			return nil, err
 		}
 	}
-	began := time.Now()
-	return func(r Result) { l.release(r, time.Since(began)) }, nil
+	started := time.Now()
+	return func(r Result) { l.release(r, time.Since(started)) }, nil
 }
 
-// admitOrQueue admits at once (nil waiter), or queues.
+// admitOrQueue admits a request at once and returns a nil waiter, or queues it.
 func (l *Limiter) admitOrQueue(priority int, deadline time.Time) (*waiter, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -149,7 +165,7 @@
 	return w, nil
 }
 
-// expectedTime is how long a new waiter of a class would wait and then run.
+// expectedTime estimates how long a new waiter of a class would wait and run.
 func (l *Limiter) expectedTime(priority int) time.Duration {
 	before := 1
 	for p := range priority + 1 {
@@ -158,8 +174,8 @@
 	return time.Duration((float64(before)*l.admissionGap + l.recentLatency) * float64(time.Second))
 }
 
-// recordAdmission keeps the average gap. A pause without waiters says nothing
-// about the target.
+// recordAdmission updates the average gap between admissions. Gaps during which no
+// request waited do not count, since they do not depend on the target.
 func (l *Limiter) recordAdmission(now time.Time) {
 	if !l.lastAdmission.IsZero() {
 		gap := now.Sub(l.lastAdmission).Seconds()
@@ -174,13 +190,15 @@
 	}
 }
 
+// init sets the limit at the first use.
 func (l *Limiter) init() {
 	if l.limit == 0 {
 		l.limit = initialLimit
 	}
 }
 
-// dropLowerClass makes room by dropping the newest waiter of a lower class.
+// dropLowerClass drops the newest waiter of the lowest class below the given one, and
+// reports whether there was any.
 func (l *Limiter) dropLowerClass(priority int) bool {
 	for p := NumPriorities - 1; p > priority; p-- {
 		n := len(l.queues[p])
@@ -210,7 +228,7 @@
 	case ctx.Err() == nil:
 		return nil
 	case w.admitted:
-		// Admitted and given up in the same moment: the slot goes on.
+		// The request was admitted as its context ended: the next one gets the slot.
 		l.inFlight--
 		l.admit(time.Now())
 	default:
@@ -231,6 +249,7 @@
 	}
 }
 
+// hasCapacity reports whether a request of the class may be sent now.
 func (l *Limiter) hasCapacity(now time.Time, priority int) bool {
 	allowed := int(math.Floor(max(1, l.limit)))
 	if priority < urgentBelow {
@@ -239,7 +258,7 @@
 	return l.inFlight < allowed && !now.Before(l.pausedUntil)
 }
 
-// hasWaitersUpTo tells whether anybody waits in this class or a higher one.
+// hasWaitersUpTo reports whether requests of this class or a higher one wait.
 func (l *Limiter) hasWaitersUpTo(priority int) bool {
 	for p := range priority + 1 {
 		if len(l.queues[p]) > 0 {
@@ -249,7 +268,7 @@
 	return false
 }
 
-// admit lets in as many waiters as there is room for.
+// admit admits as many waiters as the limit allows.
 func (l *Limiter) admit(now time.Time) {
 	for l.waiting > 0 {
 		class := l.nextClass(now)
@@ -267,6 +286,7 @@
 	}
 }
 
+// admitAfter schedules another call of admit, instead of an earlier scheduled one.
 func (l *Limiter) admitAfter(d time.Duration) {
 	if l.timer != nil {
 		l.timer.Stop()
@@ -278,8 +298,8 @@
 	})
 }
 
-// nextClass returns, of the waiting classes that have room, the one that has had
-// the least of its share (stride scheduling); -1 if there is none.
+// nextClass returns the class to admit from next (stride scheduling): the one with the
+// lowest pass among those with waiters and capacity, or -1 if there is none.
 func (l *Limiter) nextClass(now time.Time) int {
 	best := -1
 	for p := range l.queues {
@@ -290,6 +310,7 @@
 	return best
 }
 
+// dequeue removes the oldest waiter of a class and advances the class's pass.
 func (l *Limiter) dequeue(class int) *waiter {
 	w := l.queues[class][0]
 	l.queues[class] = l.queues[class][1:]
@@ -298,8 +319,8 @@
 	return w
 }
 
-// minPass is where a class joins that had nobody waiting: it must not claim
-// the turns that it did not want.
+// minPass returns the pass at which a class without waiters starts again, so that it
+// cannot claim admissions for the time in which it had none.
 func (l *Limiter) minPass() float64 {
 	least := math.Inf(1)
 	for p := range l.queues {
@@ -317,9 +338,9 @@
 func (l *Limiter) release(r Result, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	used := float64(l.inFlight) >= math.Floor(l.limit)
+	reached := float64(l.inFlight) >= math.Floor(l.limit)
 	l.inFlight--
-	l.adjustLimit(r, took.Seconds(), used)
+	l.adjustLimit(r, took.Seconds(), reached)
 	now := time.Now()
 	if l.limit < 1 {
 		pause := l.recentLatency * (1/l.limit - 1)
@@ -328,7 +349,9 @@
 	l.admit(now)
 }
 
-func (l *Limiter) adjustLimit(r Result, took float64, used bool) {
+// adjustLimit changes the limit by the result of a request. reached says whether the
+// limit was reached when the request ended.
+func (l *Limiter) adjustLimit(r Result, took float64, reached bool) {
 	switch r {
 	case Shed:
 		l.hasShed = true
@@ -339,7 +362,7 @@
 			l.limit = max(minLimit, l.limit*slowFactor)
 			return
 		}
-		if used {
+		if reached {
 			l.limit = min(float64(max(1, l.Slots)), l.limit+l.increment())
 		}
 	case Failed:
@@ -362,16 +385,16 @@
 	l.baselineLatency += baselineWeight * (took - l.baselineLatency)
 }
 
-// State is a view of a limiter for metrics and for choosing among targets.
+// State is a snapshot of a limiter, for metrics and for choosing among targets.
 type State struct {
 	Limit    float64
 	InFlight int
 	Waiting  int
-	// Latency is the recent average in seconds.
+	// Latency is the recent average latency in seconds.
 	Latency float64
 }
 
-// State returns the present state.
+// State returns the current state.
 func (l *Limiter) State() State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/basilcross/slot/slot_test.go
+++ b/basilcross/slot/slot_test.go
@@ -18,8 +18,8 @@
 	return release
 }
 
-// Archive pulls fill the queue and a lookup arrives. It takes the place of the
-// newest pull and goes first when a slot is free.
+// Guards against a request that is rejected because requests of lower classes fill the
+// queue. It must replace the newest of the lowest class, and be admitted first.
 func TestHigherPriorityGoesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &slot.Limiter{Slots: 1, QueueLimit: 2}
@@ -40,15 +40,15 @@
 		synctest.Wait()
 		go wait(4)
 		synctest.Wait()
-		assert.Equal(t, <-order, -9, "the lowest class is dropped for room")
+		assert.Equal(t, <-order, -9, "the waiter of the lowest class must be dropped")
 		release(slot.Answered)
 		assert.Equal(t, <-order, 4)
 		assert.Equal(t, <-order, 8)
 	})
 }
 
-// Two classes wait all the time. The higher one gets four turns for each of
-// the lower one's, and the lower one is not starved.
+// Guards against a class that starves while a higher one waits all the time. It must get
+// one admission for four of the next higher class.
 func TestLowerPriorityIsNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &slot.Limiter{Slots: 1, QueueLimit: 1000}
@@ -73,9 +73,9 @@
 	})
 }
 
-// A target with three slots is shared by so many gateways that it sheds most
-// of what this one sends. The limit falls below one request, and pauses
-// between requests keep to it.
+// Guards against a target with three slots that is overloaded by many gateways, because
+// each keeps at least one request in flight. If the target sheds most requests, the limit
+// must fall below one and requests be separated by pauses.
 func TestLimitFallsBelowOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &slot.Limiter{Slots: 3, QueueLimit: 1}
@@ -88,16 +88,16 @@
 		limit := l.State().Limit
 		assert.Assert(t, limit < 1, "%v", limit)
 		acquire(t, l, 5)(slot.Shed)
-		began := time.Now()
+		started := time.Now()
 		acquire(t, l, 0)(slot.Failed)
-		assert.Equal(t, time.Since(began), time.Duration(0), "a confirmation does not wait for the pause")
+		assert.Equal(t, time.Since(started), time.Duration(0), "a request of an urgent class must not wait for the pause")
 		acquire(t, l, 5)
-		assert.Assert(t, time.Since(began) > 0)
+		assert.Assert(t, time.Since(started) > 0)
 	})
 }
 
-// A request's deadline passes while it waits. It leaves the queue, and the
-// next free slot goes to somebody who still wants it.
+// Guards against a request that stays in the queue after its deadline has passed, and
+// then gets a slot in place of one that can still be answered.
 func TestAbandonedWaiterLeavesQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &slot.Limiter{Slots: 1, QueueLimit: 1}
@@ -112,6 +112,7 @@
 	})
 }
 
+// Guards against a request that waits although the queue is full.
 func TestFullQueueRejects(t *testing.T) {
 	l := &slot.Limiter{Slots: 1}
 	acquire(t, l, 5)
@@ -120,8 +121,8 @@
 	assert.Assert(t, errors.As(err, &full))
 }
 
-// A target has just been started and is cold. It gets one request at a time
-// first, and more with every answer.
+// Guards against a target that is overloaded right after its start, while it warms up:
+// it gets one request at a time at first, and more with every answer.
 func TestNewTargetStartsWithLowLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &slot.Limiter{Slots: 4, QueueLimit: 10}
