--- a/basilcross/slot/slot.go
+++ b/basilcross/slot/slot.go
@@ -35,7 +35,7 @@
 	initialStep  = 0.25
 	// slowFactor multiplies the limit if the recent latency exceeds slowRatio times
 	// the baseline. It is milder than shedFactor: an answer may be slow because of the
-	// request itself, a shed always comes from the target's load.
+	// request itself, while a shed is an explicit overload signal.
 	slowFactor = 0.95
 	slowRatio  = 6.0
 	// recentWeight and baselineWeight are the weights of an answer in the averages of
