--- a/basilcross/routing/config.go
+++ b/basilcross/routing/config.go
@@ -11,26 +11,27 @@
 	Limits   Limits
 }
 
-// Route says what happens with the requests of a host and path prefix.
+// Route configures the requests of a host and path prefix.
 type Route struct {
-	Name   string
-	Host   string
+	Name string
+	Host string
+	// Prefix ends with a slash.
 	Prefix string
-	// Idempotent requests may run more than once.
+	// Idempotent routes have requests that may run more than once.
 	Idempotent bool
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the longest time that a caller waits for an answer.
 	Timeout time.Duration
-	// Objective is the time within which an answer is worth most.
+	// Objective is the target response time; a later answer is worth less.
 	Objective time.Duration
 	// Priority 0 goes first.
 	Priority int
-	// MaxAttempts is how many targets one request may be sent to.
+	// MaxAttempts is how many targets a request may be sent to.
 	MaxAttempts int
-	// Split has one service, or several with weights.
+	// Split lists the services of the route, with weights if there are several.
 	Split []Share
 }
 
-// Share is a service's part of a route.
+// Share is a service's share of a route's requests.
 type Share struct {
 	Service string
 	Weight  int
@@ -40,15 +41,15 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConns is how many connections a target takes from all callers.
+	// MaxConns is how many connections a target accepts from all callers.
 	MaxConns int
-	// Sharded services are divided by key.
+	// Sharded services have their requests divided by key; a key has at most one owner.
 	Sharded bool
-	// WarmupTime is how long keys that came without a handover are slow.
+	// WarmupTime is how long keys are slow that a target got without a handover.
 	WarmupTime time.Duration
 }
 
-// Limits bound what a caller may send, and how long it may take; zero is none.
+// Limits bound the size and the duration of callers' requests; zero is no limit.
 type Limits struct {
 	HeaderBytes   int64
 	BodyBytes     int64
@@ -56,10 +57,10 @@
 	IdleTimeout   time.Duration
 }
 
-// HeaderNames has the names of the headers by which callers, instances and targets
-// understand each other.
+// HeaderNames has the names of the headers that callers, instances and targets exchange.
 type HeaderNames struct {
-	RequestID       string
+	RequestID string
+	// TimeLeft is the header with the time left until the deadline, in milliseconds.
 	TimeLeft        string
 	Signature       string
 	ExpectedTarget  string
--- a/basilcross/routing/routing_test.go
+++ b/basilcross/routing/routing_test.go
@@ -20,6 +20,8 @@
 	// all
 }
 
+// Guards against a route that is chosen by a shorter prefix, by a prefix that ends within
+// a path segment, or for another host; host names are case-insensitive.
 func TestFind(t *testing.T) {
 	table := routing.New(&routing.Config{Routes: []routing.Route{
 		{Name: "a", Host: "one.example", Prefix: "/a/"},
@@ -46,8 +48,9 @@
 	}
 }
 
-// Over any few requests each service has its share, also while the weights
-// change, so that no part is over or short for a while.
+// Guards against shares that hold only on average: over every ten requests each service
+// must get its share. Also guards against new weights that are distorted by those that
+// the route had before.
 func TestSplitterKeepsShares(t *testing.T) {
 	var s routing.Splitter
 	r := &routing.Route{Name: "r", Split: []routing.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
--- a/basilcross/routing/split.go
+++ b/basilcross/routing/split.go
@@ -2,16 +2,17 @@
 
 import "sync"
 
-// Splitter deals a route's requests to its services in the proportion of their
-// weights. It deals evenly (smooth weighted round robin), so that the shares
-// hold over few requests too. The zero value works.
+// Splitter distributes a route's requests over its services in proportion to their
+// weights. It uses smooth weighted round robin, so that the shares hold over few
+// requests too. The zero value is ready to use. It is safe for concurrent use.
 type Splitter struct {
-	mu      sync.Mutex
+	mu sync.Mutex
+	// weights has the current weight of each service, by route and service name.
 	weights map[string]map[string]int
 }
 
-// Next returns the service of the route's next request. Routes are known by
-// name, so that a new configuration goes on where the last one was.
+// Next returns the service of the route's next request. Routes are identified by name,
+// so that a new configuration continues from the current weights.
 func (s *Splitter) Next(r *Route) string {
 	if len(r.Split) == 1 {
 		return r.Split[0].Service
@@ -21,19 +22,19 @@
 	if s.weights == nil {
 		s.weights = map[string]map[string]int{}
 	}
-	debt := s.weights[r.Name]
-	if debt == nil {
-		debt = map[string]int{}
-		s.weights[r.Name] = debt
+	current := s.weights[r.Name]
+	if current == nil {
+		current = map[string]int{}
+		s.weights[r.Name] = current
 	}
 	total, best := 0, ""
 	for _, share := range r.Split {
 		total += share.Weight
-		debt[share.Service] += share.Weight
-		if share.Weight > 0 && (best == "" || debt[share.Service] > debt[best]) {
+		current[share.Service] += share.Weight
+		if share.Weight > 0 && (best == "" || current[share.Service] > current[best]) {
 			best = share.Service
 		}
 	}
-	debt[best] -= total
+	current[best] -= total
 	return best
 }
--- a/basilcross/routing/table.go
+++ b/basilcross/routing/table.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Table finds routes fast. It does not change once made.
+// Table is an immutable index of a configuration.
 type Table struct {
 	Config   *Config
 	hosts    map[string]map[string]*Route
 	services map[string]*Service
 }
 
-// New returns the table of a configuration.
+// New returns the table of a configuration, which must not change afterwards.
 func New(c *Config) *Table {
 	t := &Table{Config: c, hosts: map[string]map[string]*Route{}, services: map[string]*Service{}}
 	for i := range c.Routes {
@@ -29,8 +29,8 @@
 	return t
 }
 
-// Find returns the route of the host whose prefix is the longest that begins
-// the path, or nil. Prefixes end with a slash, so only those ends are looked up.
+// Find returns the host's route with the longest prefix of the path, or nil. Route
+// prefixes end with a slash, so only prefixes of the path that do are looked up.
 func (t *Table) Find(host, path string) *Route {
 	prefixes := t.hosts[strings.ToLower(host)]
 	if prefixes == nil {
