--- a/basilcross/retry/retry.go
+++ b/basilcross/retry/retry.go
@@ -1,47 +1,49 @@
-// Package retry bounds how much work repeated requests may add.
+// Package retry limits the load that retries add.
 package retry
 
 import "sync"
 
 const (
-	// defaultRatio is what each success or request adds to the budget where
-	// Share is zero.
+	// defaultRatio is what each deposit adds to the budget if no ratio is set.
 	defaultRatio = 0.1
-	// defaultReserve is the largest balance where Reserve is zero: what may be
-	// repeated in a burst.
+	// defaultReserve is the largest balance if no reserve is set: the number of retries
+	// in a burst.
 	defaultReserve = 10.0
 )
 
-// Budget lets through a share of repetitions, after a small reserve. Without
-// it every gateway would multiply its load on targets at the moment when they
-// fail. The zero value starts with a full reserve, and lets through at most
-// one repetition per ten earned.
+// Budget limits retries to a ratio of the deposits plus a small reserve. Without it
+// every gateway would multiply its load on targets at the moment when they fail. The
+// zero value starts with a full reserve and allows at most one retry per ten deposits.
+// It is safe for concurrent use.
 type Budget struct {
 	mu      sync.Mutex
 	ratio   float64
 	reserve float64
-	spent   float64
+	// spent is how much of the reserve is used up.
+	spent float64
 }
 
-// Set changes share and reserve; zero is the default.
-func (b *Budget) Set(share, reserve float64) {
+// Set changes ratio and reserve; zero stands for the default of 0.1 and 10.
+func (b *Budget) Set(ratio, reserve float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.ratio, b.reserve = share, reserve
+	b.ratio, b.reserve = ratio, reserve
 }
 
-// Deposit pays into the budget.
+// Deposit adds the ratio to the budget. It is called for each success or request,
+// whichever the retries are to be limited by.
 func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	share := b.ratio
-	if share == 0 {
-		share = defaultRatio
+	ratio := b.ratio
+	if ratio == 0 {
+		ratio = defaultRatio
 	}
-	b.spent = max(0, b.spent-share)
+	b.spent = max(0, b.spent-ratio)
 }
 
-// TryWithdraw tells whether a request may be repeated, and books it.
+// TryWithdraw reports whether the budget allows a retry, and takes it from the budget
+// if so.
 func (b *Budget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/basilcross/retry/retry_test.go
+++ b/basilcross/retry/retry_test.go
@@ -20,8 +20,8 @@
 	// Output: in a brown-out without successes: 10
 }
 
-// Every target fails half of its requests. Repetitions stay within a tenth of
-// the successes, so the load on the targets grows by at most a tenth.
+// Guards against retries that amplify the load while targets fail half of their
+// requests: the load may grow by at most a tenth.
 func TestBudgetBoundsAmplification(t *testing.T) {
 	var b retry.Budget
 	const requests = 10_000
