--- a/basilcross/refusal/refusal.go
+++ b/basilcross/refusal/refusal.go
@@ -1,5 +1,5 @@
-// Package refusal says, for callers and for programs, why a request was not
-// answered and whether it ran.
+// Package refusal defines the responses to requests that were not answered: why, and
+// whether the request ran.
 package refusal
 
 import (
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// Outcome tells whether a refused request ran at a target.
+// Outcome says whether a refused request ran at a target.
 type Outcome string
 
-// The outcomes. DidNotRun is a promise: no part of the request took effect.
-// Unknown is honest doubt: it may have run, or may still run.
+// The outcomes. DidNotRun guarantees that no part of the request took effect. Unknown
+// means that it may have run, or may still run.
 const (
 	DidNotRun Outcome = "didNotRun"
 	Unknown   Outcome = "unknown"
 )
 
-// Response headers of a refusal, for programs.
+// Response headers of a refusal, to be read by programs.
 const (
 	OutcomeHeader = "Basilcross-Outcome"
 	CauseHeader   = "Basilcross-Cause"
@@ -61,7 +61,7 @@
 	DuplicateRunning: "duplicateRunning",
 }
 
-// String returns the cause's name in camelCase.
+// String returns the cause's name in camelCase, as sent to callers.
 func (c Cause) String() string {
 	if name, ok := causeNames[c]; ok {
 		return name
@@ -69,13 +69,13 @@
 	return "cause" + strconv.Itoa(int(c))
 }
 
-// Error is a refusal on its way to the caller.
+// Error is a refusal that is sent to the caller.
 type Error struct {
 	Cause   Cause
 	Outcome Outcome
-	// RetryAfter is when a retry is worth while; zero gives no advice.
+	// RetryAfter is how long to wait before a retry; zero sends no advice.
 	RetryAfter time.Duration
-	// Detail is for people; programs read Cause and Outcome.
+	// Detail is a human-readable text; programs read Cause and Outcome.
 	Detail string
 }
 
@@ -83,17 +83,17 @@
 	return fmt.Sprintf("%s (%s): %s", e.Cause, e.Outcome, e.Detail)
 }
 
-// New returns a refusal that ran nothing.
+// New returns a refusal of a request that did not run.
 func New(cause Cause, detail string) *Error {
 	return &Error{Cause: cause, Outcome: DidNotRun, Detail: detail}
 }
 
-// NewUnknown returns a refusal of a request that may have run.
+// NewUnknown returns a refusal of a request with an unknown outcome.
 func NewUnknown(cause Cause, detail string) *Error {
 	return &Error{Cause: cause, Outcome: Unknown, Detail: detail}
 }
 
-// Status returns the HTTP status code that fits the cause.
+// Status returns the HTTP status code of the cause.
 func (e *Error) Status() int {
 	switch e.Cause {
 	case BadRequest:
@@ -115,7 +115,7 @@
 	}
 }
 
-// Body is the JSON answer of a refusal.
+// Body is the JSON body of a refusal.
 type Body struct {
 	Cause        int     `json:"cause"`
 	Name         string  `json:"name"`
@@ -124,7 +124,7 @@
 	Detail       string  `json:"detail"`
 }
 
-// Write answers a request with the refusal.
+// Write sends the refusal as the response to a request.
 func (e *Error) Write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -134,7 +134,7 @@
 		h.Set("Retry-After", strconv.Itoa(ceilSeconds(e.RetryAfter)))
 	}
 	w.WriteHeader(e.Status())
-	// The status line is out already; a failed body write has nobody to tell.
+	// The status line is sent already, so a failed write of the body can't be reported.
 	_ = json.NewEncoder(w).Encode(Body{
 		Cause:        int(e.Cause),
 		Name:         e.Cause.String(),
@@ -144,8 +144,8 @@
 	})
 }
 
-// ceilSeconds rounds up, since Retry-After has no fractions and 0 would
-// invite an immediate retry.
+// ceilSeconds rounds up to whole seconds, since Retry-After has no fractions and 0
+// would cause an immediate retry.
 func ceilSeconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
 }
