--- a/basilcross/promise/promise.go
+++ b/basilcross/promise/promise.go
@@ -1,10 +1,10 @@
-// Package promise keeps what a zone's leader has said about other zones' seats
-// while the table service is out of reach: "for the next period I shall take
-// no part in evicting you", and "I no longer extend this seat".
+// Package promise records the promises that a zone's leader gives about other zones'
+// seats while the table service is unreachable: to extend a seat, that is to take no
+// part in evicting its holder for the next period, and to refrain from extending it.
 //
-// With n seats and f losses to tolerate, a holder goes on while n-f leaders,
-// itself included, extend it, and is evicted only with the word of f+1 others.
-// Any two such sets share a leader, and no leader says both at a time.
+// With n seats and f tolerated failures, a holder keeps its seat while n-f leaders,
+// itself included, extend it, and is evicted only if f+1 others refrain. Any two such
+// sets share a leader, and no leader gives both promises at a time.
 package promise
 
 import (
@@ -14,7 +14,8 @@
 	"basilcross.example/basilcross/seat"
 )
 
-// ToleratedFailures returns how many of n zones may be lost during an outage.
+// ToleratedFailures returns how many of n zones may fail during an outage of the table
+// service.
 func ToleratedFailures(n int) int {
 	if n < 3 {
 		return 0
@@ -22,69 +23,73 @@
 	return 1
 }
 
-// ExtendQuorum returns how many other leaders must extend a seat; ok is
-// false if a fleet of n zones extends none. With one zone there is nobody to
-// object, so its leader may not go on by itself.
+// ExtendQuorum returns how many other leaders must extend a seat; ok is false if seats
+// cannot be extended in a fleet of n zones. With one zone no other leader could object,
+// so its leader may not keep the seat by itself.
 func ExtendQuorum(n int) (others int, ok bool) {
 	return n - ToleratedFailures(n) - 1, n > 1
 }
 
-// EvictQuorum returns how many other leaders must refrain from extending.
+// EvictQuorum returns how many other leaders must refrain from extending a seat for its
+// holder to be evicted.
 func EvictQuorum(n int) int {
 	return ToleratedFailures(n) + 1
 }
 
-// Ledger is one leader's promises. Create one per term; ConfirmFrom must be set
-// to a Wait of seat.Hold after the term began, because the seat's earlier
-// holder may have made promises that this one does not know.
+// Ledger records one leader's promises. Create one per term.
 type Ledger struct {
+	// ConfirmFrom must be set to a Wait of seat.Hold after the start of the term: the
+	// seat's previous holder may have given promises that are not recorded here.
 	ConfirmFrom time.Time
 
+	// promisedUntil has the end of the last promise to extend, by zone.
 	promisedUntil map[string]time.Time
-	refrained     map[string]uint64
+	// refrained has the highest row version that is not extended, by zone.
+	refrained map[string]uint64
 }
 
-// ExtendRequest asks for the extension of a seat.
+// ExtendRequest is a request to extend a seat.
 type ExtendRequest struct {
 	Zone        string
 	Holder      string
 	Incarnation string
-	// Version is the seat's row version as its holder knows it.
+	// Version is the version of the seat's row that its holder has read or written.
 	Version uint64
 }
 
-// Extend promises, at now, to take no part in evicting the holder for the next
-// Hold. known is the seat's row as last read from the table, with its version.
-func (b *Ledger) Extend(now time.Time, r ExtendRequest, known seat.Record, version uint64) bool {
-	if refused, ok := b.refrained[r.Zone]; ok && r.Version <= refused {
+// Extend promises to take no part in evicting the holder for the next Hold from now,
+// and reports whether it does. known is the seat's row as last read from the table,
+// with its version.
+func (l *Ledger) Extend(now time.Time, r ExtendRequest, known seat.Record, version uint64) bool {
+	if refrained, ok := l.refrained[r.Zone]; ok && r.Version <= refrained {
 		return false
 	}
 	newer := version >= r.Version
 	if newer && (known.Holder != r.Holder || known.Incarnation != r.Incarnation || known.HandedOver) {
 		return false
 	}
-	// The failure: a leader refrains, and at once hands its seat over. Its
-	// successor has no memory of that, but it has read the intent.
+	// A leader may refrain and hand over its seat at once. Its successor has no record
+	// of that promise, but has read the intent.
 	if newer && known.Intent != "" {
 		return false
 	}
-	if b.promisedUntil == nil {
-		b.promisedUntil = map[string]time.Time{}
+	if l.promisedUntil == nil {
+		l.promisedUntil = map[string]time.Time{}
 	}
-	b.promisedUntil[r.Zone] = now.Add(lease.Wait(seat.Hold))
+	l.promisedUntil[r.Zone] = now.Add(lease.Wait(seat.Hold))
 	return true
 }
 
-// Refrain promises to extend the seat no more under this row version or an
-// earlier one, and returns how long promises made before may still count. A
-// renewal by the holder makes a later version, which is extended again.
-func (b *Ledger) Refrain(now time.Time, zone string, version uint64) (left time.Duration) {
-	if b.refrained == nil {
-		b.refrained = map[string]uint64{}
+// Refrain promises not to extend the seat at this row version or an earlier one, and
+// returns how long earlier promises to extend may still be valid. A renewal by the
+// holder creates a later version, which may be extended again.
+func (l *Ledger) Refrain(now time.Time, zone string, version uint64) (left time.Duration) {
+	if l.refrained == nil {
+		l.refrained = map[string]uint64{}
 	}
-	b.refrained[zone] = max(b.refrained[zone], version)
-	until := b.ConfirmFrom
-	if promised := b.promisedUntil[zone]; promised.After(until) {
+	l.refrained[zone] = max(l.refrained[zone], version)
+	until := l.ConfirmFrom
+	if promised := l.promisedUntil[zone]; promised.After(until) {
 		until = promised
 	}
 	return max(0, until.Sub(now))
