--- a/basilcross/egress/egress.go
+++ b/basilcross/egress/egress.go
@@ -1,5 +1,4 @@
-// Package egress opens outgoing connections, directly or through an egress
-// proxy that understands HTTP CONNECT.
+// Package egress opens outgoing connections, directly or through an HTTP CONNECT proxy.
 package egress
 
 import (
@@ -12,60 +11,63 @@
 )
 
 const (
-	// defaultKeepAlive finds connections whose other end is gone while idle.
+	// defaultKeepAlive is the keep-alive interval if none is set.
 	defaultKeepAlive = 5 * time.Second
-	// defaultTimeout bounds opening where the context sets no earlier deadline.
+	// defaultTimeout is the dial timeout if none is set.
 	defaultTimeout = 2 * time.Second
 )
 
 // Dialer opens TCP connections. The zero value dials directly.
 type Dialer struct {
-	// Proxy is the address of an egress proxy, as "127.0.0.1:3128".
+	// Proxy is the address of an egress proxy, such as "127.0.0.1:3128"; empty for none.
 	Proxy string
-	// UserTimeout is how long sent bytes may stay unacknowledged by the other
-	// end's kernel before the connection is broken off; 0 leaves the default.
+	// UserTimeout is how long sent bytes may stay unacknowledged by the other end's
+	// kernel before the connection is aborted (TCP_USER_TIMEOUT); 0 leaves the default.
 	UserTimeout time.Duration
-	// Timeout bounds the opening; 0 is two seconds.
+	// Timeout bounds dialing, including the proxy's answer, unless the context ends
+	// earlier; 0 is two seconds.
 	Timeout time.Duration
-	// KeepAliveInterval is the idle time after which the other end is probed, and the time
-	// between probes; 0 is five seconds. It finds connections that went silent
-	// without a reset.
+	// KeepAliveInterval is the idle time after which a keep-alive probe is sent, and the
+	// time between probes; 0 is five seconds. Probes detect connections whose other end
+	// has disappeared without a reset.
 	KeepAliveInterval time.Duration
-	// ResetOnClose makes every close a reset. Bytes that a partition holds back are
-	// lost then; otherwise they would arrive when it heals.
+	// ResetOnClose closes connections with a reset, which discards unsent bytes.
+	// Otherwise bytes held back by a network partition would arrive when it heals.
 	ResetOnClose bool
 }
 
-// keepAliveProbes is how many unanswered probes end a connection.
+// keepAliveProbes is how many unanswered probes close a connection.
 const keepAliveProbes = 2
 
-// ProxyError is a proxy's refusal to open a connection.
+// ProxyError is returned if the proxy refuses to open a connection.
 type ProxyError struct {
+	// Address is the destination.
 	Address string
-	Status  int
+	// Status is the HTTP status of the proxy's response.
+	Status int
 }
 
 func (e *ProxyError) Error() string {
 	return fmt.Sprintf("egress proxy answered %d for %s", e.Status, e.Address)
 }
 
-// DialContext opens a connection, with the signature that net/http expects.
+// DialContext opens a connection. It fits http.Transport.DialContext.
 func (d *Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	timeout, probe := d.Timeout, d.KeepAliveInterval
+	timeout, keepAlive := d.Timeout, d.KeepAliveInterval
 	if timeout == 0 {
 		timeout = defaultTimeout
 	}
-	if probe == 0 {
-		probe = defaultKeepAlive
+	if keepAlive == 0 {
+		keepAlive = defaultKeepAlive
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	first := address
+	dialAddress := address
 	if d.Proxy != "" {
-		first = d.Proxy
+		dialAddress = d.Proxy
 	}
-	plain := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probe, Interval: probe, Count: keepAliveProbes}}
-	c, err := plain.DialContext(ctx, network, first)
+	dialer := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAlive, Interval: keepAlive, Count: keepAliveProbes}}
+	c, err := dialer.DialContext(ctx, network, dialAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -84,20 +86,21 @@
 	}
 	if err := openTunnel(ctx, c, address); err != nil {
 		_ = c.Close()
-		// The same shape as a failed direct dial, which callers test for.
+		// The same error type as of a failed direct dial, which callers check for.
 		return nil, &net.OpError{Op: "dial", Net: network, Err: err}
 	}
 	return c, nil
 }
 
+// openTunnel requests a tunnel to the address from the proxy.
 func openTunnel(ctx context.Context, c net.Conn, address string) error {
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if _, err := fmt.Fprintf(c, "CONNECT %s HTTP/1.1\r\nHost: %s\r\n\r\n", address, address); err != nil {
 		return err
 	}
-	// The other end speaks only after the first request, so nothing that
-	// follows the proxy's answer can be lost in this buffer.
+	// The destination sends nothing before the first request, so no bytes after the
+	// proxy's response can be lost in this buffer.
 	res, err := http.ReadResponse(bufio.NewReaderSize(c, 512), &http.Request{Method: http.MethodConnect})
 	if err != nil {
 		return err
--- a/basilcross/egress/timeout_linux.go
+++ b/basilcross/egress/timeout_linux.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
+// tcpUserTimeout is TCP_USER_TIMEOUT, for which package syscall has no constant.
 const tcpUserTimeout = 18
 
+// setUserTimeout sets TCP_USER_TIMEOUT unless d is zero.
 func setUserTimeout(c net.Conn, d time.Duration) error {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok || d == 0 {
@@ -18,12 +19,12 @@
 	if err != nil {
 		return err
 	}
-	var failed error
+	var optErr error
 	err = raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
+		optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
--- a/basilcross/egress/timeout_other.go
+++ b/basilcross/egress/timeout_other.go
@@ -7,6 +7,6 @@
 	"time"
 )
 
-// setUserTimeout has no effect where the option is unknown; keepalive and the
-// request's own timeouts remain.
+// setUserTimeout does nothing on systems without TCP_USER_TIMEOUT, where keep-alive
+// probes and the requests' own timeouts still apply.
 func setUserTimeout(net.Conn, time.Duration) error { return nil }
