--- a/basilcross/dispatch/compare_test.go
+++ b/basilcross/dispatch/compare_test.go
@@ -30,7 +30,7 @@
 const (
 	loadSlots     = 3
 	loadObjective = 600 * time.Millisecond
-	loadLatest    = 4 * time.Second
+	loadDeadline  = 4 * time.Second
 )
 
 func heavyWorkload(seed uint64) workload {
@@ -167,7 +167,7 @@
 			time.Sleep(at - time.Since(began))
 			group.Go(func() {
 				arrived := time.Now()
-				r := schedule.Request{Service: "s", Zone: "z", Priority: 2, Objective: arrived.Add(loadObjective), Deadline: arrived.Add(loadLatest)}
+				r := schedule.Request{Service: "s", Zone: "z", Priority: 2, Objective: arrived.Add(loadObjective), Deadline: arrived.Add(loadDeadline)}
 				reservation, err := d.Acquire(context.Background(), r)
 				if err != nil {
 					return
--- a/basilcross/roster/roster.go
+++ b/basilcross/roster/roster.go
@@ -1,4 +1,4 @@
-// Package roster keeps the list of targets that the platform announces.
+// Package roster keeps the list of targets, as the platform publishes it.
 package roster
 
 import (
--- a/basilcross/routing/config.go
+++ b/basilcross/routing/config.go
@@ -21,9 +21,9 @@
 	Idempotent bool
 	// Timeout is the longest time that a caller waits for an answer.
 	Timeout time.Duration
-	// Objective is the target response time; a later answer is worth less.
+	// Objective is the desired response time; a later answer is worth less.
 	Objective time.Duration
-	// Priority 0 goes first.
+	// Priority 0 is the highest.
 	Priority int
 	// MaxAttempts is how many targets a request may be sent to.
 	MaxAttempts int
--- a/basilcross/schedule/schedule.go
+++ b/basilcross/schedule/schedule.go
@@ -22,7 +22,7 @@
 	Zone   string
 	// Excluded are the IDs of targets that this request has been sent to before.
 	Excluded map[string]bool
-	// Priority 0 goes first.
+	// Priority 0 is the highest.
 	Priority int
 	// Objective is when the answer is due; after Deadline it is useless.
 	Objective time.Time
@@ -128,8 +128,8 @@
 }
 
 // Expire must be called when a ticket has waited until WaitUntil. If a late answer is
-// still useful it extends WaitUntil once and the ticket stays queued; otherwise the
-// ticket leaves the queue and the error is a *BusyError.
+// still useful it extends WaitUntil, once per ticket at most, and the ticket stays
+// queued; otherwise the ticket leaves the queue and the error is a *BusyError.
 func (s *Scheduler) Expire(now time.Time, t *Ticket) error {
 	_, avail := s.bestTarget(now, t)
 	err := t.waitPastObjective(now, avail)
