--- a/gateway/coordinator/coordinator.go
+++ b/gateway/coordinator/coordinator.go
@@ -264,7 +264,7 @@
 	}
 	for _, s := range r.Speeds {
 		if k := c.leading.managers[s.Service]; k != nil {
-			k.Speed(s.Target, time.Duration(s.Ms)*time.Millisecond)
+			k.SetLatency(s.Target, time.Duration(s.Ms)*time.Millisecond)
 		}
 	}
 }
--- a/standin/experiment/play.go
+++ b/standin/experiment/play.go
@@ -94,9 +94,9 @@
 func (p *play) enter(a *attempt) {
 	r := schedule.Request{
 		Service: "s", Kind: a.r.number, Zone: "z", Excluded: a.excluded, Priority: a.r.kind.Priority,
-		Objective: epoch.Add(a.at + millis(a.r.kind.Objective)),
-		Deadline:  epoch.Add(a.r.at + millis(a.r.kind.Deadline)),
-		OneWayDelay:   a.r.transit,
+		Objective:   epoch.Add(a.at + millis(a.r.kind.Objective)),
+		Deadline:    epoch.Add(a.r.at + millis(a.r.kind.Deadline)),
+		OneWayDelay: a.r.transit,
 	}
 	if a.r.target >= 0 {
 		r.Target = fmt.Sprintf("t%03d", a.r.target)
