--- a/basilcross/dispatch/compare_test.go
+++ b/basilcross/dispatch/compare_test.go
@@ -15,14 +15,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// workload is a series of requests and the targets that serve them. It stands for a
-// heavy day: twelve targets with three slots, the slowest three times as slow
-// as the fastest, and half as many requests again in the middle third.
+// workload is a series of requests and the targets that serve them. It models heavy
+// load: twelve targets with three slots, the slowest three times as slow as the
+// fastest, and 1.5 times as many requests in the middle third.
 type workload struct {
-	// arrivals and work are when each request comes, and how long an average target
-	// works on it.
+	// arrivals and work are the arrival time of each request, and the time that an
+	// average target needs for it.
 	arrivals, work []time.Duration
-	// slowness is how long each target needs for the work of an average one.
+	// slowness is each target's time for a piece of work, as a multiple of an average
+	// target's.
 	slowness []float64
 }
 
@@ -54,10 +55,10 @@
 	return l
 }
 
-// goodput is the share of requests answered within the objective by a way that
-// picks a target for each request when it comes, and lets it wait there.
+// goodput returns the share of requests answered within the objective if pick chooses a
+// target for each request at its arrival, where the request waits for a slot.
 func (l *workload) goodput(pick func(i int, free [][]time.Duration) int) float64 {
-	// free is when each slot of each target is free again.
+	// free is when each slot of each target becomes free.
 	free := make([][]time.Duration, len(l.slowness))
 	for t := range free {
 		free[t] = make([]time.Duration, loadSlots)
@@ -80,10 +81,10 @@
 	return float64(good) / float64(len(l.arrivals))
 }
 
-// idealGoodput is the same for one queue that knows each target's speed and each
-// request's work: the fastest free slot goes to the oldest request that makes
-// its objective there, and the others are dropped. Not the best order there is,
-// but more than anybody can know.
+// idealGoodput returns the same for a single queue to which each target's slowness and
+// each request's work are known in advance: the fastest free slot goes to the oldest
+// request that meets its objective there, and the others are dropped. The order is not
+// optimal, but uses more information than a dispatcher can have.
 func (l *workload) idealGoodput() float64 {
 	var ends durations
 	type slot struct{ target int }
@@ -146,7 +147,7 @@
 	return last
 }
 
-// dispatcherGoodput is the same for the dispatcher, in virtual time.
+// dispatcherGoodput returns the same for the dispatcher, in virtual time.
 func (l *workload) dispatcherGoodput(t *testing.T) (share float64) {
 	synctest.Test(t, func(t *testing.T) {
 		var targets []*roster.Target
@@ -165,17 +166,17 @@
 		for i, at := range l.arrivals {
 			time.Sleep(at - time.Since(began))
 			group.Go(func() {
-				came := time.Now()
-				a := schedule.Request{Service: "s", Zone: "z", Priority: 2, Objective: came.Add(loadObjective), Deadline: came.Add(loadDeadline)}
-				p, err := d.Acquire(context.Background(), a)
+				arrived := time.Now()
+				r := schedule.Request{Service: "s", Zone: "z", Priority: 2, Objective: arrived.Add(loadObjective), Deadline: arrived.Add(loadDeadline)}
+				reservation, err := d.Acquire(context.Background(), r)
 				if err != nil {
 					return
 				}
-				slots[p.Target.ID] <- true
-				time.Sleep(time.Duration(float64(l.work[i]) * slow[p.Target.ID]))
-				<-slots[p.Target.ID]
-				p.Release(schedule.Answered)
-				if time.Since(came) <= loadObjective {
+				slots[reservation.Target.ID] <- true
+				time.Sleep(time.Duration(float64(l.work[i]) * slow[reservation.Target.ID]))
+				<-slots[reservation.Target.ID]
+				reservation.Release(schedule.Answered)
+				if time.Since(arrived) <= loadObjective {
 					mu.Lock()
 					good++
 					mu.Unlock()
@@ -188,8 +189,8 @@
 	return share
 }
 
-// leastOutstandingGoodput picks, for each of several instances that see only their own
-// requests, the target with the fewest of them under way.
+// leastOutstandingGoodput returns the same for several instances, each of which sees
+// only its own requests and picks the target with the fewest of them in flight.
 func (l *workload) leastOutstandingGoodput(instances int) float64 {
 	type sent struct {
 		target int
@@ -197,10 +198,10 @@
 	}
 	own := make([][]sent, instances)
 	return l.goodput(func(i int, free [][]time.Duration) int {
-		me := i % instances
+		instance := i % instances
 		count := make([]int, len(l.slowness))
 		var still []sent
-		for _, s := range own[me] {
+		for _, s := range own[instance] {
 			if s.end > l.arrivals[i] {
 				still = append(still, s)
 				count[s.target]++
@@ -217,25 +218,25 @@
 			first = min(first, f)
 		}
 		end := max(l.arrivals[i], first) + time.Duration(float64(l.work[i])*l.slowness[best])
-		own[me] = append(still, sent{best, end})
+		own[instance] = append(still, sent{best, end})
 		return best
 	})
 }
 
-// Slots are short and targets differ. Whoever picks a target at random, or by
-// what one instance alone has under way, lets requests wait at one target while
-// another is free. One place that shares out the slots must come near to what a
-// queue that knows speeds and work ahead can do.
+// Guards against requests that wait at one target while another is free. That happens
+// if slots are scarce, targets differ, and a target is picked at random or by the
+// requests in flight of one instance alone. A single dispatcher must achieve more than
+// 0.85 of the ideal goodput.
 func TestDispatcherApproachesIdealGoodput(t *testing.T) {
 	for seed := range uint64(3) {
 		l := heavyWorkload(seed)
 		random := rand.New(rand.NewPCG(seed, 3))
 		atRandom := l.goodput(func(int, [][]time.Duration) int { return random.IntN(len(l.slowness)) })
-		alone := l.leastOutstandingGoodput(6)
-		limit, mine := l.idealGoodput(), l.dispatcherGoodput(t)
-		t.Logf("seed %d: within the objective: at random %.3f, least outstanding of 6 instances %.3f, dispatcher %.3f, limit %.3f: %.2f of it",
-			seed, atRandom, alone, mine, limit, mine/limit)
-		assert.Assert(t, mine > alone && mine > atRandom)
-		assert.Assert(t, mine > 0.85*limit)
+		leastOutstanding := l.leastOutstandingGoodput(6)
+		ideal, dispatcher := l.idealGoodput(), l.dispatcherGoodput(t)
+		t.Logf("seed %d: share within the objective: random %.3f, least outstanding of 6 instances %.3f, dispatcher %.3f, ideal %.3f (dispatcher %.2f of it)",
+			seed, atRandom, leastOutstanding, dispatcher, ideal, dispatcher/ideal)
+		assert.Assert(t, dispatcher > leastOutstanding && dispatcher > atRandom)
+		assert.Assert(t, dispatcher > 0.85*ideal)
 	}
 }
--- a/basilcross/roster/roster_test.go
+++ b/basilcross/roster/roster_test.go
@@ -10,32 +10,32 @@
 	"gotest.tools/v3/assert"
 )
 
-func target(id string, born, seq int64) *roster.Target {
-	return &roster.Target{ID: id, Started: born, Seq: seq, Service: "s"}
+func target(id string, started, seq int64) *roster.Target {
+	return &roster.Target{ID: id, Started: started, Seq: seq, Service: "s"}
 }
 
 func TestApply(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var r roster.Roster
-	came, left := r.Replace(now, []*roster.Target{target("a", 1, 1), target("b", 1, 1)}, 10)
-	assert.Equal(t, len(came), 2)
-	assert.Equal(t, len(left), 0)
+	added, leaving := r.Replace(now, []*roster.Target{target("a", 1, 1), target("b", 1, 1)}, 10)
+	assert.Equal(t, len(added), 2)
+	assert.Equal(t, len(leaving), 0)
 
 	draining := target("a", 1, 2)
 	draining.Draining = true
-	_, left = r.Apply(now.Add(time.Second), []roster.Change{{ID: "a", Target: draining}}, 11)
-	assert.Equal(t, len(left), 1)
+	_, leaving = r.Apply(now.Add(time.Second), []roster.Change{{ID: "a", Target: draining}}, 11)
+	assert.Equal(t, len(leaving), 1)
 	assert.Equal(t, r.Load().Targets["a"].LeavingSince, now.Add(time.Second))
 	assert.Equal(t, r.Load().Targets["a"].FirstSeen, now)
 
-	_, left = r.Replace(now, []*roster.Target{target("a", 2, 1)}, 12)
-	assert.Equal(t, len(left), 1, "b is gone")
+	_, leaving = r.Replace(now, []*roster.Target{target("a", 2, 1)}, 12)
+	assert.Equal(t, len(leaving), 1, "b was removed")
 	assert.Equal(t, r.Load().Targets["a"].Started, int64(2))
-	assert.Assert(t, r.Load().Targets["a"].LeavingSince.IsZero(), "another lifetime does not leave")
+	assert.Assert(t, r.Load().Targets["a"].LeavingSince.IsZero(), "the new incarnation does not drain")
 }
 
-// A report that was overtaken comes late, or another writer repeats an old one.
-// Taken in, it would bring a target back that is leaving.
+// Guards against a draining target that becomes ready again because an outdated
+// report arrives late, or because another writer repeats an old one.
 func TestOutdatedReportsAreIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var r roster.Roster
@@ -48,8 +48,8 @@
 	}
 }
 
-// Guards against a view that, change by change, becomes unlike the one made of
-// the same targets at once.
+// Guards against a view built by successive changes that differs from the view
+// built of the same targets at once.
 func TestApplyAndReplaceAgree(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 2))
@@ -74,13 +74,13 @@
 			changes = append(changes, roster.Change{ID: id, Target: next})
 		}
 		r.Apply(now, changes, revision)
-		var whole roster.Roster
+		var replaced roster.Roster
 		var list []*roster.Target
 		for _, p := range present {
 			list = append(list, p)
 		}
-		whole.Replace(now, list, revision)
-		assertSameView(t, r.Load(), whole.Load())
+		replaced.Replace(now, list, revision)
+		assertSameView(t, r.Load(), replaced.Load())
 	}
 }
 
--- a/basilcross/schedule/arrivals.go
+++ b/basilcross/schedule/arrivals.go
@@ -6,63 +6,63 @@
 )
 
 const (
-	// arrivalHalfLife is how fast arrivals are forgotten.
+	// arrivalHalfLife is the half-life of an arrival in the count.
 	arrivalHalfLife = time.Second
-	// budgetWeight is the weight of the newest request in the time that its kind
-	// has for an answer.
+	// budgetWeight is the weight of the newest request in its kind's latency budget.
 	budgetWeight = 0.1
-	// reserveThreshold is how many requests of a more urgent kind are expected while a
-	// less urgent one works, for a slot to be kept for them.
+	// reserveThreshold is how many requests of a more urgent kind have to be expected
+	// during a less urgent one for a slot to be reserved for them.
 	reserveThreshold = 1.0
 )
 
-// arrivalStats is what is known of a kind's requests at a queue.
+// arrivalStats are the arrivals of one kind's requests at a queue.
 type arrivalStats struct {
 	priority int
-	// decayedCount decays with time; at is when it was counted last.
+	// decayedCount is the exponentially decayed number of arrivals as of updated.
 	decayedCount float64
 	updated      time.Time
-	// latencyBudget is the time between a request's arrival and its objective that is
-	// left for wait and work.
+	// latencyBudget is the average time from arrival to objective that is left for
+	// waiting and work.
 	latencyBudget time.Duration
 }
 
 // recordArrival counts a request.
 func (q *queue) recordArrival(now time.Time, r *Request) {
-	allowance := r.Objective.Sub(now) - answerMessages*r.OneWayDelay
+	budget := r.Objective.Sub(now) - answerMessages*r.OneWayDelay
 	a := q.arrivals[r.Kind]
 	if a == nil {
-		a = &arrivalStats{updated: now, latencyBudget: allowance}
+		a = &arrivalStats{updated: now, latencyBudget: budget}
 		q.arrivals[r.Kind] = a
 	}
 	a.decayedCount = a.decayedCount*a.decay(now) + 1
 	a.updated, a.priority = now, r.Priority
-	a.latencyBudget += time.Duration(budgetWeight * float64(allowance-a.latencyBudget))
+	a.latencyBudget += time.Duration(budgetWeight * float64(budget-a.latencyBudget))
 }
 
+// decay returns the factor by which the count has decayed since it was updated.
 func (a *arrivalStats) decay(now time.Time) float64 {
 	return math.Exp2(-now.Sub(a.updated).Seconds() / arrivalHalfLife.Seconds())
 }
 
-// rate is the arrivals per second.
+// rate returns the arrivals per second.
 func (a *arrivalStats) rate(now time.Time) float64 {
 	return a.decayedCount * a.decay(now) * math.Ln2 / arrivalHalfLife.Seconds()
 }
 
-// reservesLastSlot tells whether the target's last slot is kept for more urgent requests: if
-// the given one took it, the next slot would be free too late for some of them. An
-// only slot is not kept, or less urgent requests would never get it.
+// reservesLastSlot reports whether the target's last free slot is reserved for more
+// urgent requests: if the given one took it, the next slot would be free too late for
+// them. A target's only slot is not reserved, or less urgent requests would never run.
 func (st *targetState) reservesLastSlot(now time.Time, t *Ticket, slots int, work float64) bool {
 	if t.Request.Target == "" || slots == 1 || len(st.inFlight)+1 < slots {
 		return false
 	}
-	free := st.timeToFreeSlotAfter(now, slots, seconds(work))
+	freeIn := st.timeToFreeSlotAfter(now, slots, seconds(work))
 	for number, a := range t.queue.arrivals {
 		if a.priority >= t.Request.Priority || a.rate(now)*work < reserveThreshold {
 			continue
 		}
 		slack := a.latencyBudget - seconds(t.service.workOf(number)*st.slowness*safetyFactor)
-		if slack > 0 && free > slack {
+		if slack > 0 && freeIn > slack {
 			return true
 		}
 	}
--- a/basilcross/schedule/choose.go
+++ b/basilcross/schedule/choose.go
@@ -6,66 +6,70 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// capacity is what the targets of a request can take together.
+// capacity summarizes the targets that a request may go to.
 type capacity struct {
+	// best is the target with the earliest expected answer, nil if none has capacity;
+	// state is its state, and bestSeconds the time until the answer.
 	best        *roster.Target
 	state       *targetState
 	bestSeconds float64
-	targets     int
-	// slots are those of all, slowness is theirs on average, and latency is what
-	// they need for the request on average.
+	// targets is the number of usable targets.
+	targets int
+	// slots is the sum over the targets, slowness their average, and latency their
+	// average for the request, in expected.
 	slots    float64
 	slowness float64
 	latency  float64
-	// freeIn is when the first of them is expected to have a slot.
+	// freeIn is the expected time until the first of them has a free slot.
 	freeIn time.Duration
 }
 
-// assign gives the ticket the best target with room, if there is one.
+// assign gives the ticket a slot of the best target with free capacity, if there is one.
 func (s *Scheduler) assign(now time.Time, t *Ticket) capacity {
-	best, r := s.bestTarget(now, t)
+	best, avail := s.bestTarget(now, t)
 	if best == nil {
-		return r
+		return avail
 	}
-	t.Target, t.state = best, r.state
+	t.Target, t.state = best, avail.state
 	t.state.add(now, t)
-	return r
+	return avail
 }
 
-// bestTarget returns the target with room where the answer is expected first.
+// bestTarget returns the target with free capacity whose answer is expected first, or
+// nil, and the capacity of all usable targets.
 func (s *Scheduler) bestTarget(now time.Time, t *Ticket) (*roster.Target, capacity) {
-	var r capacity
+	var avail capacity
 	rate := 0.0
 	for _, c := range s.usableTargets(now, t) {
 		st := t.service.stateOf(c)
 		latency := t.service.expectedLatency(now, c, st, t.Request.Kind)
-		r.targets++
-		r.slots += min(float64(c.Slots), max(1, st.limit))
+		avail.targets++
+		avail.slots += min(float64(c.Slots), max(1, st.limit))
 		rate += min(float64(c.Slots), max(1, st.limit)) / latency
 		wait := st.timeToFreeSlot(now, c.Slots)
-		if r.targets == 1 || wait < r.freeIn {
-			r.freeIn = wait
+		if avail.targets == 1 || wait < avail.freeIn {
+			avail.freeIn = wait
 		}
 		if float64(len(st.inFlight)) >= max(1, st.limit) || wait > sendAheadTime(&t.Request) || st.reservesLastSlot(now, t, c.Slots, latency) {
 			continue
 		}
-		seconds := latency + wait.Seconds()
-		if r.best == nil || seconds < r.bestSeconds || seconds == r.bestSeconds && c.ID < r.best.ID {
-			r.best, r.state, r.bestSeconds = c, st, seconds
+		expected := latency + wait.Seconds()
+		if avail.best == nil || expected < avail.bestSeconds || expected == avail.bestSeconds && c.ID < avail.best.ID {
+			avail.best, avail.state, avail.bestSeconds = c, st, expected
 		}
 	}
 	work := t.service.workOf(t.Request.Kind)
-	r.latency, r.slowness = work, 1
+	avail.latency, avail.slowness = work, 1
 	if rate > 0 {
-		r.latency = r.slots / rate
-		r.slowness = r.latency / work
+		avail.latency = avail.slots / rate
+		avail.slowness = avail.latency / work
 	}
-	return r.best, r
+	return avail.best, avail
 }
 
-// usableTargets returns the targets that the request may go to. If all are paused, the
-// ones that failed are used all the same by a request that has nowhere else to go:
-// most targets that fail at times answer more often than not.
+// usableTargets returns the targets that the request may go to. If all are in backoff,
+// failing ones are returned for a request without alternatives, since most targets
+// that fail now and then still answer more often than not.
 func (s *Scheduler) usableTargets(now time.Time, t *Ticket) []*roster.Target {
 	var open, failing []*roster.Target
 	for _, c := range s.candidates(&t.Request) {
@@ -85,6 +89,7 @@
 	return open
 }
 
+// candidates returns the request's target, or the zone's targets that do not drain.
 func (s *Scheduler) candidates(r *Request) []*roster.Target {
 	view := s.Roster.Load()
 	if r.Target != "" {
--- a/basilcross/schedule/estimate.go
+++ b/basilcross/schedule/estimate.go
@@ -7,31 +7,33 @@
 )
 
 const (
-	// initialWork is taken for the first requests of a service, in seconds.
+	// initialWork is assumed for the first requests of a service, in seconds.
 	initialWork = 0.2
-	// minSlownessWeight is the least weight of the newest answer in a target's
-	// slowness, workShare the same in a kind's work. The first answers have more.
+	// minSlownessWeight is the weight of the newest answer in a target's slowness,
+	// minWorkWeight that in a kind's work. The first answers have a higher one.
 	minSlownessWeight = 0.1
 	minWorkWeight     = 0.025
-	// kindTTL is how long a kind is known after its last answer: routes come and go.
+	// kindTTL is how long a kind's estimates are kept after its last request or
+	// answer, since routes are added and removed.
 	kindTTL = 10 * time.Minute
-	// minWork is taken for answers that came sooner than the messages account for.
+	// minWork is assumed for answers that arrive sooner than the network delay explains.
 	minWork = time.Millisecond
-	// maxRatio bounds what one answer is taken for: some take many times as long
-	// as others of their kind.
+	// maxRatio bounds the ratio of measured to expected time of a single answer, since
+	// some requests take many times as long as others of their kind.
 	maxRatio = 4.0
 )
 
-// kindStats is what is known of requests that are alike.
+// kindStats are the estimates for one kind of requests.
 type kindStats struct {
-	// work is what an average target needs for one, in seconds.
-	work    float64
-	answers int
-	// lastAnswer is when the last answer came.
+	// work is the time that an average target needs for a request, in seconds;
+	// answers is how many answers it was estimated from.
+	work       float64
+	answers    int
 	lastAnswer time.Time
 }
 
-// workOf returns what an average target needs for a request of the kind, in seconds.
+// workOf returns the time that an average target needs for a request of the kind, in
+// seconds.
 func (s *service) workOf(number uint32) float64 {
 	if k := s.kinds[number]; k != nil {
 		return k.work
@@ -39,7 +41,7 @@
 	return s.averageWork()
 }
 
-// averageWork is the work of an average request, whatever its kind.
+// averageWork returns the average work of requests of all kinds, in seconds.
 func (s *service) averageWork() float64 {
 	if s.meanWork > 0 {
 		return s.meanWork
@@ -47,12 +49,13 @@
 	return initialWork
 }
 
-// expectedLatency is the time of an answer from a target that has room, in seconds.
+// expectedLatency returns the expected response time of a target with a free slot, in
+// seconds. It counts repeated attempts at a target that sheds at random.
 func (s *service) expectedLatency(now time.Time, t *roster.Target, st *targetState, number uint32) float64 {
 	return s.workOf(number) * st.slowness * warmupFactor(now, t) / (1 - min(st.shedRatio, maxShedRatio))
 }
 
-// warmupFactor is how much slower a target is since it warms up.
+// warmupFactor returns the factor by which a target is slower because it warms up.
 func warmupFactor(now time.Time, t *roster.Target) float64 {
 	if now.Sub(t.FirstSeen) < t.WarmupLeft {
 		return warmupSlowdown
@@ -60,8 +63,8 @@
 	return 1
 }
 
-// observe takes in how long an answer took. It tells of the work of its kind and of
-// the speed of its target; the latter changes sooner.
+// observe updates the estimates of the kind's work and the target's slowness with the
+// time that an answer took. The slowness adapts faster.
 func (s *service) observe(now time.Time, t *Ticket, took time.Duration) {
 	st := t.state
 	took = max(took, minWork)
@@ -83,5 +86,6 @@
 	s.meanWork += minWorkWeight * (k.work - s.meanWork)
 }
 
-// sampleWeight is what the newest of some answers counts, at least the given share.
+// sampleWeight returns the weight of the newest answer in an average, at least the
+// given one.
 func sampleWeight(least float64, answers int) float64 { return max(least, 1/float64(answers+1)) }
--- a/basilcross/schedule/queue.go
+++ b/basilcross/schedule/queue.go
@@ -3,23 +3,25 @@
 import "time"
 
 const (
-	// safetyFactor is the share of a usual answer's time that is kept free before
-	// the objective: work varies around its mean.
+	// safetyFactor is the multiple of the expected latency that is kept free before
+	// the objective, since work varies around its mean.
 	safetyFactor = 1.4
-	// lateWaitShare of the time left is how long a request waits that cannot make
-	// its objective any more. It goes behind all that can.
+	// lateWaitShare is the share of the time left until its deadline for which a
+	// request waits that can no longer meet its objective. It is served after all
+	// requests of its priority that can.
 	lateWaitShare = 0.4
-	// answerMessages is how many messages pass from a slot's reservation to the
+	// answerMessages is how many one-way delays pass from a slot's reservation to the
 	// answer: the reservation, the request and the answer itself.
 	answerMessages = 3
 )
 
-// queueKey names a target, or a zone's targets.
+// queueKey identifies a queue: requests for one target, or for any target of a zone.
 type queueKey struct{ target, zone string }
 
-// queue is the requests that wait for the same targets.
+// queue holds the requests that wait for the same targets.
 type queue struct {
-	waiting  []*Ticket
+	waiting []*Ticket
+	// lastSeq is the sequence number of the last ticket that was queued.
 	lastSeq  uint64
 	arrivals map[uint32]*arrivalStats
 }
@@ -37,13 +39,14 @@
 	return q
 }
 
-// enqueue decides whether a request may wait, and until when.
-func (t *Ticket) enqueue(now time.Time, r capacity) error {
+// enqueue adds the ticket to its queue and sets WaitUntil, or returns a *BusyError if
+// the request cannot be answered in time.
+func (t *Ticket) enqueue(now time.Time, avail capacity) error {
 	q, req := t.queue, &t.Request
-	wait := q.expectedWait(t, r)
-	t.WaitUntil = req.Objective.Add(-seconds(r.latency*safetyFactor) - answerMessages*req.OneWayDelay)
+	wait := q.expectedWait(t, avail)
+	t.WaitUntil = req.Objective.Add(-seconds(avail.latency*safetyFactor) - answerMessages*req.OneWayDelay)
 	if now.Add(wait).After(t.WaitUntil) {
-		if err := t.waitPastObjective(now, r); err != nil {
+		if err := t.waitPastObjective(now, avail); err != nil {
 			return err
 		}
 	}
@@ -53,13 +56,14 @@
 	return nil
 }
 
-// waitPastObjective decides the same for a request that cannot make its objective any
-// more.
-func (t *Ticket) waitPastObjective(now time.Time, r capacity) error {
+// waitPastObjective sets WaitUntil for a request that can no longer meet its
+// objective. It returns a *BusyError if the request may not wait that long, or has
+// been extended before.
+func (t *Ticket) waitPastObjective(now time.Time, avail capacity) error {
 	req := &t.Request
-	usual := seconds(r.latency) + answerMessages*req.OneWayDelay
-	wait := t.queue.expectedWait(t, r)
-	t.WaitUntil = now.Add(time.Duration(float64(req.Deadline.Sub(now)-usual) * lateWaitShare))
+	expected := seconds(avail.latency) + answerMessages*req.OneWayDelay
+	wait := t.queue.expectedWait(t, avail)
+	t.WaitUntil = now.Add(time.Duration(float64(req.Deadline.Sub(now)-expected) * lateWaitShare))
 	if req.RejectLate || t.late || now.Add(wait).After(t.WaitUntil) {
 		return &BusyError{Service: t.service.name, Wait: wait, Queued: len(t.queue.waiting)}
 	}
@@ -67,16 +71,16 @@
 	return nil
 }
 
-// expectedWait is the wait for a slot: for the first that is free, and for the work of
-// those that wait and are not less urgent.
-func (q *queue) expectedWait(t *Ticket, r capacity) time.Duration {
+// expectedWait estimates the wait for a slot: the time until the first is free, and the
+// work of waiting requests of the same or a higher priority.
+func (q *queue) expectedWait(t *Ticket, avail capacity) time.Duration {
 	ahead := 0.0
 	for _, o := range q.waiting {
 		if o != t && o.Request.Priority <= t.Request.Priority {
-			ahead += o.service.workOf(o.Request.Kind) * r.slowness
+			ahead += o.service.workOf(o.Request.Kind) * avail.slowness
 		}
 	}
-	return r.freeIn + seconds(ahead/max(1, r.slots))
+	return avail.freeIn + seconds(ahead/max(1, avail.slots))
 }
 
 func (q *queue) remove(t *Ticket) {
@@ -88,9 +92,9 @@
 	}
 }
 
-// next returns the most urgent ticket. Of equally urgent ones those go first
-// that make their objective on a target of the given slowness, and of those the
-// oldest.
+// next returns the waiting ticket with the highest priority. At equal priority those
+// precede that meet their objective on a target of the given slowness, and of those
+// the oldest.
 func (q *queue) next(now time.Time, slowness float64) *Ticket {
 	var best *Ticket
 	for _, t := range q.waiting {
@@ -101,13 +105,14 @@
 	return best
 }
 
-// outranks tells whether one that waits goes before a request that comes.
+// outranks reports whether a waiting ticket precedes a new one.
 func (q *queue) outranks(now time.Time, t *Ticket, slowness float64) bool {
 	t.seq = q.lastSeq + 1
 	next := q.next(now, slowness)
 	return next != nil && next.precedes(t, now, slowness)
 }
 
+// precedes reports whether t is served before o.
 func (t *Ticket) precedes(o *Ticket, now time.Time, slowness float64) bool {
 	if t.Request.Priority != o.Request.Priority {
 		return t.Request.Priority < o.Request.Priority
@@ -119,8 +124,8 @@
 	return t.seq < o.seq
 }
 
-// meetsObjective tells whether the request makes its objective if a target of the given
-// slowness gets it now.
+// meetsObjective reports whether the request meets its objective if it is sent to a
+// target of the given slowness now.
 func (t *Ticket) meetsObjective(now time.Time, slowness float64) bool {
 	work := seconds(t.service.workOf(t.Request.Kind) * slowness * safetyFactor)
 	return now.Add(work + answerMessages*t.Request.OneWayDelay).Before(t.Request.Objective)
--- a/basilcross/schedule/state.go
+++ b/basilcross/schedule/state.go
@@ -8,45 +8,50 @@
 )
 
 const (
-	// extraInFlight is how many requests more than its slots a target is sent, so
-	// that the next one is there when one ends. Further ones wait here, where
-	// their order can still change.
+	// extraInFlight is how many requests a target is sent beyond its slots, so that
+	// the next one is already there when one ends. Further ones wait in the queue,
+	// where their order can still change.
 	extraInFlight = 1.0
-	// sendAheadMessages is how many messages a request is sent ahead of a free slot: the
-	// word of the slot, the answer to who asks, and the request itself.
+	// sendAheadMessages is how many one-way delays before a slot is free a request is
+	// sent. It saves the wait for three messages: the release of the slot, the
+	// scheduler's reply and the request itself.
 	sendAheadMessages = 3
-	// overdueRemainder of its usual time is what a request that has taken longer is
-	// expected to take yet.
+	// overdueRemainder is the share of its expected work that a request is expected to
+	// need still when it has run longer than expected.
 	overdueRemainder = 0.05
-	// warmupSlowdown is how much slower a target is that warms up.
+	// warmupSlowdown is the factor by which a target is slower while it warms up.
 	warmupSlowdown = 2.0
-	// shedBackoff keeps requests away from a target that has just shed one though
-	// its slots were full; shedCut is what that takes off its limit, limitRise
-	// what an answer adds. A target that sheds with slots free does so at
-	// random: less traffic would not help, so only its cost rises with the
-	// share that it sheds, known from about ten requests.
+	// shedBackoff is how long a target that shed a request with all slots taken gets
+	// no others; its limit is multiplied by shedLimitFactor, and each answer adds
+	// limitIncrement. A target that sheds with slots free does so at random, and less
+	// traffic would not help: only its expected latency rises with the share that it
+	// sheds, estimated with weight shedWeight, that is from about ten requests, and
+	// counted up to maxShedRatio.
 	shedBackoff     = 50 * time.Millisecond
 	shedWeight      = 0.1
 	maxShedRatio    = 0.9
 	shedLimitFactor = 0.8
 	limitIncrement  = 0.05
-	// failureBackoff keeps requests away from a target that gave no answer twice in
-	// a row; it doubles up to maxFailPause.
+	// failureBackoff is how long a target that failed twice in a row gets no requests.
+	// It doubles with each further failure, up to maxFailureBackoff.
 	failureBackoff    = 200 * time.Millisecond
 	maxFailureBackoff = 3200 * time.Millisecond
 )
 
-// targetState is what is known of a target.
+// targetState is the load and the estimates of one incarnation of a target.
 type targetState struct {
 	// inFlight are the requests sent to it, the oldest first.
 	inFlight []*Ticket
-	limit    float64
-	// slowness is how long the target needs for the work of an average one,
-	// known from so many answers.
-	slowness    float64
-	answers     int
+	// limit is how many requests may be in flight; it is adapted to sheds and answers.
+	limit float64
+	// slowness is the target's time for a piece of work, as a multiple of an average
+	// target's; answers is how many answers it was estimated from.
+	slowness float64
+	answers  int
+	// pausedUntil is the end of a backoff.
 	pausedUntil time.Time
-	failures    int
+	// failures counts failures since the last answer.
+	failures int
 	// shedRatio is the share of requests that were shed with slots free.
 	shedRatio float64
 }
@@ -60,8 +65,8 @@
 	return st
 }
 
-// add notes that a request is sent to the target. It waits there if all slots
-// are taken.
+// add records that a request is sent to the target, where it waits if all slots are
+// taken.
 func (st *targetState) add(now time.Time, t *Ticket) {
 	st.inFlight = append(st.inFlight, t)
 	t.expectedWork = seconds(t.service.expectedLatency(now, t.Target, st, t.Request.Kind))
@@ -71,8 +76,8 @@
 	}
 }
 
-// remove notes that a request has left the target, where another one that waits
-// has its slot now.
+// remove records that a request has ended at the target. The oldest request that
+// waits there takes over its slot.
 func (st *targetState) remove(now time.Time, t *Ticket) {
 	st.inFlight = slices.DeleteFunc(st.inFlight, func(o *Ticket) bool { return o == t })
 	if t.startedAt.IsZero() {
@@ -89,11 +94,11 @@
 	}
 }
 
-// sendAheadTime is how long before a slot is free a request may be sent: it is there
-// when the slot is, instead of when word of that has come to the one who asks.
+// sendAheadTime is how long before a slot is free a request may be sent, so that it
+// arrives when the slot is free instead of after the messages about it.
 func sendAheadTime(r *Request) time.Duration { return sendAheadMessages * r.OneWayDelay }
 
-// timeToFreeSlot is when the target is expected to have a slot for one request more.
+// timeToFreeSlot is the expected time until the target has a free slot.
 func (st *targetState) timeToFreeSlot(now time.Time, slots int) time.Duration {
 	if len(st.inFlight) < slots {
 		return 0
@@ -102,7 +107,7 @@
 	return left[len(left)-slots]
 }
 
-// timeToFreeSlotAfter is the same once another request with the given work is sent.
+// timeToFreeSlotAfter is the same if another request with the given work is sent first.
 func (st *targetState) timeToFreeSlotAfter(now time.Time, slots int, work time.Duration) time.Duration {
 	left := append(st.remaining(now), st.timeToFreeSlot(now, slots)+work)
 	if len(left) < slots {
@@ -112,13 +117,13 @@
 	return left[len(left)-slots]
 }
 
-// remaining are the times that the requests under way are expected to take yet, the
+// remaining returns the expected remaining times of the requests in flight, the
 // shortest first.
 func (st *targetState) remaining(now time.Time) []time.Duration {
 	left := make([]time.Duration, 0, len(st.inFlight))
 	for _, t := range st.inFlight {
 		if t.startedAt.IsZero() {
-			// It takes the slot that is free next.
+			// It waits at the target and takes the next free slot.
 			left = append(left, t.expectedWork)
 			continue
 		}
@@ -128,7 +133,7 @@
 	return left
 }
 
-// recordResult takes in how a request ended.
+// recordResult updates limit, backoff and estimates with the result of a request.
 func (st *targetState) recordResult(now time.Time, t *Ticket, r Result) {
 	st.remove(now, t)
 	if r == Shed && len(st.inFlight) < t.Target.Slots {
