--- a/gateway/coordinator/address_test.go
+++ b/gateway/coordinator/address_test.go
@@ -73,13 +73,13 @@
 	table := routing.New(config)
 	log := slog.New(slog.NewTextHandler(testLog{t}, nil))
 	c := New(Options{
-		Self:     peers.Instance{Name: "one", Life: "a", Cores: 1},
+		Self:     peers.Instance{Name: "one", Incarnation: "a", Cores: 1},
 		Store:    &platform.Store{Address: strings.TrimPrefix(store.URL, "http://"), HTTP: store.Client()},
 		Channels: &channel.Set{Dial: (&net.Dialer{}).DialContext},
 		Releases: &platform.Grants{HTTP: &http.Client{Transport: &http.Transport{}}},
 		Peers:    &peers.Peers{Log: log}, Roster: f.roster, Table: func() *routing.Table { return table },
 		Revisions: func() map[string]uint64 { return nil }, Leads: func(int, bool) {}, Refresh: func() {},
-		Took: func(*peers.News) {}, Missed: func() {}, Log: log, Joined: func() bool { return true },
+		Took: func(*peers.AssignmentUpdate) {}, Missed: func() {}, Log: log, Joined: func() bool { return true },
 		Holds: ownership.Holds{Usual: 3200 * time.Millisecond, Long: 6 * time.Second, Every: 800 * time.Millisecond, Reuse: 2 * time.Second},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/gateway/coordinator/coordinator.go
+++ b/gateway/coordinator/coordinator.go
@@ -83,7 +83,7 @@
 	// not answer.
 	Refresh func()
 	// Took is told of recorded changes, Missed of those too large to tell.
-	Took   func(n *peers.News)
+	Took   func(n *peers.AssignmentUpdate)
 	Missed func()
 	Holds  ownership.Holds
 	Log    *slog.Logger
@@ -213,7 +213,7 @@
 	c.offer(func() {
 		now := time.Now()
 		c.members[m.From] = now
-		if m.Beat != nil {
+		if m.Heartbeat != nil {
 			c.hearBeat(now, m)
 		}
 		if m.Report != nil && c.leading != nil {
@@ -227,16 +227,16 @@
 }
 
 func (c *Coordinator) hearBeat(now time.Time, m *peers.Message) {
-	if m.Beat.Resigned {
+	if m.Heartbeat.Resigned {
 		c.heard, c.lookAt = time.Time{}, now
-		c.observe(m.Beat.Lease, Lease{Term: m.Beat.Term, Holder: m.From, Life: m.Life})
+		c.observe(m.Heartbeat.LeaseRevision, Lease{Term: m.Heartbeat.Term, Holder: m.From, Life: m.Incarnation})
 		return
 	}
-	if m.Beat.Term < c.seen.lease.Term {
+	if m.Heartbeat.Term < c.seen.lease.Term {
 		return
 	}
 	c.heard = now
-	c.observe(m.Beat.Lease, Lease{Term: m.Beat.Term, Holder: m.From, Life: m.Life, LeaseMs: m.Beat.LeaseMs})
+	c.observe(m.Heartbeat.LeaseRevision, Lease{Term: m.Heartbeat.Term, Holder: m.From, Life: m.Incarnation, LeaseMs: m.Heartbeat.LeaseMs})
 }
 
 // observe notes a row of the lease.
@@ -262,7 +262,7 @@
 			k.Load.Add(now, l.Key, float64(l.Ms)/1000)
 		}
 	}
-	for _, s := range r.Speeds {
+	for _, s := range r.Latencies {
 		if k := c.leading.managers[s.Service]; k != nil {
 			k.Speed(s.Target, time.Duration(s.Ms)*time.Millisecond)
 		}
@@ -294,7 +294,7 @@
 	if !c.seen.known {
 		return true
 	}
-	if !c.seen.over(boottime(), c.Self.Name, c.Self.Life) {
+	if !c.seen.over(boottime(), c.Self.Name, c.Self.Incarnation) {
 		return false
 	}
 	if c.turn == c.seen.revision {
@@ -341,7 +341,7 @@
 		c.Peers.Send(l.Holder, &peers.Message{Hello: &c.Self})
 	}
 	c.observe(row.Revision, l)
-	if c.leading != nil || c.retired || !c.seen.over(boottime(), c.Self.Name, c.Self.Life) {
+	if c.leading != nil || c.retired || !c.seen.over(boottime(), c.Self.Name, c.Self.Incarnation) {
 		return
 	}
 	c.acquire(ctx)
@@ -371,7 +371,7 @@
 func (c *Coordinator) acquire(ctx context.Context) {
 	c.looking = true
 	sent := boottime()
-	mine := Lease{Term: c.seen.lease.Term + 1, Holder: c.Self.Name, Life: c.Self.Life, LeaseMs: leaseFor.Milliseconds(), Seq: 1}
+	mine := Lease{Term: c.seen.lease.Term + 1, Holder: c.Self.Name, Life: c.Self.Incarnation, LeaseMs: leaseFor.Milliseconds(), Seq: 1}
 	on := c.seen.revision
 	c.group.Go(func() error {
 		callCtx, cancel := context.WithTimeout(ctx, leaseFor)
--- a/gateway/coordinator/lead.go
+++ b/gateway/coordinator/lead.go
@@ -102,8 +102,8 @@
 }
 
 func (c *Coordinator) signOfLife(l *leading) *peers.Message {
-	return &peers.Message{Revisions: c.Revisions(), Beat: &peers.Beat{
-		Term: l.lease.Term, Lease: l.revision, LeaseMs: l.lease.LeaseMs, Members: c.countMembers(time.Now()), InDoubt: l.inDoubt,
+	return &peers.Message{Revisions: c.Revisions(), Heartbeat: &peers.Heartbeat{
+		Term: l.lease.Term, LeaseRevision: l.revision, LeaseMs: l.lease.LeaseMs, Members: c.countMembers(time.Now()), InDoubt: l.inDoubt,
 	}}
 }
 
@@ -310,7 +310,7 @@
 	if last.assignment != nil {
 		changed := last.assignment.Differences(a)
 		if parts := (len(changed) + newsPieces - 1) / newsPieces; parts <= newsParts {
-			c.tell(&peers.News{Service: service, Term: a.Term, Base: last.revision, Revision: revision, Parts: max(1, parts)}, changed)
+			c.tell(&peers.AssignmentUpdate{Service: service, Term: a.Term, Base: last.revision, Revision: revision, Parts: max(1, parts)}, changed)
 			return
 		}
 	}
@@ -319,12 +319,12 @@
 }
 
 // tell sends a change in as many datagrams as it needs.
-func (c *Coordinator) tell(whole *peers.News, changed []ownership.Piece) {
+func (c *Coordinator) tell(whole *peers.AssignmentUpdate, changed []ownership.Piece) {
 	for part := range whole.Parts {
 		n := *whole
 		n.Part = part
 		n.Pieces = named(changed[min(part*newsPieces, len(changed)):min((part+1)*newsPieces, len(changed))])
-		c.Peers.Broadcast(&peers.Message{News: &n})
+		c.Peers.Broadcast(&peers.Message{AssignmentUpdate: &n})
 		c.Took(&n)
 	}
 }
@@ -389,11 +389,11 @@
 		if !ok {
 			return
 		}
-		given := Lease{Term: l.lease.Term, Holder: c.Self.Name, Life: c.Self.Life, Seq: l.lease.Seq + 1}
+		given := Lease{Term: l.lease.Term, Holder: c.Self.Name, Life: c.Self.Incarnation, Seq: l.lease.Seq + 1}
 		s := c.write(ctx, &given, on, nil)
 		if s.ok {
 			event.LeadResigned.Log(c.Log, "term", given.Term)
-			c.Peers.Broadcast(&peers.Message{Beat: &peers.Beat{Term: given.Term, Lease: s.revision, Resigned: true}})
+			c.Peers.Broadcast(&peers.Message{Heartbeat: &peers.Heartbeat{Term: given.Term, LeaseRevision: s.revision, Resigned: true}})
 		}
 		c.post(ctx, func() {
 			if c.leading == l {
--- a/gateway/coordinator/lease_test.go
+++ b/gateway/coordinator/lease_test.go
@@ -175,7 +175,7 @@
 func TestSmallCoordinatorHandsOver(t *testing.T) {
 	now := time.Now()
 	p := &peers.Peers{Log: slog.New(slog.DiscardHandler)}
-	p.Know(map[string]peers.Instance{
+	p.SetInstances(map[string]peers.Instance{
 		"strong": {Name: "strong", Cores: 0.8, Datagram: "127.0.0.1:9"},
 		"alike":  {Name: "alike", Cores: 0.16, Datagram: "127.0.0.1:9"},
 	})
@@ -198,7 +198,7 @@
 // be over yet, so nobody calls the store; when it is over, everybody waits its
 // turn, and hears of the next coordinator meanwhile.
 func TestNobodyLooksBeforeTheLeaseCanBeOver(t *testing.T) {
-	c := New(Options{Peers: &peers.Peers{}, Self: peers.Instance{Name: "me", Life: "a"}})
+	c := New(Options{Peers: &peers.Peers{}, Self: peers.Instance{Name: "me", Incarnation: "a"}})
 	now := time.Now()
 	assert.Assert(t, c.isDue(now), "nothing is known")
 	c.observe(7, Lease{Term: 1, Holder: "other", LeaseMs: 2000})
@@ -222,7 +222,7 @@
 			Address: "10.200.100.100:18080", FreeAt: 1 << 40,
 		})
 	}
-	m := &peers.Message{From: "front-west-innsbruck-100", Life: "ABCDEFGH", News: &peers.News{
+	m := &peers.Message{From: "front-west-innsbruck-100", Incarnation: "ABCDEFGH", AssignmentUpdate: &peers.AssignmentUpdate{
 		Service: "a-service-name", Term: 1 << 30, Base: 1 << 40, Revision: 1 << 40, Part: 7, Parts: 8, Pieces: named(pieces),
 	}}
 	text, err := cbor.Marshal(m)
@@ -232,7 +232,7 @@
 
 // Guards against a coordinator that takes over while its own process ends.
 func TestEndingInstanceDoesNotTakeOver(t *testing.T) {
-	c := New(Options{Peers: &peers.Peers{}, Self: peers.Instance{Name: "me", Life: "a"}, Log: slog.New(slog.DiscardHandler)})
+	c := New(Options{Peers: &peers.Peers{}, Self: peers.Instance{Name: "me", Incarnation: "a"}, Log: slog.New(slog.DiscardHandler)})
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
 	group.Go(func() error {
--- a/gateway/instance/duties.go
+++ b/gateway/instance/duties.go
@@ -106,7 +106,7 @@
 			reports = []*peers.Report{{}}
 		}
 		if rounds++; rounds%speedsEvery == 0 {
-			reports[0].Speeds = r.speeds()
+			reports[0].Latencies = r.speeds()
 		}
 		lead := r.lead.Load()
 		for _, report := range reports {
@@ -128,17 +128,17 @@
 )
 
 // speeds returns the speeds of the targets of sharded services.
-func (r *reporter) speeds() []peers.Speed {
+func (r *reporter) speeds() []peers.TargetLatency {
 	table := r.state.table.Load()
 	if table == nil {
 		return nil
 	}
-	var list []peers.Speed
+	var list []peers.TargetLatency
 	for _, s := range r.dispatcher.Speeds() {
 		if service := table.Service(s.Service); service == nil || !service.Sharded {
 			continue
 		}
-		list = append(list, peers.Speed{Service: s.Service, Target: s.Target, Ms: int(s.Latency.Milliseconds())})
+		list = append(list, peers.TargetLatency{Service: s.Service, Target: s.Target, Ms: int(s.Latency.Milliseconds())})
 	}
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(len(list), speedsAtOnce)]
@@ -149,15 +149,15 @@
 	if i.broker.Receive(m) || i.replicator.receive(m) {
 		return
 	}
-	if m.Beat != nil && !m.Beat.Resigned {
+	if m.Heartbeat != nil && !m.Heartbeat.Resigned {
 		i.takeBeat(m)
 	}
 	switch {
-	case m.News != nil:
-		i.takeNews(m.News)
+	case m.AssignmentUpdate != nil:
+		i.takeNews(m.AssignmentUpdate)
 	case m.Hello != nil:
 		i.peers.Add(*m.Hello)
-	case m.Bye:
+	case m.Leaving:
 		i.peers.Remove(m.From)
 	case m.Report != nil && i.peers.Find(m.From).Name == "":
 		i.instances.Again()
@@ -169,8 +169,8 @@
 // takeBeat takes in a coordinator's sign of life.
 func (i *Instance) takeBeat(m *peers.Message) {
 	wasHeard := i.replicator.hearsCoordinator()
-	i.noteLead(m.From, m.Beat.Members)
-	if m.Beat.InDoubt {
+	i.noteLead(m.From, m.Heartbeat.Members)
+	if m.Heartbeat.InDoubt {
 		// Whoever listens to readers must not rely on its way to the store.
 		i.beatAt.Store(nil)
 		return
@@ -205,7 +205,7 @@
 }
 
 // takeNews lays a recorded change over the assignment that it is a change of.
-func (i *Instance) takeNews(n *peers.News) {
+func (i *Instance) takeNews(n *peers.AssignmentUpdate) {
 	next, known := i.state.changed(n)
 	if known {
 		return
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -123,7 +123,7 @@
 	i.calls = newClient(&egress.Dialer{Timeout: storeDial, UserTimeout: storeUnacked, Probe: probeEvery})
 	targetDialer := &egress.Dialer{Timeout: targetDial, UserTimeout: targetUnacked, Probe: probeEvery, Reset: true}
 	i.peers = &peers.Peers{Log: log, Receive: i.receive, Self: peers.Instance{
-		Name: s.Instance, Life: rand.Text()[:lifeLength], Zone: s.Zone, Datagram: s.DatagramListen, Control: s.ControlListen,
+		Name: s.Instance, Incarnation: rand.Text()[:lifeLength], Zone: s.Zone, Datagram: s.DatagramListen, Control: s.ControlListen,
 		Cores: s.Cores,
 	}}
 	i.buildMirrors()
@@ -197,7 +197,7 @@
 	})
 	i.assignments.AwaitOthers(joinMost)
 	i.instances = add(&mirror.Mirror{Table: coordinator.InstanceTable, OnDemand: true, Changed: func(c mirror.Change) {
-		i.peers.Know(i.state.takeInstances(c))
+		i.peers.SetInstances(i.state.takeInstances(c))
 	}})
 	if i.settings.Bootstrap {
 		i.instances.Late = introduceTimeout
@@ -260,7 +260,7 @@
 			return err
 		})
 	}
-	event.Started.Log(i.log, "life", i.peers.Self.Life, "callers", i.settings.CallersListen, "zone", i.settings.Zone,
+	event.Started.Log(i.log, "life", i.peers.Self.Incarnation, "callers", i.settings.CallersListen, "zone", i.settings.Zone,
 		"store", i.settings.Store, "seeds", i.settings.Seeds)
 	select {
 	case <-ctx.Done():
@@ -315,7 +315,7 @@
 	began := time.Now()
 	i.closing.Store(true)
 	i.front.Close()
-	i.peers.Broadcast(&peers.Message{Bye: true})
+	i.peers.Broadcast(&peers.Message{Leaving: true})
 	resignCtx, done := context.WithTimeout(ctx, resignTimeout)
 	i.coordinator.Resign(resignCtx)
 	done()
--- a/gateway/instance/passage.go
+++ b/gateway/instance/passage.go
@@ -20,22 +20,22 @@
 	}
 	parts := datagrams(table, s.again.with(table, p))
 	if parts == nil {
-		parts = []*peers.Rows{{Table: table, From: p.From, To: p.To, Newest: p.Newest, Fetch: true}}
+		parts = []*peers.TableUpdate{{Table: table, From: p.From, To: p.To, Newest: p.Newest, Fetch: true}}
 	}
 	for _, m := range parts {
-		s.tell(&peers.Message{Rows: m})
+		s.tell(&peers.Message{TableUpdate: m})
 	}
 }
 
 // datagrams cuts a passage into pieces that fit; none if a row does not.
-func datagrams(table string, p mirror.Passage) []*peers.Rows {
-	var parts []*peers.Rows
-	part := &peers.Rows{Table: table, From: p.From}
+func datagrams(table string, p mirror.Passage) []*peers.TableUpdate {
+	var parts []*peers.TableUpdate
+	part := &peers.TableUpdate{Table: table, From: p.From}
 	size := 0
 	flush := func(to, newest uint64) {
 		part.To, part.Newest = to, newest
 		parts = append(parts, part)
-		part = &peers.Rows{Table: table, From: to}
+		part = &peers.TableUpdate{Table: table, From: to}
 		size = 0
 	}
 	for i, r := range p.Rows {
@@ -47,7 +47,7 @@
 		if size > 0 && size+n > passBytes && r.Revision != p.Rows[i-1].Revision {
 			flush(p.Rows[i-1].Revision, p.Rows[i-1].Revision)
 		}
-		part.Rows = append(part.Rows, peers.Row{Key: r.Key, Value: r.Value, Revision: r.Revision, Removed: r.Removed})
+		part.Changes = append(part.Changes, peers.RowChange{Key: r.Key, Value: r.Value, Revision: r.Revision, Removed: r.Removed})
 		size += n
 	}
 	flush(p.To, p.Newest)
@@ -91,13 +91,13 @@
 	return whole
 }
 
-func (s *replicator) take(from string, r *peers.Rows) {
+func (s *replicator) take(from string, r *peers.TableUpdate) {
 	if r.Fetch {
 		s.fetchFrom(from, r)
 		return
 	}
 	passage := mirror.Passage{From: r.From, To: r.To, Newest: r.Newest}
-	for _, row := range r.Rows {
+	for _, row := range r.Changes {
 		passage.Rows = append(passage.Rows, platform.Row{
 			Table: r.Table, Key: row.Key, Value: row.Value, Revision: row.Revision, Removed: row.Removed,
 		})
@@ -113,7 +113,7 @@
 }
 
 // fetchFrom has a reader asked for its copy.
-func (s *replicator) fetchFrom(from string, r *peers.Rows) {
+func (s *replicator) fetchFrom(from string, r *peers.TableUpdate) {
 	if !s.listens.Load() {
 		return
 	}
--- a/gateway/instance/replicator.go
+++ b/gateway/instance/replicator.go
@@ -104,7 +104,7 @@
 	case !reads && !s.nextBeat.IsZero():
 		// Who listens need not wait until this instance counts as silent.
 		s.nextBeat = time.Time{}
-		s.tell(&peers.Message{Reader: &peers.Reader{}})
+		s.tell(&peers.Message{ReaderHeartbeat: &peers.ReaderHeartbeat{}})
 	}
 }
 
@@ -257,12 +257,12 @@
 }
 
 func (s *replicator) beat() {
-	r := &peers.Reader{Reached: map[string]uint64{}, Targets: s.state.roster.Load().Digest}
+	r := &peers.ReaderHeartbeat{Reached: map[string]uint64{}, TargetsDigest: s.state.roster.Load().Digest}
 	for _, m := range s.tables {
 		r.Reached[m.Table] = m.Reached()
 	}
 	r.Reached[s.assignments.Table] = s.assignments.Newest()
-	s.tell(&peers.Message{Reader: r})
+	s.tell(&peers.Message{ReaderHeartbeat: r})
 }
 
 // tell sends a message to the zone's other instances.
@@ -339,17 +339,17 @@
 // receive takes in a datagram about feeds, and tells whether it was one.
 func (s *replicator) receive(m *peers.Message) bool {
 	switch {
-	case m.Reader != nil:
-		s.hear(m.From, m.Reader)
-	case m.Rows != nil:
-		s.take(m.From, m.Rows)
+	case m.ReaderHeartbeat != nil:
+		s.hear(m.From, m.ReaderHeartbeat)
+	case m.TableUpdate != nil:
+		s.take(m.From, m.TableUpdate)
 	default:
 		return false
 	}
 	return true
 }
 
-func (s *replicator) hear(from string, r *peers.Reader) {
+func (s *replicator) hear(from string, r *peers.ReaderHeartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.Reached == nil {
@@ -369,8 +369,8 @@
 // reader passes on what is new to itself, and its feed tells only the last of
 // several changes: a target that left and came back between two answers is
 // nothing new, while a listener had its leaving from the other reader.
-func (s *replicator) compare(r *peers.Reader) {
-	alike := r.Targets == 0 || r.Targets == s.state.roster.Load().Digest
+func (s *replicator) compare(r *peers.ReaderHeartbeat) {
+	alike := r.TargetsDigest == 0 || r.TargetsDigest == s.state.roster.Load().Digest
 	for _, m := range s.tables {
 		alike = alike || m.Table == platform.TargetTable && m.Reached() < r.Reached[m.Table]
 	}
--- a/gateway/instance/replicator_test.go
+++ b/gateway/instance/replicator_test.go
@@ -46,9 +46,9 @@
 	s := i.replicator
 	s.listens.Store(true)
 	now := time.Now()
-	assert.Assert(t, s.receive(&peers.Message{From: "a", Reader: &peers.Reader{Reached: map[string]uint64{}}}))
+	assert.Assert(t, s.receive(&peers.Message{From: "a", ReaderHeartbeat: &peers.ReaderHeartbeat{Reached: map[string]uint64{}}}))
 	assert.Assert(t, s.mayListen(now))
-	assert.Assert(t, s.receive(&peers.Message{From: "a", Reader: &peers.Reader{}}))
+	assert.Assert(t, s.receive(&peers.Message{From: "a", ReaderHeartbeat: &peers.ReaderHeartbeat{}}))
 	assert.Assert(t, !s.mayListen(now))
 }
 
@@ -59,7 +59,7 @@
 	s := i.replicator
 	s.listens.Store(true)
 	hear := func(m *peers.Message) { assert.Assert(t, s.receive(m)) }
-	hear(&peers.Message{From: "a", Reader: &peers.Reader{Reached: map[string]uint64{}}})
+	hear(&peers.Message{From: "a", ReaderHeartbeat: &peers.ReaderHeartbeat{Reached: map[string]uint64{}}})
 	now := time.Now()
 	assert.Assert(t, s.mayListen(now))
 	i.noteLead(i.settings.Instance, 3)
@@ -73,13 +73,13 @@
 	for _, name := range []string{"d", "e", "f"} {
 		zone[name] = peers.Instance{Name: name, Zone: i.settings.Zone, Cores: 1, Datagram: "127.0.0.1:9"}
 	}
-	i.peers.Know(zone)
+	i.peers.SetInstances(zone)
 	s.alone = time.Time{}
 	silent()
 	assert.Assert(t, s.mayListen(now), "three go before it")
 	assert.Assert(t, s.mayListen(now.Add(3*turn-1)))
 	assert.Assert(t, !s.mayListen(now.Add(3*turn)))
-	hear(&peers.Message{From: "d", Reader: &peers.Reader{Reached: map[string]uint64{}}})
+	hear(&peers.Message{From: "d", ReaderHeartbeat: &peers.ReaderHeartbeat{Reached: map[string]uint64{}}})
 	assert.Assert(t, s.mayListen(now.Add(3*turn)), "another one reads")
 }
 
@@ -94,7 +94,7 @@
 	assert.Assert(t, s.current())
 	i.noteLead("c", 3)
 	assert.Assert(t, !s.mayListen(time.Now()), "there is no reader")
-	assert.Assert(t, s.receive(&peers.Message{From: "c", Reader: &peers.Reader{Reached: map[string]uint64{}}}))
+	assert.Assert(t, s.receive(&peers.Message{From: "c", ReaderHeartbeat: &peers.ReaderHeartbeat{Reached: map[string]uint64{}}}))
 	assert.Assert(t, s.mayListen(time.Now()))
 }
 
@@ -175,14 +175,14 @@
 	readers := i.state.roster.Load().Digest
 	i.replicator.listen(true)
 	reached := targets.Reached()
-	assert.Assert(t, i.replicator.receive(&peers.Message{Rows: &peers.Rows{
+	assert.Assert(t, i.replicator.receive(&peers.Message{TableUpdate: &peers.TableUpdate{
 		Table: platform.TargetTable, From: reached, To: reached + 1, Newest: reached + 1,
-		Rows: []peers.Row{{Key: "a", Revision: reached + 1, Removed: true}},
+		Changes: []peers.RowChange{{Key: "a", Revision: reached + 1, Removed: true}},
 	}}))
 	poll.WaitOn(t, knows(0))
 	for range unlikeTries {
-		beat := &peers.Reader{Targets: readers, Reached: map[string]uint64{platform.TargetTable: reached + 1}}
-		assert.Assert(t, i.replicator.receive(&peers.Message{From: "r", Reader: beat}))
+		beat := &peers.ReaderHeartbeat{TargetsDigest: readers, Reached: map[string]uint64{platform.TargetTable: reached + 1}}
+		assert.Assert(t, i.replicator.receive(&peers.Message{From: "r", ReaderHeartbeat: beat}))
 	}
 	fake.Put("other", "x", nil)
 	fake.Put("other", "y", nil)
@@ -197,7 +197,7 @@
 	assert.Assert(t, datagrams("op", large) == nil)
 	i := testInstance()
 	s := i.replicator
-	said := &peers.Message{From: "reader", Rows: &peers.Rows{Table: platform.OperatorTable, From: 3, To: 5, Fetch: true}}
+	said := &peers.Message{From: "reader", TableUpdate: &peers.TableUpdate{Table: platform.OperatorTable, From: 3, To: 5, Fetch: true}}
 	assert.Assert(t, s.receive(said))
 	assert.Equal(t, len(s.fetches), 0, "it follows the feed itself")
 	s.listen(true)
@@ -211,7 +211,7 @@
 	i := testInstance()
 	s := i.replicator
 	s.listen(true)
-	s.receive(&peers.Message{From: "reader", Reader: &peers.Reader{Reached: map[string]uint64{platform.TargetTable: 7}}})
+	s.receive(&peers.Message{From: "reader", ReaderHeartbeat: &peers.ReaderHeartbeat{Reached: map[string]uint64{platform.TargetTable: 7}}})
 	now := time.Now()
 	s.checkReached(now)
 	assert.Equal(t, len(s.fetches), 0, "its rows may be on their way")
@@ -240,9 +240,9 @@
 func TestCoordinatorInDoubtProvesNothing(t *testing.T) {
 	i := testInstance()
 	s := i.replicator
-	i.receive(&peers.Message{From: "c", Beat: &peers.Beat{Term: 1, Lease: 7, LeaseMs: 2000, Members: 3}})
+	i.receive(&peers.Message{From: "c", Heartbeat: &peers.Heartbeat{Term: 1, LeaseRevision: 7, LeaseMs: 2000, Members: 3}})
 	assert.Assert(t, s.certain(time.Now()))
-	i.receive(&peers.Message{From: "c", Beat: &peers.Beat{Term: 1, Lease: 7, LeaseMs: 2000, Members: 3, InDoubt: true}})
+	i.receive(&peers.Message{From: "c", Heartbeat: &peers.Heartbeat{Term: 1, LeaseRevision: 7, LeaseMs: 2000, Members: 3, InDoubt: true}})
 	assert.Assert(t, !s.certain(time.Now()))
 }
 
@@ -254,7 +254,7 @@
 	i.noteLead("c", 3)
 	assert.Assert(t, !s.current(), "nothing was read yet")
 	assert.Assert(t, !s.mayListen(time.Now()), "there is no reader")
-	s.receive(&peers.Message{From: "reader", Reader: &peers.Reader{Reached: map[string]uint64{}}})
+	s.receive(&peers.Message{From: "reader", ReaderHeartbeat: &peers.ReaderHeartbeat{Reached: map[string]uint64{}}})
 	assert.Assert(t, s.mayListen(time.Now()))
 }
 
@@ -271,7 +271,7 @@
 		{"f", "far", ""}, {"n", "near", "10.0.0.3:1"}, {"z", "local", "10.0.0.4:1"},
 	} {
 		known[step.name] = peers.Instance{Name: step.name, Zone: step.zone, Control: step.want, Datagram: "127.0.0.1:9"}
-		i.peers.Know(known)
+		i.peers.SetInstances(known)
 		if step.want != "" {
 			assert.Equal(t, c.askWhom(), step.want)
 		}
--- a/gateway/instance/state.go
+++ b/gateway/instance/state.go
@@ -29,7 +29,7 @@
 	mu          sync.Mutex
 	assignments map[string]*assigned
 	instances   map[string]peers.Instance
-	parts       map[int]*peers.News
+	parts       map[int]*peers.AssignmentUpdate
 	partsOf     uint64
 }
 
@@ -232,7 +232,7 @@
 
 // changed returns the assignment after a change, or nil if that is a change of
 // another one than is known here. Known tells that it was taken in already.
-func (s *state) changed(n *peers.News) (next *ownership.Assignment, known bool) {
+func (s *state) changed(n *peers.AssignmentUpdate) (next *ownership.Assignment, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.assignments[n.Service]
@@ -254,9 +254,9 @@
 }
 
 // gather keeps the parts of a change until all are there, and returns the whole.
-func (s *state) gather(n *peers.News) *peers.News {
+func (s *state) gather(n *peers.AssignmentUpdate) *peers.AssignmentUpdate {
 	if s.parts == nil || s.partsOf != n.Revision {
-		s.parts, s.partsOf = map[int]*peers.News{}, n.Revision
+		s.parts, s.partsOf = map[int]*peers.AssignmentUpdate{}, n.Revision
 	}
 	s.parts[n.Part] = n
 	if len(s.parts) < n.Parts {
--- a/gateway/instance/state_test.go
+++ b/gateway/instance/state_test.go
@@ -37,7 +37,7 @@
 func TestChangesAreGivenToOthers(t *testing.T) {
 	i := testInstance()
 	injectAssignment(t, i, evenAssignment(4), 10)
-	i.takeNews(&peers.News{Service: "s", Term: 2, Base: 10, Revision: 12, Parts: 1, Pieces: []ownership.Piece{{First: 0, Last: 5, Owner: "x"}}})
+	i.takeNews(&peers.AssignmentUpdate{Service: "s", Term: 2, Base: 10, Revision: 12, Parts: 1, Pieces: []ownership.Piece{{First: 0, Last: 5, Owner: "x"}}})
 	answer, err := i.State(t.Context(), &fleet.StateRequest{Tables: []string{coordinator.AssignmentTable}})
 	assert.NilError(t, err)
 	row := answer.Tables[0].Rows[0]
@@ -57,7 +57,7 @@
 	began := time.Now()
 	owner := i.state.assignments["s"].assignment.Find(7).Owner
 	for n, next := range []string{"x", owner} {
-		i.takeNews(&peers.News{
+		i.takeNews(&peers.AssignmentUpdate{
 			Service: "s", Term: 2, Base: uint64(10 + n), Revision: uint64(11 + n), Parts: 1,
 			Pieces: []ownership.Piece{{First: 5, Last: 9, Owner: next}},
 		})
@@ -79,7 +79,7 @@
 			injectAssignment(b, i, a, 1)
 			revision := uint64(1)
 			for b.Loop() {
-				i.takeNews(&peers.News{Service: "s", Term: 1, Base: revision, Revision: revision + 1, Parts: 1, Pieces: a.Pieces[:36]})
+				i.takeNews(&peers.AssignmentUpdate{Service: "s", Term: 1, Base: revision, Revision: revision + 1, Parts: 1, Pieces: a.Pieces[:36]})
 				revision++
 			}
 		})
--- a/gateway/peers/message.go
+++ b/gateway/peers/message.go
@@ -1,60 +1,66 @@
-// Package peers is what instances tell each other in small datagrams: that the
-// coordinator is there, how far each one's copies go, and the load on keys.
+// Package peers exchanges small datagrams between instances: the coordinator's
+// heartbeat, replication progress, assignment and table updates, slot
+// reservations, and the load per key.
 package peers
 
 import "basilcross.example/basilcross/ownership"
 
-// Message is a datagram, encoded as CBOR arrays: names of fields would be most
-// of its bytes, and those between regions are paid. Exactly one of its pointers is set.
+// Message is the payload of a datagram. It and its parts are encoded as CBOR
+// arrays: field names would make up most of its bytes, and traffic between
+// regions is billed. Exactly one of its pointers is set, or Leaving.
 type Message struct {
 	_ struct{} `cbor:",toarray"`
 
 	From string
-	// Life is the sender's lifetime: another one under the same name means
-	// that the process was started anew.
-	Life      string
-	Revisions map[string]uint64
-	Beat      *Beat
-	Report    *Report
-	News      *News
-	Hello     *Instance
-	Reserve   *Reserve
-	Reserved  *Reserved
-	Release   *Release
-	// Bye is set in the last message of an instance that ends.
-	Bye    bool
-	Reader *Reader
-	Rows   *Rows
+	// Incarnation identifies one start of the sender: another value under the same
+	// name means that the process was restarted.
+	Incarnation string
+	// Revisions are the newest revisions of the sender's replicas, by table.
+	Revisions        map[string]uint64
+	Heartbeat        *Heartbeat
+	Report           *Report
+	AssignmentUpdate *AssignmentUpdate
+	// Hello announces an instance that starts.
+	Hello           *Instance
+	ReserveRequest  *ReserveRequest
+	ReserveResponse *ReserveResponse
+	Release         *Release
+	// Leaving is set in the last message of an instance that shuts down.
+	Leaving         bool
+	ReaderHeartbeat *ReaderHeartbeat
+	TableUpdate     *TableUpdate
 }
 
-// Reader is the sign of life of an instance that follows the store's feeds for
-// its zone.
-type Reader struct {
+// ReaderHeartbeat is the heartbeat of a feed reader: an instance that follows the
+// store's feeds on behalf of its zone.
+type ReaderHeartbeat struct {
 	_ struct{} `cbor:",toarray"`
 
-	// Reached is how far each table's copy is complete. Without it the sender's way to
-	// the store is not proved any more, and others must not rely on it.
+	// Reached is the revision up to which each table's replica is complete. If it is
+	// nil, the sender's connection to the store is unconfirmed, and others must not
+	// rely on its replicas.
 	Reached map[string]uint64
-	// Targets is the digest of the targets that it knows.
-	Targets uint64
+	// TargetsDigest is the digest of the targets in the sender's roster.
+	TargetsDigest uint64
 }
 
-// Rows is what a feed brought: the changes of a table after From up to To that
-// others must hear of. Newest is the revision of the newest change, told or not.
-type Rows struct {
+// TableUpdate holds the changes of a table after revision From, up to and including
+// To, that the other instances of the zone need. Newest is the revision of the newest
+// change, whether it is included or not.
+type TableUpdate struct {
 	_ struct{} `cbor:",toarray"`
 
 	Table    string
 	From, To uint64
 	Newest   uint64
-	Rows     []Row
-	// Fetch is set if the rows do not fit into a datagram: the sender gives
-	// its copy to who asks for it.
+	Changes  []RowChange
+	// Fetch is set if the changes do not fit into a datagram: the receiver fetches
+	// the sender's replica instead.
 	Fetch bool
 }
 
-// Row is a changed row.
-type Row struct {
+// RowChange is the new value of a row, or its removal.
+type RowChange struct {
 	_ struct{} `cbor:",toarray"`
 
 	Key      string
@@ -63,8 +69,9 @@
 	Removed  bool
 }
 
-// Reserve asks for a slot of a target.
-type Reserve struct {
+// ReserveRequest requests a slot of a target from the scheduler. ObjectiveMs and
+// DeadlineMs are counted from the moment of sending.
+type ReserveRequest struct {
 	_ struct{} `cbor:",toarray"`
 
 	Seq         uint64
@@ -79,52 +86,54 @@
 	DeadlineMs  int64
 }
 
-// Reserved answers it: with a target, with Queued, or with a refusal.
-type Reserved struct {
+// ReserveResponse is the answer to a ReserveRequest: a target with its start time,
+// Queued, or a refusal (NoTarget, or WaitMs and QueueLength).
+type ReserveResponse struct {
 	_ struct{} `cbor:",toarray"`
 
-	Seq      uint64
-	Target   string
-	Born     int64
-	Queued   bool
-	NoTarget bool
-	WaitMs   int64
-	Waiting  int
+	Seq         uint64
+	Target      string
+	Started     int64
+	Queued      bool
+	NoTarget    bool
+	WaitMs      int64
+	QueueLength int
 }
 
-// Release gives a slot back, or withdraws a request for one.
+// Release returns a slot, or cancels a request for one.
 type Release struct {
 	_ struct{} `cbor:",toarray"`
 
 	Seq    uint64
 	Result int
-	// TookUs is how long the sender had the slot, in microseconds.
-	TookUs int64
+	// HeldUs is how long the sender held the slot, in microseconds.
+	HeldUs int64
 }
 
-// Beat is the coordinator's sign of life.
-type Beat struct {
+// Heartbeat is sent by the coordinator to all instances at a fixed interval.
+type Heartbeat struct {
 	_ struct{} `cbor:",toarray"`
 
 	Term int64
-	// Lease is the revision of the lease's row, and LeaseMs what it is good for.
-	Lease   uint64
-	LeaseMs int64
-	// Members is how many instances report to the coordinator.
+	// LeaseRevision is the revision of the lease's row, and LeaseMs its duration.
+	LeaseRevision uint64
+	LeaseMs       int64
+	// Members is the number of instances that report to the coordinator.
 	Members int
-	// Resigned is set in the last beat of a coordinator that gives up.
+	// Resigned is set in the last heartbeat of a coordinator that released its lease.
 	Resigned bool
-	// InDoubt is set while the store does not answer it.
+	// InDoubt is set while the store does not answer the coordinator.
 	InDoubt bool
 }
 
-// News is a change of a service's assignment that was recorded in the store.
-type News struct {
+// AssignmentUpdate is a change of a service's assignment that was recorded in the
+// store.
+type AssignmentUpdate struct {
 	_ struct{} `cbor:",toarray"`
 
 	Service string
 	Term    int64
-	// Base is the revision to which Pieces are the difference.
+	// Base is the revision that Pieces are a difference to.
 	Base     uint64
 	Revision uint64
 	// Part is one of Parts datagrams with the same Revision.
@@ -133,18 +142,17 @@
 	Pieces []ownership.Piece
 }
 
-// Report is what an instance tells the coordinator.
+// Report is what an instance reports to the coordinator at a fixed interval.
 type Report struct {
 	_ struct{} `cbor:",toarray"`
 
 	Loads []KeyLoad
-	// Speeds are how long targets need for an answer, as far as the sender
-	// decides for them.
-	Speeds []Speed
+	// Latencies are those of the targets that the sender schedules.
+	Latencies []TargetLatency
 }
 
-// Speed is a target's usual time of an answer.
-type Speed struct {
+// TargetLatency is a target's usual response time, in milliseconds.
+type TargetLatency struct {
 	_ struct{} `cbor:",toarray"`
 
 	Service string
@@ -158,19 +166,19 @@
 
 	Service string
 	Key     int
-	// Ms is time of a target's slot, in milliseconds.
+	// Ms is the time for which slots of targets were in use, in milliseconds.
 	Ms int
 }
 
-// Instance is what an instance writes about itself into the store.
+// Instance describes an instance; each instance writes its own into the store.
 type Instance struct {
 	_ struct{} `cbor:",toarray"`
 
-	Name     string `json:"name"`
-	Life     string `json:"life"`
-	Zone     string `json:"zone"`
-	Datagram string `json:"datagram"`
-	Control  string `json:"control"`
-	// Cores is its share of a processor; 0 if it does not know.
+	Name        string `json:"name"`
+	Incarnation string `json:"life"`
+	Zone        string `json:"zone"`
+	Datagram    string `json:"datagram"`
+	Control     string `json:"control"`
+	// Cores is the instance's share of processors; 0 if unknown.
 	Cores float64 `json:"cores,omitempty"`
 }
--- a/gateway/peers/peers.go
+++ b/gateway/peers/peers.go
@@ -12,32 +12,33 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxDatagram is what fits into one packet of an ordinary network.
+// maxDatagram is the size in bytes that fits into one packet of an Ethernet network.
 const maxDatagram = 1400
 
-// Peers sends and receives datagrams. Self, Log and Receive must be set.
+// Peers keeps the list of instances, and sends and receives datagrams. Self, Log and
+// Receive must be set.
 type Peers struct {
 	Self Instance
 	Log  *slog.Logger
 	// Receive is called for each message, from one goroutine.
 	Receive func(m *Message)
 
-	mu    sync.Mutex
-	known map[string]peer
-	// all, zones and others are made from known when they are asked for.
-	all    []Instance
-	zones  map[string][]Instance
-	others []netip.AddrPort
-	conn   *net.UDPConn
+	mu     sync.Mutex
+	byName map[string]peer
+	// all, byZone and broadcastAddrs are derived from byName on first use.
+	all            []Instance
+	byZone         map[string][]Instance
+	broadcastAddrs []netip.AddrPort
+	conn           *net.UDPConn
 }
 
-// peer is an instance that can be sent to.
+// peer is an instance with its resolved datagram address.
 type peer struct {
 	instance Instance
 	addr     netip.AddrPort
 }
 
-// Listen opens the socket.
+// Listen opens the UDP socket at Self's datagram address.
 func (p *Peers) Listen() error {
 	addr, err := net.ResolveUDPAddr("udp4", p.Self.Datagram)
 	if err != nil {
@@ -47,7 +48,7 @@
 	return err
 }
 
-// Serve receives until the context ends.
+// Serve receives datagrams until the context ends, and returns the context's error.
 func (p *Peers) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = p.conn.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -70,108 +71,110 @@
 	return ctx.Err()
 }
 
-// Know takes in the list of all instances.
-func (p *Peers) Know(list map[string]Instance) {
+// SetInstances replaces the list of instances.
+func (p *Peers) SetInstances(list map[string]Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := p.known
-	p.known = make(map[string]peer, len(list))
-	p.all, p.zones, p.others = nil, nil, nil
+	previous := p.byName
+	p.byName = make(map[string]peer, len(list))
+	p.all, p.byZone, p.broadcastAddrs = nil, nil, nil
 	for name, i := range list {
-		if same, ok := old[name]; ok && same.instance == i {
-			p.known[name] = same
+		if unchanged, ok := previous[name]; ok && unchanged.instance == i {
+			p.byName[name] = unchanged
 			continue
 		}
-		p.take(name, i)
+		p.put(name, i)
 	}
 }
 
-// Add takes in one instance.
+// Add adds one instance, or replaces it if it has changed.
 func (p *Peers) Add(i Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old, ok := p.known[i.Name]
-	if ok && old.instance == i {
+	previous, ok := p.byName[i.Name]
+	if ok && previous.instance == i {
 		return
 	}
-	if p.known == nil {
-		p.known = map[string]peer{}
+	if p.byName == nil {
+		p.byName = map[string]peer{}
 	}
-	p.take(i.Name, i)
-	p.all, p.others = nil, nil
-	delete(p.zones, i.Zone)
-	delete(p.zones, old.instance.Zone)
+	p.put(i.Name, i)
+	p.all, p.broadcastAddrs = nil, nil
+	delete(p.byZone, i.Zone)
+	delete(p.byZone, previous.instance.Zone)
 }
 
-// take notes an instance and its address.
-func (p *Peers) take(name string, i Instance) {
-	addr, err := net.ResolveUDPAddr("udp4", i.Datagram)
+// put resolves an instance's address and stores both.
+func (p *Peers) put(name string, i Instance) {
+	resolved, err := net.ResolveUDPAddr("udp4", i.Datagram)
 	if err != nil {
 		event.DatagramFailed.Log(p.Log, "instance", name, "error", err)
 	}
-	// Without an address it counts as known, and nothing is sent to it.
-	at := addr.AddrPort()
-	p.known[name] = peer{instance: i, addr: netip.AddrPortFrom(at.Addr().Unmap(), at.Port())}
+	// An instance whose address does not resolve is listed, but nothing is sent to it.
+	addr := resolved.AddrPort()
+	p.byName[name] = peer{instance: i, addr: netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())}
 }
 
-// Remove forgets an instance that ends.
+// Remove removes an instance from the list.
 func (p *Peers) Remove(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.zones, p.known[name].instance.Zone)
-	delete(p.known, name)
-	p.all, p.others = nil, nil
+	delete(p.byZone, p.byName[name].instance.Zone)
+	delete(p.byName, name)
+	p.all, p.broadcastAddrs = nil, nil
 }
 
-// Find returns an instance; its name is empty if it is not known.
+// Find returns the instance of a name; its Name is empty if it is not listed.
 func (p *Peers) Find(name string) Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.known[name].instance
+	return p.byName[name].instance
 }
 
-// Count returns the number of instances known, this one included.
+// Count returns the number of listed instances, this one included.
 func (p *Peers) Count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.known)
+	return len(p.byName)
 }
 
-// All returns the instances known, this one included. The list must not be changed.
+// All returns the listed instances, this one included. The caller must not modify
+// the slice.
 func (p *Peers) All() []Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.all == nil {
-		p.all = make([]Instance, 0, len(p.known))
-		for _, known := range p.known {
-			p.all = append(p.all, known.instance)
+		p.all = make([]Instance, 0, len(p.byName))
+		for _, listed := range p.byName {
+			p.all = append(p.all, listed.instance)
 		}
 	}
 	return p.all
 }
 
-// Zone returns those of an availability zone. The list must not be changed.
+// Zone returns the listed instances of an availability zone. The caller must not
+// modify the slice.
 func (p *Peers) Zone(zone string) []Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list, ok := p.zones[zone]
+	list, ok := p.byZone[zone]
 	if ok {
 		return list
 	}
-	for _, known := range p.known {
-		if known.instance.Zone == zone {
-			list = append(list, known.instance)
+	for _, listed := range p.byName {
+		if listed.instance.Zone == zone {
+			list = append(list, listed.instance)
 		}
 	}
-	if p.zones == nil {
-		p.zones = map[string][]Instance{}
+	if p.byZone == nil {
+		p.byZone = map[string][]Instance{}
 	}
-	p.zones[zone] = list
+	p.byZone[zone] = list
 	return list
 }
 
-// Send sends a message to one instance. Datagrams may get lost; whoever needs
-// an answer sends again.
+// Send sends a message to one instance. Datagrams may be lost; a sender that needs an
+// answer retries.
 func (p *Peers) Send(to string, m *Message) { p.SendAll([]string{to}, m) }
 
 // SendAll sends a message to several instances.
@@ -179,8 +182,8 @@
 	addrs := make([]netip.AddrPort, 0, len(to))
 	p.mu.Lock()
 	for _, name := range to {
-		if known := p.known[name]; known.addr.IsValid() {
-			addrs = append(addrs, known.addr)
+		if listed := p.byName[name]; listed.addr.IsValid() {
+			addrs = append(addrs, listed.addr)
 		}
 	}
 	p.mu.Unlock()
@@ -190,15 +193,15 @@
 // Broadcast sends a message to all other instances.
 func (p *Peers) Broadcast(m *Message) {
 	p.mu.Lock()
-	if p.others == nil {
-		p.others = make([]netip.AddrPort, 0, len(p.known))
-		for name, known := range p.known {
-			if name != p.Self.Name && known.addr.IsValid() {
-				p.others = append(p.others, known.addr)
+	if p.broadcastAddrs == nil {
+		p.broadcastAddrs = make([]netip.AddrPort, 0, len(p.byName))
+		for name, listed := range p.byName {
+			if name != p.Self.Name && listed.addr.IsValid() {
+				p.broadcastAddrs = append(p.broadcastAddrs, listed.addr)
 			}
 		}
 	}
-	others := p.others
+	others := p.broadcastAddrs
 	p.mu.Unlock()
 	p.write(m, others)
 }
@@ -207,15 +210,15 @@
 	if len(addrs) == 0 {
 		return
 	}
-	m.From, m.Life = p.Self.Name, p.Self.Life
-	text, err := cbor.Marshal(m)
+	m.From, m.Incarnation = p.Self.Name, p.Self.Incarnation
+	payload, err := cbor.Marshal(m)
 	if err != nil {
 		event.DatagramFailed.Log(p.Log, "error", err)
 		return
 	}
-	for _, a := range addrs {
-		if _, err := p.conn.WriteToUDPAddrPort(text, a); err != nil {
-			event.DatagramFailed.Log(p.Log, "to", a.String(), "error", err)
+	for _, addr := range addrs {
+		if _, err := p.conn.WriteToUDPAddrPort(payload, addr); err != nil {
+			event.DatagramFailed.Log(p.Log, "to", addr.String(), "error", err)
 		}
 	}
 }
