--- a/gateway/coordinator/address_test.go
+++ b/gateway/coordinator/address_test.go
@@ -23,33 +23,32 @@
 	"gotest.tools/v3/assert"
 )
 
-// fleet is a coordinator with its store, and the processes that it orders.
+// fleet is a coordinator with its store, and the targets that it sends orders to.
 type fleet struct {
 	t      *testing.T
 	roster *roster.Roster
 }
 
-// process is a target while it lives. Orders to its address reach whatever
-// lives there.
+// process is one incarnation of a target. An order to its address reaches any process that
+// listens there.
 type process struct {
 	*standin.Target
 	listed *roster.Target
 	server *http.Server
 }
 
-// startFleet runs a coordinator that leads over some targets, and waits until
-// they hold their keys.
+// startFleet runs a coordinator with some targets, and waits until all of them hold keys.
 func startFleet(t *testing.T, targets int) (*fleet, []*process) {
 	t.Helper()
 	f := &fleet{t: t, roster: &roster.Roster{}}
 	var list []*process
 	for i := range targets {
-		p := f.start("t"+strconv.Itoa(i), "127.0.0.1:0")
-		f.list(p, true)
+		p := f.startTarget("t"+strconv.Itoa(i), "127.0.0.1:0")
+		f.setListed(p, true)
 		list = append(list, p)
 	}
-	f.lead("lists")
-	f.until("all hold keys", func() bool {
+	f.runCoordinator("lists")
+	f.waitFor("all hold keys", func() bool {
 		for _, p := range list {
 			if len(p.Epochs()) == 0 {
 				return false
@@ -60,8 +59,8 @@
 	return f, list
 }
 
-// lead runs a coordinator over divided services.
-func (f *fleet) lead(services ...string) {
+// runCoordinator runs a coordinator for sharded services.
+func (f *fleet) runCoordinator(services ...string) {
 	t := f.t
 	t.Helper()
 	store := httptest.NewServer(&standin.Store{})
@@ -71,15 +70,15 @@
 		config.Services = append(config.Services, routing.Service{Name: name, Sharded: true, HealthPath: standin.HealthPath})
 	}
 	table := routing.New(config)
-	log := slog.New(slog.NewTextHandler(testLog{t}, nil))
+	log := slog.New(slog.NewTextHandler(testLogWriter{t}, nil))
 	c := New(Options{
 		Self:     peers.Instance{Name: "one", Incarnation: "a", Cores: 1},
 		Store:    &platform.Store{Address: strings.TrimPrefix(store.URL, "http://"), HTTP: store.Client()},
 		Channels: &channel.Set{Dial: (&net.Dialer{}).DialContext},
 		Releases: &platform.Grants{HTTP: &http.Client{Transport: &http.Transport{}}},
 		Peers:    &peers.Peers{Log: log}, Roster: f.roster, Table: func() *routing.Table { return table },
-		Revisions: func() map[string]uint64 { return nil }, Leads: func(int, bool) {}, Refresh: func() {},
-		Took: func(*peers.AssignmentUpdate) {}, Missed: func() {}, Log: log, Joined: func() bool { return true },
+		Revisions: func() map[string]uint64 { return nil }, OnLeading: func(int, bool) {}, RestartFeeds: func() {},
+		OnUpdate: func(*peers.AssignmentUpdate) {}, OnOversizedUpdate: func() {}, Log: log, Joined: func() bool { return true },
 		Holds: ownership.Holds{Usual: 3200 * time.Millisecond, Long: 6 * time.Second, Every: 800 * time.Millisecond, Reuse: 2 * time.Second},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -91,19 +90,19 @@
 	})
 }
 
-// testLog shows the coordinator's lines with a failed test.
-type testLog struct{ t *testing.T }
+// testLogWriter writes the coordinator's log lines to the test's log.
+type testLogWriter struct{ t *testing.T }
 
-func (l testLog) Write(line []byte) (int, error) {
-	// A line may come as the test ends.
+func (l testLogWriter) Write(line []byte) (int, error) {
+	// A line may be written while the test ends.
 	if l.t.Context().Err() == nil {
 		l.t.Log(strings.TrimSpace(string(line)))
 	}
 	return len(line), nil
 }
 
-// start begins a process at an address.
-func (f *fleet) start(id, address string) *process {
+// startTarget starts a target that listens at an address.
+func (f *fleet) startTarget(id, address string) *process {
 	f.t.Helper()
 	listener, err := net.Listen("tcp", address)
 	assert.NilError(f.t, err)
@@ -114,33 +113,35 @@
 	}
 	var group errgroup.Group
 	group.Go(func() error { return p.server.Serve(listener) })
-	f.t.Cleanup(func() { p.end() })
+	f.t.Cleanup(func() { p.crash() })
 	return p
 }
 
-// end is a crash: its connections are reset, and its port refuses others.
-func (p *process) end() { _ = p.server.Close() }
+// crash closes the process's connections and its port.
+func (p *process) crash() { _ = p.server.Close() }
 
-// list names a target, or does so no more.
-func (f *fleet) list(p *process, named bool) {
+// setListed adds a target to the roster, or removes it.
+func (f *fleet) setListed(p *process, listed bool) {
 	change := roster.Change{ID: p.ID}
-	if named {
+	if listed {
 		change.Target = p.listed
 	}
 	f.roster.Apply(time.Now(), []roster.Change{change}, uint64(time.Now().UnixNano()))
 }
 
-func (f *fleet) until(what string, done func() bool) {
+// waitFor fails the test if a condition does not hold within 10 s.
+func (f *fleet) waitFor(condition string, done func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(10 * time.Second); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			f.t.Fatal("not within 10 s: " + what)
+			f.t.Fatal("not within 10 s: " + condition)
 		}
 	}
 }
 
-// watch fails if two of the processes hold a key at once within the time.
-func (f *fleet) watch(d time.Duration, processes ...*process) {
+// checkSingleHolder fails the test if two of the processes hold a key at the same time
+// within a duration.
+func (f *fleet) checkSingleHolder(d time.Duration, processes ...*process) {
 	f.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		for key := 0; key < ownership.Keys; key += 4096 {
@@ -158,25 +159,20 @@
 	}
 }
 
-// Callers' requests for a key ran at two targets under one epoch. A target
-// crashes, and within a second another one, with a name of its own, comes to
-// its address. Nobody knows of it yet. A renewal for the first one whose
-// connection was refused is sent again, under the same epoch, on a new
-// connection, and the newcomer, which has seen no epoch, takes it.
-//
-// Cause: an order named an address, and an epoch went with it to whoever lived
-// there. Proved by the coordinator's lines: six renewals refused since 12.18 s,
-// the seventh on a connection of its own at 12.904 s, 21 ms after the newcomer's
-// start, and the targets' record of who had which epoch.
-func TestEpochNeverReachesASecondTarget(t *testing.T) {
+// Requests for one key ran at two targets under the same epoch. A target crashes, and within
+// a second another one, which is not listed yet, starts at its address. A renewal for the
+// first target is retried under the same epoch on a new connection, after six refused ones,
+// and the second target, started 21 ms before and without any epoch yet, accepts it. An epoch
+// must be bound to the connection on which it was sent first.
+func TestEpochIsNotSentToSecondTargetAtSameAddress(t *testing.T) {
 	for name, pause := range map[string]time.Duration{"at once": 0, "after a while": 1100 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			f, targets := startFleet(t, 3)
 			first := targets[0]
-			first.end()
+			first.crash()
 			time.Sleep(pause)
-			second := f.start("newcomer", first.listed.Address)
-			f.watch(2*time.Second, second, targets[1], targets[2])
+			second := f.startTarget("newcomer", first.listed.Address)
+			f.checkSingleHolder(2*time.Second, second, targets[1], targets[2])
 			for _, epoch := range second.Epochs() {
 				assert.Assert(t, !first.Took(epoch), "epoch %d was taken by both", epoch)
 			}
@@ -184,27 +180,24 @@
 	}
 }
 
-// Two targets held the same keys for over two seconds. A renewal meant for a
-// crashed target has reached the one that came to its address. Then the
-// platform names the newcomer, and no longer the first one: its keys counted as
-// free and were given to others, while the newcomer still held them.
-//
-// Cause: a younger target at an address was the proof that the keys were free,
-// though the orders sent there since may be in its hands. Proved by the lines:
-// it took the keys at 5.893 s, counted as the proof at 5.904 s, and the same
-// keys went to others at 5.96 s, before its hold had run out.
-func TestNewcomersKeysAreNotGivenToOthers(t *testing.T) {
+// Two targets held the same keys for over two seconds. A renewal meant for a crashed target
+// had reached the one that started at its address. When the platform listed the second
+// target and removed the first one, that counted as proof that the first one's keys were
+// free, and they were granted to others before the second target's hold had expired. Keys
+// of a replaced target must stay at the address, since orders sent there may have reached
+// its replacement.
+func TestKeysOfReplacementTargetAreNotGrantedToOthers(t *testing.T) {
 	f, targets := startFleet(t, 3)
 	first := targets[0]
-	first.end()
-	second := f.start("newcomer", first.listed.Address)
-	// It is slow at first, so some of the keys go to others.
+	first.crash()
+	second := f.startTarget("newcomer", first.listed.Address)
+	// It starts with a warm-up, so that some of the keys move to others.
 	second.listed.Warming = 3 * time.Second
-	f.watch(time.Second, second, targets[1], targets[2])
-	f.list(second, true)
-	f.list(first, false)
-	f.watch(4*time.Second, second, targets[1], targets[2])
-	f.until("the first one's keys are held again", func() bool {
+	f.checkSingleHolder(time.Second, second, targets[1], targets[2])
+	f.setListed(second, true)
+	f.setListed(first, false)
+	f.checkSingleHolder(4*time.Second, second, targets[1], targets[2])
+	f.waitFor("all keys are held", func() bool {
 		for key := 0; key < ownership.Keys; key += 4096 {
 			if !second.Holds(key) && !targets[1].Holds(key) && !targets[2].Holds(key) {
 				return false
@@ -214,57 +207,56 @@
 	})
 }
 
-// strangers are two divided services, of which one has a dead target that is
-// still named. Its address belongs to the other one's target by now.
-func strangers(t *testing.T) (f *fleet, newcomer, other *process) {
+// newReusedAddress returns two sharded services, of which one has a crashed target that is
+// still listed. A target of the other service, the replacement, runs at its address.
+func newReusedAddress(t *testing.T) (f *fleet, replacement, other *process) {
 	t.Helper()
 	f = &fleet{t: t, roster: &roster.Roster{}}
-	newcomer, other = f.start("newcomer", "127.0.0.1:0"), f.start("other", "127.0.0.1:0")
-	newcomer.listed.Service, other.listed.Service = "others", "others"
+	replacement, other = f.startTarget("newcomer", "127.0.0.1:0"), f.startTarget("other", "127.0.0.1:0")
+	replacement.listed.Service, other.listed.Service = "others", "others"
 	dead := &process{Target: &standin.Target{ID: "dead"}, listed: &roster.Target{
-		ID: "dead", Service: "lists", Address: newcomer.listed.Address, Slots: 3, Born: newcomer.listed.Born - 5000,
+		ID: "dead", Service: "lists", Address: replacement.listed.Address, Slots: 3, Born: replacement.listed.Born - 5000,
 	}}
-	f.list(dead, true)
-	f.list(f.start("last", "127.0.0.1:0"), true)
-	f.list(other, true)
-	return f, newcomer, other
+	f.setListed(dead, true)
+	f.setListed(f.startTarget("last", "127.0.0.1:0"), true)
+	f.setListed(other, true)
+	return f, replacement, other
 }
 
-// An address goes from one divided service's target to another one's, which is
-// named there while the dead one still is. It must not be granted the first
-// service's keys: it would take them for its own, which others of its service
-// hold.
-func TestNamedStrangerGetsNoOrders(t *testing.T) {
-	f, newcomer, other := strangers(t)
-	f.list(newcomer, true)
-	f.lead("lists", "others")
-	f.watch(4*time.Second, newcomer, other)
+// An address is reused by a target of another sharded service, which is listed there while
+// the crashed one still is. It must not be granted the first service's keys: it would accept
+// them, while targets of that service hold them.
+func TestListedTargetOfOtherServiceGetsNoOrders(t *testing.T) {
+	f, replacement, other := newReusedAddress(t)
+	f.setListed(replacement, true)
+	f.runCoordinator("lists", "others")
+	f.checkSingleHolder(4*time.Second, replacement, other)
 }
 
-// The same before anybody has named the newcomer. It takes the first order of
-// the term, since nothing but its own look at the name in it could tell.
-func TestUnnamedStrangerGetsNoOrders(t *testing.T) {
-	f, newcomer, other := strangers(t)
-	f.lead("lists", "others")
-	f.watch(4*time.Second, newcomer, other)
+// As above, but the replacement is not listed yet. It would accept the first order of a term,
+// so its ID has to be read on the connection before an order is sent.
+func TestUnlistedTargetOfOtherServiceGetsNoOrders(t *testing.T) {
+	f, replacement, other := newReusedAddress(t)
+	f.runCoordinator("lists", "others")
+	f.checkSingleHolder(4*time.Second, replacement, other)
 }
 
-// A release finds the authority gone for a moment, and the answer to a write
-// renews it. The piece must not wait for the release's end for ever: nobody
-// would serve its keys for the rest of the term.
-func TestReleaseThatIsNotSentEnds(t *testing.T) {
+// A release is not sent because the authority has expired for a moment, before the answer to a
+// write renews it. The release must be reported as unsent: otherwise the piece waits for its
+// outcome forever, and its keys have no owner for the rest of the term.
+func TestUnsentReleaseIsReported(t *testing.T) {
 	c := New(Options{Log: slog.New(slog.DiscardHandler), Releases: &platform.Grants{HTTP: http.DefaultClient}})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l := newLeading(ctx, cancel, Lease{Term: 1}, 1)
-	l.goodUntil.Store(int64(boottime() - time.Millisecond))
-	c.leading = l
+	l := newLeadership(ctx, cancel, Lease{Term: 1}, 1)
+	l.authorityEnd.Store(int64(boottime() - time.Millisecond))
+	c.leadership = l
 	c.release(l, &ownership.Manager{}, &ownership.Release{Address: "127.0.0.1:1", Until: time.Now().Add(time.Second)})
 	assert.Equal(t, len(c.events), 1)
 }
 
-// What an answer proves. Only the ones that the platform knows for an order that
-// was not carried out do: another target's 421 may come with the order applied.
+// Only the answers that the platform defines for orders that were not executed may count as
+// such: a 421 of another target may come although the order was applied.
 func TestOutcomeOfOrders(t *testing.T) {
 	for _, c := range []struct {
 		err  error
@@ -281,23 +273,24 @@
 		{&net.OpError{Op: "read"}, ownership.Unknown},
 		{context.DeadlineExceeded, ownership.Unknown},
 	} {
-		assert.Equal(t, outcome(c.err), c.want, "%v", c.err)
+		assert.Equal(t, orderOutcome(c.err), c.want, "%v", c.err)
 	}
 }
 
-// Guards against health checks, which take slots, where no other service has keys.
-func TestNamesAreAskedForOnlyAmongDividedServices(t *testing.T) {
+// Health checks take slots of targets, so they must not be sent where no other service is
+// sharded.
+func TestTargetIsVerifiedOnlyAmongSeveralShardedServices(t *testing.T) {
 	one := routing.Service{Name: "lists", Sharded: true, HealthPath: "/lists"}
 	other := routing.Service{Name: "others", Sharded: true, HealthPath: "/others"}
-	undivided := routing.Service{Name: "more", HealthPath: "/more"}
+	unsharded := routing.Service{Name: "more", HealthPath: "/more"}
 	for _, c := range []struct {
 		services []routing.Service
 		want     string
 	}{
 		{nil, ""},
 		{[]routing.Service{one}, ""},
-		{[]routing.Service{one, undivided}, ""},
-		{[]routing.Service{undivided, other, one}, "/lists"},
+		{[]routing.Service{one, unsharded}, ""},
+		{[]routing.Service{unsharded, other, one}, "/lists"},
 	} {
 		table := routing.New(&routing.Config{Services: c.services})
 		assert.Equal(t, healthPath(table, "lists"), c.want)
--- a/gateway/coordinator/coordinator.go
+++ b/gateway/coordinator/coordinator.go
@@ -1,6 +1,6 @@
-// Package coordinator is the duty of the one instance that grants keys. It
-// holds a lease in the store, keeps each sharded service's holders, and sends
-// grants and releases to targets. Every instance runs it; one leads.
+// Package coordinator elects the one instance that grants keys to targets. The
+// coordinator holds a lease in the store, keeps the assignment of each sharded
+// service, and sends grants and releases to targets. Every instance runs it; one leads.
 package coordinator
 
 import (
@@ -23,141 +23,146 @@
 )
 
 const (
-	// stepEvery is how often due orders are looked for.
-	stepEvery = 40 * time.Millisecond
-	// beatEvery is the time between two signs of life.
-	beatEvery = 250 * time.Millisecond
-	// silence is when a coordinator that was heard before counts as silent,
-	// and its row is looked at.
-	silence = 900 * time.Millisecond
-	// firstLook is the longest wait after the start before the row is looked at,
-	// of an instance with a whole processor; others wait as much longer as they
-	// have less of one. Of a fleet that starts at once a few strong ones look,
-	// and the others hear the one that leads.
-	firstLook = 150 * time.Millisecond
-	mostLook  = 1200 * time.Millisecond
-	// lookEvery is the time between two looks at the row.
-	lookEvery = 400 * time.Millisecond
-	// lookShare is the mean time between two looks of the whole fleet while the
-	// store does not answer: each call is paid, and one that is answered is
-	// enough.
-	lookShare = 100 * time.Millisecond
-	// lookSeldom is the same while its holder is seen to renew it.
-	lookSeldom = 1500 * time.Millisecond
-	// spread is the random wait per member before trying to take over, so that
-	// most see the first one's success instead of writing too. Instances with
-	// less than the largest share of a processor wait weakDelay longer: the
-	// coordinator sends all renewals, which can be more than a small one can do.
-	spread    = 10 * time.Millisecond
-	weakDelay = 250 * time.Millisecond
-	// memberFor is how long an instance counts after its last report.
-	memberFor = 2 * time.Second
-	// doubtAfter is when a write without an answer makes holds long: early
-	// enough that all targets get them within the lease that is left.
-	doubtAfter = 800 * time.Millisecond
-	// calmWithin is the duration of a write that shows the store to be well.
-	calmWithin = 400 * time.Millisecond
-	// eventRoom bounds what waits for the duty's goroutine.
-	eventRoom = 1024
+	// stepInterval is the time between two checks for due orders and calls.
+	stepInterval = 40 * time.Millisecond
+	// heartbeatInterval is the time between two heartbeats.
+	heartbeatInterval = 250 * time.Millisecond
+	// heartbeatTimeout is the time after the last heartbeat at which a coordinator
+	// counts as unresponsive, and the lease's row is read.
+	heartbeatTimeout = 900 * time.Millisecond
+	// baseFirstReadDelay is the longest delay between the start and the first read of
+	// the row, for an instance with one whole processor. The delay is inversely
+	// proportional to the share of a processor, at most maxFirstReadDelay. In a fleet
+	// that starts at once, a few strong instances read the row, and the others receive
+	// the heartbeat of the one that leads.
+	baseFirstReadDelay = 150 * time.Millisecond
+	maxFirstReadDelay  = 1200 * time.Millisecond
+	// leaseReadInterval is the mean time between two reads of the row.
+	leaseReadInterval = 400 * time.Millisecond
+	// fleetReadInterval is the mean time between two reads by the whole fleet while the
+	// store does not answer: each call is billed, and one that is answered is enough.
+	fleetReadInterval = 100 * time.Millisecond
+	// renewedReadInterval is the time to the next read after a read has shown that the
+	// holder renews the row.
+	renewedReadInterval = 1500 * time.Millisecond
+	// takeoverSpread is the random takeover delay per instance of the same strength, so
+	// that most see the first one succeed instead of writing too. Instances with
+	// less than the largest share of a processor wait weakTakeoverDelay longer: the
+	// coordinator sends all renewals, which can be more than a small instance can do.
+	takeoverSpread    = 10 * time.Millisecond
+	weakTakeoverDelay = 250 * time.Millisecond
+	// memberTimeout is how long an instance counts as a member after its last message.
+	memberTimeout = 2 * time.Second
+	// inDoubtAfter is the time without an answer to a write after which longer holds
+	// are granted: early enough for all targets to receive them within the rest of the
+	// lease.
+	inDoubtAfter = 800 * time.Millisecond
+	// healthyWriteTime is the longest duration of a write to a healthy store.
+	healthyWriteTime = 400 * time.Millisecond
+	// eventQueueSize bounds the events that wait for the coordinator's goroutine.
+	eventQueueSize = 1024
 )
 
 // Options are what a Coordinator needs; all must be set.
 type Options struct {
 	Self  peers.Instance
 	Store *platform.Store
-	// Channels are for grants, each of which belongs to one connection, and
-	// Releases for what may go to whoever lives at the address.
+	// Channels are for grants, each of which belongs to one connection. Releases is for
+	// orders that any target at the address may receive.
 	Channels *channel.Set
 	Releases *platform.Grants
 	Peers    *peers.Peers
 	Roster   *roster.Roster
-	// Table returns the routes in force, or nil.
+	// Table returns the routing table in force, or nil.
 	Table func() *routing.Table
-	// Revisions returns how far this instance's copies go.
+	// Revisions returns the newest revisions of this instance's mirrors, by table.
 	Revisions func() map[string]uint64
-	// Leads is told how many instances report and whether the store answers, with each
-	// sign of life and when that changes.
-	Leads func(members int, answers bool)
-	// Refresh begins the feeds of this instance's copies anew: others compare
-	// theirs with them, and feeds may hang that the store took while it did
-	// not answer.
-	Refresh func()
-	// Took is told of recorded changes, Missed of those too large to tell.
-	Took   func(n *peers.AssignmentUpdate)
-	Missed func()
-	Holds  ownership.Holds
-	Log    *slog.Logger
-	// Joined tells whether other instances are known, as far as there are any.
+	// OnLeading is called while this instance leads, with each heartbeat and when storeAnswers
+	// changes. It gets the number of instances that report, and whether the store answers.
+	OnLeading func(members int, storeAnswers bool)
+	// RestartFeeds restarts the feeds of this instance's mirrors: others compare theirs
+	// with them, and feeds that the store accepted while it was unresponsive may hang.
+	RestartFeeds func()
+	// OnUpdate is called for each recorded change of an assignment, and OnOversizedUpdate
+	// for each one that is too large to be sent in datagrams.
+	OnUpdate          func(u *peers.AssignmentUpdate)
+	OnOversizedUpdate func()
+	Holds             ownership.Holds
+	Log               *slog.Logger
+	// Joined reports whether the other instances, if there are any, are known.
 	Joined func() bool
 }
 
-// Coordinator is the duty. Create it with New.
+// Coordinator takes part in the election and, while it leads, manages the owners of keys.
+// Create it with New.
 type Coordinator struct {
 	Options
 
 	events chan func()
 	group  errgroup.Group
 
-	// The rest belongs to the duty's goroutine.
-	seen    seenLease
-	heard   time.Time
-	lookAt  time.Time
-	looking bool
-	// turn is the revision of the row for which this instance waits its turn.
-	turn    uint64
-	leading *leading
-	// retired is set once the instance ends: it leads no more.
-	retired bool
+	// The fields below are used by the goroutine of Serve alone.
+	observed        observedLease
+	lastHeartbeat   time.Time
+	nextLeaseRead   time.Time
+	leaseCallActive bool
+	// takeoverRevision is the revision of the row for which the takeover delay was set.
+	takeoverRevision uint64
+	leadership       *leadership
+	// stopping is set once the instance shuts down: it does not take over any more.
+	stopping bool
+	// members holds when the last message of each instance was received.
 	members map[string]time.Time
 }
 
-// leading is the state of a term. Another term has another one, so answers to
-// orders of a former term are known by it.
-type leading struct {
+// leadership is the state of one term. Each term has its own, so that answers to orders
+// of an earlier term can be recognized.
+type leadership struct {
 	lease    Lease
 	revision uint64
-	// goodUntil is the end of the authority, by the boot-time clock.
-	goodUntil atomic.Int64
-	managers  map[string]*ownership.Manager
-	// epochs are the term's, for all services.
+	// authorityEnd is when the authority to send orders ends, by the boot-time clock.
+	authorityEnd atomic.Int64
+	managers     map[string]*ownership.Manager
+	// epochs issues the epochs of the term, for all services.
 	epochs *ownership.Epochs
-	// recorded is what the store had when the term began; nil until read.
+	// recorded holds the assignments in the store when the term began; nil until read.
 	recorded map[string]*ownership.Assignment
-	// store is the store's clock when it was read, at storeAt.
-	store   time.Duration
-	storeAt time.Time
-	reading bool
-	writing bool
-	wroteAt time.Time
-	since   time.Time
-	pending map[string]*ownership.Record
-	beatAt  time.Time
-	told    map[string]toldOf
-	inDoubt bool
-	// unanswered is set while a write takes longer than the store needs if it is well.
-	unanswered bool
-	resigning  bool
-	cancel     context.CancelFunc
-	ctx        context.Context
-	// grants and suspects bound the grants under way.
-	grants   *semaphore.Weighted
-	suspects *semaphore.Weighted
+	// storeClock is the store's clock in the answer that arrived at storeClockAt.
+	storeClock   time.Duration
+	storeClockAt time.Time
+	reading      bool
+	writing      bool
+	writeStarted time.Time
+	started      time.Time
+	// pending holds the assignments that the next write records, by service.
+	pending       map[string]*ownership.Record
+	nextHeartbeat time.Time
+	announced     map[string]announcement
+	inDoubt       bool
+	// writeOverdue is set while a write takes longer than healthyWriteTime.
+	writeOverdue bool
+	resigning    bool
+	cancel       context.CancelFunc
+	ctx          context.Context
+	// grantLimit and suspectLimit bound the grants in flight.
+	grantLimit   *semaphore.Weighted
+	suspectLimit *semaphore.Weighted
 }
 
-// toldOf is what instances were told last of a service.
-type toldOf struct {
+// announcement is the last assignment of a service that was sent to the instances.
+type announcement struct {
 	assignment *ownership.Assignment
 	revision   uint64
 }
 
-// New returns a duty.
+// New returns a Coordinator that does not lead.
 func New(o Options) *Coordinator {
-	return &Coordinator{Options: o, events: make(chan func(), eventRoom), members: map[string]time.Time{}}
+	return &Coordinator{Options: o, events: make(chan func(), eventQueueSize), members: map[string]time.Time{}}
 }
 
-// Serve runs the duty until the context ends.
+// Serve runs the coordinator until the context ends, and returns the context's error.
 func (c *Coordinator) Serve(ctx context.Context) error {
-	tick := time.NewTicker(stepEvery)
+	tick := time.NewTicker(stepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -172,10 +177,11 @@
 	}
 }
 
-// firstLookAfter is the wait before the first look. Whoever knows a stronger
-// instance lets it take over and be heard first.
-func firstLookAfter(self peers.Instance, all []peers.Instance) time.Duration {
-	longest := longestFirstLook(self.Cores)
+// firstReadDelay returns the random delay before the first read of the lease. An instance
+// in whose list there is a stronger one waits long enough for that one to take over and
+// send a heartbeat.
+func firstReadDelay(self peers.Instance, all []peers.Instance) time.Duration {
+	longest := firstReadDelayLimit(self.Cores)
 	for _, i := range all {
 		if i.Cores > self.Cores {
 			return longest/2 + rand.N(longest/2)
@@ -184,243 +190,250 @@
 	return rand.N(longest)
 }
 
-func longestFirstLook(cores float64) time.Duration {
+// firstReadDelayLimit returns the longest delay before the first read.
+func firstReadDelayLimit(cores float64) time.Duration {
 	if cores <= 0 {
-		return 2 * firstLook
+		return 2 * baseFirstReadDelay
 	}
-	return min(mostLook, time.Duration(float64(firstLook)/cores))
+	return min(maxFirstReadDelay, time.Duration(float64(baseFirstReadDelay)/cores))
 }
 
-// post brings something to the duty's goroutine. Losing it could leave a call
-// open for ever, so it waits; the duty never waits for its callers.
-func (c *Coordinator) post(ctx context.Context, f func()) {
+// enqueue passes a function to the goroutine of Serve. Dropping it could leave a call
+// pending forever, so enqueue blocks while the queue is full; Serve itself never waits
+// for the callers.
+func (c *Coordinator) enqueue(ctx context.Context, f func()) {
 	select {
 	case c.events <- f:
 	case <-ctx.Done():
 	}
 }
 
-// offer is like post for what may be lost.
-func (c *Coordinator) offer(f func()) {
+// tryEnqueue is like enqueue, but drops the function if the queue is full.
+func (c *Coordinator) tryEnqueue(f func()) {
 	select {
 	case c.events <- f:
 	default:
 	}
 }
 
-// Hear takes in another instance's message.
-func (c *Coordinator) Hear(m *peers.Message) {
-	c.offer(func() {
+// Receive processes another instance's message. It does not block.
+func (c *Coordinator) Receive(m *peers.Message) {
+	c.tryEnqueue(func() {
 		now := time.Now()
 		c.members[m.From] = now
 		if m.Heartbeat != nil {
-			c.hearBeat(now, m)
+			c.receiveHeartbeat(now, m)
 		}
-		if m.Report != nil && c.leading != nil {
-			c.takeLoads(now, m.Report)
+		if m.Report != nil && c.leadership != nil {
+			c.applyReport(now, m.Report)
 		}
-		if m.Hello != nil && c.leading != nil {
-			// It need not look at the lease's row, which is a call.
-			c.Peers.Send(m.From, c.signOfLife(c.leading))
+		if m.Hello != nil && c.leadership != nil {
+			// This saves the new instance a read of the lease, which is a store call.
+			c.Peers.Send(m.From, c.heartbeat(c.leadership))
 		}
 	})
 }
 
-func (c *Coordinator) hearBeat(now time.Time, m *peers.Message) {
+func (c *Coordinator) receiveHeartbeat(now time.Time, m *peers.Message) {
 	if m.Heartbeat.Resigned {
-		c.heard, c.lookAt = time.Time{}, now
-		c.observe(m.Heartbeat.LeaseRevision, Lease{Term: m.Heartbeat.Term, Holder: m.From, Life: m.Incarnation})
+		c.lastHeartbeat, c.nextLeaseRead = time.Time{}, now
+		c.observe(m.Heartbeat.LeaseRevision, Lease{Term: m.Heartbeat.Term, Holder: m.From, Incarnation: m.Incarnation})
 		return
 	}
-	if m.Heartbeat.Term < c.seen.lease.Term {
+	if m.Heartbeat.Term < c.observed.lease.Term {
 		return
 	}
-	c.heard = now
-	c.observe(m.Heartbeat.LeaseRevision, Lease{Term: m.Heartbeat.Term, Holder: m.From, Life: m.Incarnation, LeaseMs: m.Heartbeat.LeaseMs})
+	c.lastHeartbeat = now
+	c.observe(m.Heartbeat.LeaseRevision, Lease{Term: m.Heartbeat.Term, Holder: m.From, Incarnation: m.Incarnation, LeaseMs: m.Heartbeat.LeaseMs})
 }
 
-// observe notes a row of the lease.
+// observe stores a state of the lease's row, unless a newer one is known.
 func (c *Coordinator) observe(revision uint64, l Lease) {
-	if c.seen.known && revision <= c.seen.revision && revision != 0 {
+	if c.observed.known && revision <= c.observed.revision && revision != 0 {
 		return
 	}
-	c.seen = seenLease{revision: revision, lease: l, since: boottime(), known: true}
+	c.observed = observedLease{revision: revision, lease: l, firstSeen: boottime(), known: true}
 }
 
-// TakeLoads takes in this instance's own loads.
-func (c *Coordinator) TakeLoads(r *peers.Report) {
-	c.offer(func() {
-		if c.leading != nil {
-			c.takeLoads(time.Now(), r)
+// ApplyReport applies this instance's own report, if it leads. It does not block.
+func (c *Coordinator) ApplyReport(r *peers.Report) {
+	c.tryEnqueue(func() {
+		if c.leadership != nil {
+			c.applyReport(time.Now(), r)
 		}
 	})
 }
 
-func (c *Coordinator) takeLoads(now time.Time, r *peers.Report) {
+func (c *Coordinator) applyReport(now time.Time, r *peers.Report) {
 	for _, l := range r.Loads {
-		if k := c.leading.managers[l.Service]; k != nil {
-			k.Load.Add(now, l.Key, float64(l.Ms)/1000)
+		if manager := c.leadership.managers[l.Service]; manager != nil {
+			manager.Load.Add(now, l.Key, float64(l.Ms)/1000)
 		}
 	}
 	for _, s := range r.Latencies {
-		if k := c.leading.managers[s.Service]; k != nil {
-			k.Speed(s.Target, time.Duration(s.Ms)*time.Millisecond)
+		if manager := c.leadership.managers[s.Service]; manager != nil {
+			manager.Speed(s.Target, time.Duration(s.Ms)*time.Millisecond)
 		}
 	}
 }
 
+// step does what is due: the work of a term, or the check for a lease that has ended.
 func (c *Coordinator) step(ctx context.Context) {
-	if c.leading != nil {
+	if c.leadership != nil {
 		c.lead(ctx)
 		return
 	}
-	if c.retired {
+	if c.stopping {
 		return
 	}
 	now := time.Now()
-	if c.lookAt.IsZero() && c.Joined() {
-		c.lookAt = now.Add(firstLookAfter(c.Self, c.Peers.All()))
+	if c.nextLeaseRead.IsZero() && c.Joined() {
+		c.nextLeaseRead = now.Add(firstReadDelay(c.Self, c.Peers.All()))
 	}
-	if c.lookAt.IsZero() || now.Sub(c.heard) < silence || c.looking || now.Before(c.lookAt) || !c.isDue(now) {
+	if c.nextLeaseRead.IsZero() || now.Sub(c.lastHeartbeat) < heartbeatTimeout || c.leaseCallActive || now.Before(c.nextLeaseRead) || !c.leaseReadDue(now) {
 		return
 	}
-	c.look(ctx)
+	c.readLease(ctx)
 }
 
-// isDue tells whether a look at the row is worth its call: what is known of it
-// says that its holder's time has passed. Then each instance waits its turn, so
-// that most hear the next coordinator before they look.
-func (c *Coordinator) isDue(now time.Time) bool {
-	if !c.seen.known {
+// leaseReadDue reports whether the lease should be read: the observed row says that it
+// has ended, so that the store call is worth its price. Each instance then waits for its
+// takeover delay, so that most receive the next coordinator's heartbeat before they read.
+func (c *Coordinator) leaseReadDue(now time.Time) bool {
+	if !c.observed.known {
 		return true
 	}
-	if !c.seen.over(boottime(), c.Self.Name, c.Self.Incarnation) {
+	if !c.observed.hasEnded(boottime(), c.Self.Name, c.Self.Incarnation) {
 		return false
 	}
-	if c.turn == c.seen.revision {
+	if c.takeoverRevision == c.observed.revision {
 		return true
 	}
-	c.turn = c.seen.revision
-	c.lookAt = now
-	if c.seen.lease.Holder != c.Self.Name {
-		c.lookAt = now.Add(takeOverDelay(c.Self, c.Peers.All()))
+	c.takeoverRevision = c.observed.revision
+	c.nextLeaseRead = now
+	if c.observed.lease.Holder != c.Self.Name {
+		c.nextLeaseRead = now.Add(takeoverDelay(c.Self, c.Peers.All()))
 	}
-	return !now.Before(c.lookAt)
+	return !now.Before(c.nextLeaseRead)
 }
 
-// look reads the lease's row and takes over if its holder's time has passed.
-func (c *Coordinator) look(ctx context.Context) {
-	c.looking = true
+// readLease reads the lease's row, and acquires the lease if it has ended.
+func (c *Coordinator) readLease(ctx context.Context) {
+	c.leaseCallActive = true
 	c.group.Go(func() error {
 		callCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 		defer cancel()
 		row, err := c.Store.Key(callCtx, LeaseTable, LeaseKey)
-		c.post(ctx, func() { c.looked(ctx, row, err) })
+		c.enqueue(ctx, func() { c.onLeaseRead(ctx, row, err) })
 		return nil
 	})
 }
 
-func (c *Coordinator) looked(ctx context.Context, row platform.Row, err error) {
-	c.looking = false
-	c.lookAt = time.Now().Add(lookEvery/2 + rand.N(lookEvery))
+func (c *Coordinator) onLeaseRead(ctx context.Context, row platform.Row, err error) {
+	c.leaseCallActive = false
+	c.nextLeaseRead = time.Now().Add(leaseReadInterval/2 + rand.N(leaseReadInterval))
 	if err != nil {
-		c.lookAt = time.Now().Add(lookEvery/2 + rand.N(max(lookEvery, 2*lookShare*time.Duration(c.Peers.Count()))))
-		c.storeFailed("read lease", err)
+		c.nextLeaseRead = time.Now().Add(leaseReadInterval/2 + rand.N(max(leaseReadInterval, 2*fleetReadInterval*time.Duration(c.Peers.Count()))))
+		c.logStoreFailure("read lease", err)
 		return
 	}
 	l := Lease{}
 	if row.Revision != 0 {
 		if l, err = ParseLease(row.Value); err != nil {
-			c.storeFailed("parse lease", err)
+			c.logStoreFailure("parse lease", err)
 			return
 		}
 	}
-	if renewed := c.seen.known && row.Revision > c.seen.revision; renewed {
-		// It is alive and does not reach us; perhaps it does not know us.
-		c.lookAt = time.Now().Add(lookSeldom)
+	if renewed := c.observed.known && row.Revision > c.observed.revision; renewed {
+		// The holder is running, but its heartbeats do not arrive; it may not have this
+		// instance in its list.
+		c.nextLeaseRead = time.Now().Add(renewedReadInterval)
 		c.Peers.Send(l.Holder, &peers.Message{Hello: &c.Self})
 	}
 	c.observe(row.Revision, l)
-	if c.leading != nil || c.retired || !c.seen.over(boottime(), c.Self.Name, c.Self.Incarnation) {
+	if c.leadership != nil || c.stopping || !c.observed.hasEnded(boottime(), c.Self.Name, c.Self.Incarnation) {
 		return
 	}
-	c.acquire(ctx)
+	c.acquireLease(ctx)
 }
 
-// takeOverDelay is the wait before an instance tries to take over. The wait is
-// spread over those that are as strong as itself.
-func takeOverDelay(self peers.Instance, all []peers.Instance) time.Duration {
-	alike, weak := 1, false
+// takeoverDelay returns the random delay before an instance tries to take over. Its
+// range grows with the number of instances that are as strong.
+func takeoverDelay(self peers.Instance, all []peers.Instance) time.Duration {
+	equal, weak := 1, false
 	for _, i := range all {
 		if i.Name == self.Name {
 			continue
 		}
 		weak = weak || i.Cores > self.Cores
 		if i.Cores == self.Cores {
-			alike++
+			equal++
 		}
 	}
-	delay := rand.N(spread * time.Duration(alike))
+	delay := rand.N(takeoverSpread * time.Duration(equal))
 	if weak {
-		delay += weakDelay
+		delay += weakTakeoverDelay
 	}
 	return delay
 }
 
-// acquire writes the lease's row for the next term.
-func (c *Coordinator) acquire(ctx context.Context) {
-	c.looking = true
+// acquireLease writes the lease's row for the next term, on the condition that the row is
+// still the observed one.
+func (c *Coordinator) acquireLease(ctx context.Context) {
+	c.leaseCallActive = true
 	sent := boottime()
-	mine := Lease{Term: c.seen.lease.Term + 1, Holder: c.Self.Name, Life: c.Self.Incarnation, LeaseMs: leaseFor.Milliseconds(), Seq: 1}
-	on := c.seen.revision
+	lease := Lease{Term: c.observed.lease.Term + 1, Holder: c.Self.Name, Incarnation: c.Self.Incarnation, LeaseMs: leaseDuration.Milliseconds(), Seq: 1}
+	expected := c.observed.revision
 	c.group.Go(func() error {
-		callCtx, cancel := context.WithTimeout(ctx, leaseFor)
+		callCtx, cancel := context.WithTimeout(ctx, leaseDuration)
 		defer cancel()
-		s := c.write(callCtx, &mine, on, nil)
-		c.post(ctx, func() { c.acquired(ctx, mine, sent, s) })
+		result := c.writeLease(callCtx, &lease, expected, nil)
+		c.enqueue(ctx, func() { c.onLeaseAcquired(ctx, lease, sent, result) })
 		return nil
 	})
 }
 
-func (c *Coordinator) acquired(ctx context.Context, mine Lease, sent time.Duration, s settled) {
-	c.looking = false
-	if !s.ok {
-		if s.revision != 0 {
-			c.observe(s.revision, s.present)
+func (c *Coordinator) onLeaseAcquired(ctx context.Context, lease Lease, sent time.Duration, result writeResult) {
+	c.leaseCallActive = false
+	if !result.ok {
+		if result.revision != 0 {
+			c.observe(result.revision, result.current)
 		}
 		return
 	}
 	termCtx, cancel := context.WithCancel(ctx)
-	c.observe(s.revision, mine)
-	c.leading = newLeading(termCtx, cancel, mine, s.revision)
-	c.leading.goodUntil.Store(int64(sent + leaseFor - orderMargin))
-	c.Refresh()
-	event.LeadGained.Log(c.Log, "term", mine.Term, "revision", s.revision)
+	c.observe(result.revision, lease)
+	c.leadership = newLeadership(termCtx, cancel, lease, result.revision)
+	c.leadership.authorityEnd.Store(int64(sent + leaseDuration - orderMargin))
+	c.RestartFeeds()
+	event.LeadGained.Log(c.Log, "term", lease.Term, "revision", result.revision)
 	c.lead(ctx)
 }
 
-func newLeading(ctx context.Context, cancel context.CancelFunc, mine Lease, revision uint64) *leading {
-	return &leading{
-		lease: mine, revision: revision, wroteAt: time.Now(), since: time.Now(),
-		told:   map[string]toldOf{},
-		epochs: &ownership.Epochs{Term: mine.Term}, managers: map[string]*ownership.Manager{}, pending: map[string]*ownership.Record{},
-		grants: semaphore.NewWeighted(grantsAtOnce), suspects: semaphore.NewWeighted(suspectsAtOnce),
+// newLeadership returns the state of a term that begins.
+func newLeadership(ctx context.Context, cancel context.CancelFunc, lease Lease, revision uint64) *leadership {
+	return &leadership{
+		lease: lease, revision: revision, writeStarted: time.Now(), started: time.Now(),
+		announced: map[string]announcement{},
+		epochs:    &ownership.Epochs{Term: lease.Term}, managers: map[string]*ownership.Manager{}, pending: map[string]*ownership.Record{},
+		grantLimit: semaphore.NewWeighted(maxConcurrentGrants), suspectLimit: semaphore.NewWeighted(maxConcurrentSuspects),
 		ctx: ctx, cancel: cancel,
 	}
 }
 
-func (c *Coordinator) stepDown(why string) {
-	if c.leading == nil {
+// stepDown ends the term on this instance.
+func (c *Coordinator) stepDown(reason string) {
+	if c.leadership == nil {
 		return
 	}
-	event.LeadLost.Log(c.Log, "term", c.leading.lease.Term, "reason", why)
-	c.leading.cancel()
-	c.leading = nil
+	event.LeadLost.Log(c.Log, "term", c.leadership.lease.Term, "reason", reason)
+	c.leadership.cancel()
+	c.leadership = nil
 	c.Channels.Close()
-	c.heard = time.Time{}
+	c.lastHeartbeat = time.Time{}
 }
 
-func (c *Coordinator) storeFailed(call string, err error) {
+func (c *Coordinator) logStoreFailure(call string, err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
--- a/gateway/coordinator/lead.go
+++ b/gateway/coordinator/lead.go
@@ -13,7 +13,7 @@
 	"basilcross.example/platform"
 )
 
-// ParseLease reads the row.
+// ParseLease decodes the value of the lease's row.
 func ParseLease(text []byte) (Lease, error) {
 	l := Lease{}
 	if err := json.Unmarshal(text, &l); err != nil {
@@ -22,95 +22,100 @@
 	return l, nil
 }
 
-// lead does what is due in a term.
+// lead does the work of a term that is due: heartbeats, orders, and renewals of the lease.
 func (c *Coordinator) lead(ctx context.Context) {
-	l := c.leading
-	if boottime() >= time.Duration(l.goodUntil.Load()) {
-		c.stepDown("the lease ran out")
+	l := c.leadership
+	if boottime() >= time.Duration(l.authorityEnd.Load()) {
+		c.stepDown("lease expired")
 		return
 	}
 	now := time.Now()
-	if unanswered := l.writing && now.Sub(l.wroteAt) > calmWithin; unanswered != l.unanswered {
-		l.unanswered = unanswered
-		c.Leads(c.countMembers(now), !unanswered)
+	if overdue := l.writing && now.Sub(l.writeStarted) > healthyWriteTime; overdue != l.writeOverdue {
+		l.writeOverdue = overdue
+		c.OnLeading(c.countMembers(now), !overdue)
 	}
-	c.beat(now)
+	c.sendHeartbeat(now)
 	if l.resigning {
 		return
 	}
 	if l.recorded == nil {
-		c.readRecorded(ctx)
+		c.readAssignments(ctx)
 	} else {
-		c.keep(now) //nolint:contextcheck // orders end with the term, whose context is the term's own
+		c.stepManagers(now) //nolint:contextcheck // orders use the context of the term, which cancels them
 	}
-	c.noteDoubt(now)
-	if c.handsOver(now) {
+	c.checkInDoubt(now)
+	if c.shouldHandOver(now) {
 		l.resigning = true
 		c.group.Go(func() error {
-			c.giveUp(ctx, l)
+			c.releaseLease(ctx, l)
 			return nil
 		})
 		return
 	}
-	gap := renewEvery
+	interval := renewInterval
 	if len(l.pending) > 0 {
-		gap = recordEvery
+		interval = recordInterval
 	}
-	if !l.writing && now.Sub(l.wroteAt) >= gap {
-		c.renew(ctx, now)
+	if !l.writing && now.Sub(l.writeStarted) >= interval {
+		c.renewLease(ctx, now)
 	}
 }
 
 const (
-	// handOverAfter is how long a term lasts before it is handed over to a
-	// stronger instance: by then all have been heard that started with it.
-	handOverAfter = 1500 * time.Millisecond
-	// muchStronger is how much more of a processor is worth a hand-over, after
-	// which all keys are granted anew.
-	muchStronger = 1.5
+	// handoverAfter is how long a term lasts before it is handed over to a stronger
+	// instance: by then all instances that started at the same time have reported.
+	handoverAfter = 1500 * time.Millisecond
+	// handoverCoresRatio is the ratio of processor shares above which a handover is worth
+	// its cost: all keys are granted again after it.
+	handoverCoresRatio = 1.5
 )
 
-// handsOver tells whether a stronger instance is there to take over. When a
-// fleet starts, nobody knows yet who is strong; a small instance that went on
-// would lose its lease behind its own renewals as soon as many keys move.
-func (c *Coordinator) handsOver(now time.Time) bool {
-	l := c.leading
-	if l.recorded == nil || l.inDoubt || l.writing || len(l.pending) > 0 || now.Sub(l.since) < handOverAfter {
+// shouldHandOver reports whether a stronger instance is available to take over. When a
+// fleet starts, the strong instances are not known yet. A small instance that kept the
+// lease would lose it as soon as many keys move: its lease writes would be delayed by the
+// grants that it renews.
+func (c *Coordinator) shouldHandOver(now time.Time) bool {
+	l := c.leadership
+	if l.recorded == nil || l.inDoubt || l.writing || len(l.pending) > 0 || now.Sub(l.started) < handoverAfter {
 		return false
 	}
-	for _, k := range l.managers {
-		if !k.Settled(now) {
+	for _, manager := range l.managers {
+		if !manager.Settled(now) {
 			return false
 		}
 	}
-	for name, at := range c.members {
-		if now.Sub(at) < memberFor && c.Peers.Find(name).Cores > muchStronger*c.Self.Cores {
+	for name, received := range c.members {
+		if now.Sub(received) < memberTimeout && c.Peers.Find(name).Cores > handoverCoresRatio*c.Self.Cores {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Coordinator) beat(now time.Time) {
-	l := c.leading
-	if now.Before(l.beatAt) {
+// sendHeartbeat sends the heartbeat to all instances when it is due.
+func (c *Coordinator) sendHeartbeat(now time.Time) {
+	l := c.leadership
+	if now.Before(l.nextHeartbeat) {
 		return
 	}
-	l.beatAt = now.Add(beatEvery)
-	c.Leads(c.countMembers(now), !l.unanswered)
-	c.Peers.Broadcast(c.signOfLife(l))
+	l.nextHeartbeat = now.Add(heartbeatInterval)
+	c.OnLeading(c.countMembers(now), !l.writeOverdue)
+	c.Peers.Broadcast(c.heartbeat(l))
 }
 
-func (c *Coordinator) signOfLife(l *leading) *peers.Message {
+// heartbeat returns the coordinator's heartbeat as a message.
+func (c *Coordinator) heartbeat(l *leadership) *peers.Message {
 	return &peers.Message{Revisions: c.Revisions(), Heartbeat: &peers.Heartbeat{
 		Term: l.lease.Term, LeaseRevision: l.revision, LeaseMs: l.lease.LeaseMs, Members: c.countMembers(time.Now()), InDoubt: l.inDoubt,
 	}}
 }
 
+// countMembers returns the number of instances that report, this one included, and
+// removes those past memberTimeout.
 func (c *Coordinator) countMembers(now time.Time) int {
 	n := 1
-	for name, at := range c.members {
-		if now.Sub(at) > memberFor {
+	for name, received := range c.members {
+		if now.Sub(received) > memberTimeout {
 			delete(c.members, name)
 			continue
 		}
@@ -119,10 +124,10 @@
 	return n
 }
 
-// readRecorded reads what former coordinators recorded. It is read after the
-// lease was written, so no former one can write after it.
-func (c *Coordinator) readRecorded(ctx context.Context) {
-	l := c.leading
+// readAssignments reads the assignments that earlier coordinators recorded. They are read
+// after the lease was written, so no earlier coordinator can change them any more.
+func (c *Coordinator) readAssignments(ctx context.Context) {
+	l := c.leadership
 	if l.reading {
 		return
 	}
@@ -130,29 +135,31 @@
 	c.group.Go(func() error {
 		callCtx, cancel := context.WithTimeout(l.ctx, attemptTimeout)
 		defer cancel()
-		recorded, told, store, err := c.allRecorded(callCtx) //nolint:contextcheck // as above
-		c.post(ctx, func() {
+		recorded, announced, clock, err := c.loadAssignments(callCtx) //nolint:contextcheck // as above
+		c.enqueue(ctx, func() {
 			l.reading = false
 			if err != nil {
-				c.storeFailed("read assignments", err)
+				c.logStoreFailure("read assignments", err)
 				return
 			}
-			l.recorded, l.store, l.storeAt = recorded, store, time.Now()
-			// Others know these rows: changes can be told as differences to them.
-			l.told = told
+			l.recorded, l.storeClock, l.storeClockAt = recorded, clock, time.Now()
+			// The other instances have these rows: updates can be sent as differences to them.
+			l.announced = announced
 		})
 		return nil
 	})
 }
 
-// storeTime is what the store's clock is at least: what it was when it
-// answered, and the time since.
-func (l *leading) storeTime(now time.Time) time.Duration {
-	return l.store + now.Sub(l.storeAt)
+// storeTime returns a lower bound of the store's clock: its value in the answer, plus the
+// time since the answer arrived.
+func (l *leadership) storeTime(now time.Time) time.Duration {
+	return l.storeClock + now.Sub(l.storeClockAt)
 }
 
-func (c *Coordinator) allRecorded(ctx context.Context) (map[string]*ownership.Assignment, map[string]toldOf, time.Duration, error) {
-	recorded, told := map[string]*ownership.Assignment{}, map[string]toldOf{}
+// loadAssignments returns the recorded assignments, the same with their revisions, both by
+// service, and the store's clock.
+func (c *Coordinator) loadAssignments(ctx context.Context) (map[string]*ownership.Assignment, map[string]announcement, time.Duration, error) {
+	recorded, announced := map[string]*ownership.Assignment{}, map[string]announcement{}
 	after := ""
 	for {
 		rows, err := c.Store.Range(ctx, AssignmentTable, "", after)
@@ -162,65 +169,67 @@
 		for _, r := range rows.Rows {
 			a, err := ownership.Parse(r.Value)
 			if err != nil {
-				return nil, nil, 0, fmt.Errorf("service %s: %w", r.Key, err)
+				return nil, nil, 0, fmt.Errorf("assignment of service %s: %w", r.Key, err)
 			}
-			recorded[r.Key], told[r.Key] = a, toldOf{a, r.Revision}
+			recorded[r.Key], announced[r.Key] = a, announcement{a, r.Revision}
 			after = r.Key
 		}
 		if !rows.More {
-			return recorded, told, time.Duration(rows.Now), nil
+			return recorded, announced, time.Duration(rows.Now), nil
 		}
 	}
 }
 
-// keep looks after the holders of every sharded service.
-func (c *Coordinator) keep(now time.Time) {
+// stepManagers runs the manager of each sharded service and executes its orders.
+func (c *Coordinator) stepManagers(now time.Time) {
 	table := c.Table()
 	if table == nil {
 		return
 	}
-	l := c.leading
+	l := c.leadership
 	view := c.Roster.Load()
 	for i := range table.Config.Services {
 		s := &table.Config.Services[i]
 		if !s.Sharded {
 			continue
 		}
-		k := l.managers[s.Name]
-		if k == nil {
-			k = &ownership.Manager{
+		manager := l.managers[s.Name]
+		if manager == nil {
+			manager = &ownership.Manager{
 				Service: s.Name, Term: l.lease.Term, Epochs: l.epochs, Holds: c.Holds,
-				Jitter: rand.N[time.Duration], Inherited: c.inherited(s.Name),
+				Jitter: rand.N[time.Duration], Inherited: c.inheritedLogger(s.Name),
 			}
-			k.Take(now, l.recorded[s.Name], c.Holds.Long+orderTimeout, l.storeTime(now))
-			k.StoreInDoubt(now, l.inDoubt)
-			l.managers[s.Name] = k
+			manager.Take(now, l.recorded[s.Name], c.Holds.Long+orderTimeout, l.storeTime(now))
+			manager.StoreInDoubt(now, l.inDoubt)
+			l.managers[s.Name] = manager
 		}
-		c.noteReplaced(k, table, view)
-		for _, o := range k.Step(now, view.Services[s.Name]) {
-			c.carryOut(k, o)
+		c.detectReplacedOwners(manager, table, view)
+		for _, o := range manager.Step(now, view.Services[s.Name]) {
+			c.execute(manager, o)
 		}
 	}
 }
 
-// noteDoubt makes holds long while a write is without an answer.
-func (c *Coordinator) noteDoubt(now time.Time) {
-	l := c.leading
-	if !l.writing || l.inDoubt || now.Sub(l.wroteAt) < doubtAfter {
+// checkInDoubt makes the managers grant longer holds once a write has been without an
+// answer for inDoubtAfter.
+func (c *Coordinator) checkInDoubt(now time.Time) {
+	l := c.leadership
+	if !l.writing || l.inDoubt || now.Sub(l.writeStarted) < inDoubtAfter {
 		return
 	}
 	l.inDoubt = true
-	// Others that rely on its way to the store must not do so any longer.
-	l.beatAt = time.Time{}
-	event.StoreInDoubt.Log(c.Log, "term", l.lease.Term, "waitedMs", now.Sub(l.wroteAt).Milliseconds())
-	for _, k := range l.managers {
-		k.StoreInDoubt(now, true)
+	// Send a heartbeat at once: the other instances must no longer rely on this one's
+	// connection to the store.
+	l.nextHeartbeat = time.Time{}
+	event.StoreInDoubt.Log(c.Log, "term", l.lease.Term, "waitedMs", now.Sub(l.writeStarted).Milliseconds())
+	for _, manager := range l.managers {
+		manager.StoreInDoubt(now, true)
 	}
 }
 
-// renew writes the lease, together with the assignments to be recorded.
-func (c *Coordinator) renew(ctx context.Context, now time.Time) {
-	l := c.leading
+// renewLease writes the lease, together with the assignments to be recorded.
+func (c *Coordinator) renewLease(ctx context.Context, now time.Time) {
+	l := c.leadership
 	next := l.lease
 	next.Seq++
 	var writes []platform.Write
@@ -229,110 +238,115 @@
 	for name, r := range records {
 		text, err := json.Marshal(r.Assignment)
 		if err != nil {
-			panic("coordinator: assignment does not encode: " + err.Error())
+			panic("coordinator: encode assignment: " + err.Error())
 		}
 		writes = append(writes, platform.Write{Table: AssignmentTable, Key: name, Value: text})
 	}
-	l.writing, l.wroteAt = true, now
+	l.writing, l.writeStarted = true, now
 	sent := boottime()
-	on := l.revision
+	expected := l.revision
 	c.group.Go(func() error {
-		s := c.write(l.ctx, &next, on, writes) //nolint:contextcheck // as above
-		c.post(ctx, func() { c.renewed(l, next, sent, s, records) })
+		result := c.writeLease(l.ctx, &next, expected, writes) //nolint:contextcheck // as above
+		c.enqueue(ctx, func() { c.onLeaseRenewed(l, next, sent, result, records) })
 		return nil
 	})
 }
 
-func (c *Coordinator) renewed(l *leading, next Lease, sent time.Duration, s settled, records map[string]*ownership.Record) {
-	if c.leading != l {
+// onLeaseRenewed applies the result of a write. sent is the boot time at which the write
+// was started.
+func (c *Coordinator) onLeaseRenewed(l *leadership, next Lease, sent time.Duration, result writeResult, records map[string]*ownership.Record) {
+	if c.leadership != l {
 		return
 	}
 	l.writing = false
 	now := time.Now()
-	if s.invalid && len(records) > 0 {
-		// The lease must not be lost over it.
+	if result.invalid && len(records) > 0 {
+		// The store never accepts this transaction. The records are reported as failed, so
+		// that the lease is renewed without them and not lost.
 		for name := range records {
-			if k := l.managers[name]; k != nil {
-				k.Recorded(now, false)
+			if manager := l.managers[name]; manager != nil {
+				manager.Recorded(now, false)
 			}
 		}
 		return
 	}
-	if !s.ok {
-		c.observe(s.revision, s.present)
-		c.stepDown("the lease's row was changed by " + s.present.Holder)
+	if !result.ok {
+		c.observe(result.revision, result.current)
+		c.stepDown("lease row was changed by " + result.current.Holder)
 		return
 	}
-	l.lease, l.revision = next, s.revision
-	if s.store > 0 {
-		for _, k := range l.managers {
-			// At the answer's arrival it is later than told by the way at most.
-			k.SetClock(s.at, s.store+s.took)
+	l.lease, l.revision = next, result.revision
+	if result.storeClock > 0 {
+		for _, manager := range l.managers {
+			// When the answer arrives, the store's clock is ahead of the value in it by no
+			// more than the duration of the write.
+			manager.SetClock(result.storeClockAt, result.storeClock+result.took)
 		}
 	}
-	l.goodUntil.Store(int64(sent + time.Duration(next.LeaseMs)*time.Millisecond - orderMargin))
-	c.observe(s.revision, next)
-	if l.inDoubt && s.took < calmWithin {
+	l.authorityEnd.Store(int64(sent + time.Duration(next.LeaseMs)*time.Millisecond - orderMargin))
+	c.observe(result.revision, next)
+	if l.inDoubt && result.took < healthyWriteTime {
 		l.inDoubt = false
-		c.Refresh()
-		for _, k := range l.managers {
-			k.StoreInDoubt(now, false)
+		c.RestartFeeds()
+		for _, manager := range l.managers {
+			manager.StoreInDoubt(now, false)
 		}
 	}
 	for name, r := range records {
 		moved := ownership.Moved{}
-		if k := l.managers[name]; k != nil {
-			moved = k.Moved
-			k.Recorded(now, true)
+		if manager := l.managers[name]; manager != nil {
+			moved = manager.Moved
+			manager.Recorded(now, true)
 		}
-		event.KeysRecorded.Log(c.Log, "service", name, "term", next.Term, "revision", s.revision,
-			"pieces", len(r.Assignment.Pieces), "tookMs", s.took.Milliseconds(),
+		event.KeysRecorded.Log(c.Log, "service", name, "term", next.Term, "revision", result.revision,
+			"pieces", len(r.Assignment.Pieces), "tookMs", result.took.Milliseconds(),
 			"movedLeaving", moved.Leaving, "movedLost", moved.Lost, "movedBalance", moved.Balance)
-		c.spread(l, name, r.Assignment, s.revision)
+		c.announce(l, name, r.Assignment, result.revision)
 	}
 }
 
 const (
-	// recordEvery is the least time between two writes with assignments: what
-	// changes together costs one call and one datagram.
-	recordEvery = 100 * time.Millisecond
-	// newsPieces bounds the pieces in one datagram, newsParts the datagrams of
-	// one change; larger ones are read from the store.
-	newsPieces = 36
-	newsParts  = 8
+	// recordInterval is the least time between two writes with assignments: changes within
+	// it share one call and one datagram.
+	recordInterval = 100 * time.Millisecond
+	// piecesPerDatagram bounds the pieces in one datagram, and maxUpdateParts the datagrams
+	// of one update; larger changes are read from the store.
+	piecesPerDatagram = 36
+	maxUpdateParts    = 8
 )
 
-// spread tells all instances what has changed. Those that miss it learn from
-// the next beat that their copy is old, and read the store.
-func (c *Coordinator) spread(l *leading, service string, a *ownership.Assignment, revision uint64) {
-	last := l.told[service]
-	l.told[service] = toldOf{a, revision}
+// announce sends the change of an assignment to all instances. Those that miss it detect
+// from the revision in the next heartbeat that their mirror is out of date, and read the
+// store.
+func (c *Coordinator) announce(l *leadership, service string, a *ownership.Assignment, revision uint64) {
+	last := l.announced[service]
+	l.announced[service] = announcement{a, revision}
 	if last.assignment != nil {
 		changed := last.assignment.Differences(a)
-		if parts := (len(changed) + newsPieces - 1) / newsPieces; parts <= newsParts {
-			c.tell(&peers.AssignmentUpdate{Service: service, Term: a.Term, Base: last.revision, Revision: revision, Parts: max(1, parts)}, changed)
+		if parts := (len(changed) + piecesPerDatagram - 1) / piecesPerDatagram; parts <= maxUpdateParts {
+			c.sendUpdate(&peers.AssignmentUpdate{Service: service, Term: a.Term, Base: last.revision, Revision: revision, Parts: max(1, parts)}, changed)
 			return
 		}
 	}
-	c.Missed()
-	l.beatAt = time.Time{}
+	c.OnOversizedUpdate()
+	l.nextHeartbeat = time.Time{}
 }
 
-// tell sends a change in as many datagrams as it needs.
-func (c *Coordinator) tell(whole *peers.AssignmentUpdate, changed []ownership.Piece) {
-	for part := range whole.Parts {
-		n := *whole
-		n.Part = part
-		n.Pieces = named(changed[min(part*newsPieces, len(changed)):min((part+1)*newsPieces, len(changed))])
-		c.Peers.Broadcast(&peers.Message{AssignmentUpdate: &n})
-		c.Took(&n)
+// sendUpdate sends an update in as many datagrams as it has parts.
+func (c *Coordinator) sendUpdate(update *peers.AssignmentUpdate, changed []ownership.Piece) {
+	for part := range update.Parts {
+		u := *update
+		u.Part = part
+		u.Pieces = withOwnersOnly(changed[min(part*piecesPerDatagram, len(changed)):min((part+1)*piecesPerDatagram, len(changed))])
+		c.Peers.Broadcast(&peers.Message{AssignmentUpdate: &u})
+		c.OnUpdate(&u)
 	}
 }
 
-// named returns pieces with nothing but their owners' names: instances know the
-// owners' addresses from the platform, and whoever coordinates next reads the
-// rows. That is half of what a change costs between regions.
-func named(pieces []ownership.Piece) []ownership.Piece {
+// withOwnersOnly returns the pieces without the owners' start times and addresses: instances
+// have those from the platform, and the next coordinator reads the rows. It saves half of
+// what an update costs between regions.
+func withOwnersOnly(pieces []ownership.Piece) []ownership.Piece {
 	list := make([]ownership.Piece, len(pieces))
 	for i, p := range pieces {
 		list[i] = ownership.Piece{First: p.First, Last: p.Last, Owner: p.Owner, FreeAt: p.FreeAt}
@@ -340,12 +354,13 @@
 	return list
 }
 
-// Resign gives the lease up, so that another instance takes over at once.
+// Resign releases the lease, so that another instance takes over at once. It returns when
+// the lease is released or the context ends.
 func (c *Coordinator) Resign(ctx context.Context) {
 	done := make(chan struct{})
-	c.post(ctx, func() {
-		c.retired = true
-		l := c.leading
+	c.enqueue(ctx, func() {
+		c.stopping = true
+		l := c.leadership
 		if l == nil || l.recorded == nil {
 			close(done)
 			return
@@ -353,7 +368,7 @@
 		l.resigning = true
 		c.group.Go(func() error {
 			defer close(done)
-			c.giveUp(ctx, l)
+			c.releaseLease(ctx, l)
 			return nil
 		})
 	})
@@ -363,42 +378,42 @@
 	}
 }
 
-// resignPause lets orders and writes under way end; new ones are not sent.
-const resignPause = 150 * time.Millisecond
+// resignDelay lets orders and writes in flight end; new ones are not sent.
+const resignDelay = 150 * time.Millisecond
 
-// giveUp writes that the lease is over.
-func (c *Coordinator) giveUp(ctx context.Context, l *leading) {
-	timer := time.NewTimer(resignPause)
+// releaseLease writes a lease without a duration, and announces it.
+func (c *Coordinator) releaseLease(ctx context.Context, l *leadership) {
+	timer := time.NewTimer(resignDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
 		return
 	}
-	free := make(chan uint64, 1)
-	c.post(ctx, func() {
-		if c.leading == l && !l.writing {
-			free <- l.revision
+	written := make(chan uint64, 1)
+	c.enqueue(ctx, func() {
+		if c.leadership == l && !l.writing {
+			written <- l.revision
 			return
 		}
-		l.resigning = l.resigning && c.retired
-		close(free)
+		l.resigning = l.resigning && c.stopping
+		close(written)
 	})
 	select {
-	case on, ok := <-free:
+	case expected, ok := <-written:
 		if !ok {
 			return
 		}
-		given := Lease{Term: l.lease.Term, Holder: c.Self.Name, Life: c.Self.Incarnation, Seq: l.lease.Seq + 1}
-		s := c.write(ctx, &given, on, nil)
-		if s.ok {
-			event.LeadResigned.Log(c.Log, "term", given.Term)
-			c.Peers.Broadcast(&peers.Message{Heartbeat: &peers.Heartbeat{Term: given.Term, LeaseRevision: s.revision, Resigned: true}})
+		released := Lease{Term: l.lease.Term, Holder: c.Self.Name, Incarnation: c.Self.Incarnation, Seq: l.lease.Seq + 1}
+		result := c.writeLease(ctx, &released, expected, nil)
+		if result.ok {
+			event.LeadResigned.Log(c.Log, "term", released.Term)
+			c.Peers.Broadcast(&peers.Message{Heartbeat: &peers.Heartbeat{Term: released.Term, LeaseRevision: result.revision, Resigned: true}})
 		}
-		c.post(ctx, func() {
-			if c.leading == l {
+		c.enqueue(ctx, func() {
+			if c.leadership == l {
 				c.stepDown("resigned")
-				c.heard = time.Now()
+				c.lastHeartbeat = time.Now()
 			}
 		})
 	case <-ctx.Done():
--- a/gateway/coordinator/lease.go
+++ b/gateway/coordinator/lease.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Tables of ours in the store.
+// Tables in the store that instances write, and the key of the lease's row.
 const (
 	// LeaseTable has one row, which the coordinator renews.
 	LeaseTable = "coordinator"
@@ -23,158 +23,163 @@
 )
 
 const (
-	// leaseFor is how long a lease is good, from the sending of its write. An
-	// instance that falls silent is replaced after that; the grants of targets
-	// outlast it.
-	leaseFor = 2 * time.Second
-	// renewEvery is the time between two writes of the lease.
-	renewEvery = 500 * time.Millisecond
-	// leaseDrift is how much faster another instance's clock may run.
-	leaseDrift = 1.03
-	// orderMargin ends the authority to send orders before the lease's end.
+	// leaseDuration is how long a lease is valid, from the sending of its write. A
+	// coordinator that stops responding is replaced after that; the grants that targets
+	// hold last longer.
+	leaseDuration = 2 * time.Second
+	// renewInterval is the time between two writes of the lease.
+	renewInterval = 500 * time.Millisecond
+	// clockDriftFactor is how much faster than the holder's clock this instance's clock
+	// may run.
+	clockDriftFactor = 1.03
+	// orderMargin is how long before the end of the lease the authority to send orders ends.
 	orderMargin = 100 * time.Millisecond
-	// hedgeAfter is when a write without an answer is sent again on another
-	// connection. Its condition makes the second one harmless.
-	hedgeAfter = 500 * time.Millisecond
-	// rejectPause is the wait after the store did not take a write.
-	rejectPause = 150 * time.Millisecond
-	// attemptTimeout bounds one try of a write.
+	// hedgeDelay is the time after which a write without an answer is sent again on another
+	// connection. The condition on the row's revision makes the write idempotent.
+	hedgeDelay = 500 * time.Millisecond
+	// retryDelay is the delay before a write is sent again after an attempt has failed.
+	retryDelay = 150 * time.Millisecond
+	// attemptTimeout bounds one attempt of a write, and the reads of the store.
 	attemptTimeout = 3 * time.Second
 )
 
-// Lease is the row of the coordinator. LeaseMs 0 means that it was given up.
+// Lease is the value of the lease's row. LeaseMs 0 means that the holder has released it.
 type Lease struct {
-	Term    int64  `json:"term"`
-	Holder  string `json:"holder"`
-	Life    string `json:"life"`
-	LeaseMs int64  `json:"leaseMs"`
-	// Seq tells the holder's writes apart, for settling those without answer.
+	Term        int64  `json:"term"`
+	Holder      string `json:"holder"`
+	Incarnation string `json:"life"`
+	LeaseMs     int64  `json:"leaseMs"`
+	// Seq numbers the holder's writes, to find out whether one without an answer took effect.
 	Seq int64 `json:"seq"`
 }
 
 func (l *Lease) encode() []byte {
 	text, err := json.Marshal(l)
 	if err != nil {
-		panic("coordinator: lease does not encode: " + err.Error())
+		panic("coordinator: encode lease: " + err.Error())
 	}
 	return text
 }
 
-// seenLease is the newest row that this instance knows of.
-type seenLease struct {
+// observedLease is the newest state of the lease's row that this instance has received.
+type observedLease struct {
 	revision uint64
 	lease    Lease
-	// since is when it was first seen, by the boot-time clock.
-	since time.Duration
-	known bool
+	// firstSeen is when it was received first, by the boot-time clock.
+	firstSeen time.Duration
+	known     bool
 }
 
-// over tells whether the row's holder has no authority any more: it gave up,
-// its process has ended since another one runs in its place, or its time has
-// passed since the row was first seen. A renewal would have changed the row.
-func (s *seenLease) over(now time.Duration, name, life string) bool {
-	if !s.known {
+// hasEnded reports whether the row's holder has no authority any more: it released the
+// lease, it was an earlier incarnation of the instance with the given name, or the lease
+// has expired since the row was first seen. A renewal would have changed the row.
+func (o *observedLease) hasEnded(now time.Duration, name, incarnation string) bool {
+	if !o.known {
 		return false
 	}
-	if s.revision == 0 || s.lease.LeaseMs == 0 {
+	if o.revision == 0 || o.lease.LeaseMs == 0 {
 		return true
 	}
-	if s.lease.Holder == name && s.lease.Life != life {
+	if o.lease.Holder == name && o.lease.Incarnation != incarnation {
 		return true
 	}
-	good := time.Duration(float64(s.lease.LeaseMs)*leaseDrift) * time.Millisecond
-	return now >= s.since+good+orderMargin
+	valid := time.Duration(float64(o.lease.LeaseMs)*clockDriftFactor) * time.Millisecond
+	return now >= o.firstSeen+valid+orderMargin
 }
 
-// settled is how a conditional write ended.
-type settled struct {
+// writeResult is the result of a conditional write.
+type writeResult struct {
 	ok bool
-	// revision of the write, or of the row that stood in its way.
+	// revision is the revision of the write, or of the conflicting row, whose value is
+	// current.
 	revision uint64
-	present  Lease
-	// invalid is set if the store does not take such a transaction at all.
+	current  Lease
+	// invalid is set if the store never accepts the transaction as it is.
 	invalid bool
-	// store is the store's clock at the write, if its answer came, at at.
-	store time.Duration
-	at    time.Time
-	took  time.Duration
+	// storeClock is the store's clock at the write, in an answer that arrived at
+	// storeClockAt; 0 without such an answer.
+	storeClock   time.Duration
+	storeClockAt time.Time
+	took         time.Duration
 }
 
-// write carries out a transaction that sets the lease row, and finds out for
-// certain whether it took effect. It gives up only when the context ends.
-func (c *Coordinator) write(ctx context.Context, mine *Lease, on uint64, more []platform.Write) settled {
-	began := time.Now()
+// writeLease executes a transaction that sets the lease row, on the condition that the row
+// has the expected revision, together with other writes. It retries until it is certain
+// whether the transaction took effect, or the context ends.
+func (c *Coordinator) writeLease(ctx context.Context, lease *Lease, expected uint64, others []platform.Write) writeResult {
+	started := time.Now()
 	tx := platform.Transaction{
-		If:  []platform.Condition{{Table: LeaseTable, Key: LeaseKey, Revision: on}},
-		Set: append([]platform.Write{{Table: LeaseTable, Key: LeaseKey, Value: mine.encode()}}, more...),
+		If:  []platform.Condition{{Table: LeaseTable, Key: LeaseKey, Revision: expected}},
+		Set: append([]platform.Write{{Table: LeaseTable, Key: LeaseKey, Value: lease.encode()}}, others...),
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan answer, 1)
+	answers := make(chan storeAnswer, 1)
 	var group errgroup.Group
 	send := func() {
 		group.Go(func() error {
-			tryCtx, cancelTry := context.WithTimeout(ctx, attemptTimeout)
-			defer cancelTry()
-			done, err := c.Store.Transact(tryCtx, tx)
+			attemptCtx, cancelAttempt := context.WithTimeout(ctx, attemptTimeout)
+			defer cancelAttempt()
+			rows, err := c.Store.Transact(attemptCtx, tx)
 			select {
-			case answers <- answer{done, err, time.Now()}:
+			case answers <- storeAnswer{rows, err, time.Now()}:
 			case <-ctx.Done():
 			}
 			return nil
 		})
 	}
 	send()
-	timer := time.NewTimer(hedgeAfter)
+	timer := time.NewTimer(hedgeDelay)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			return settled{took: time.Since(began)}
+			return writeResult{took: time.Since(started)}
 		case <-timer.C:
 			send()
-			timer.Reset(hedgeAfter)
+			timer.Reset(hedgeDelay)
 		case a := <-answers:
-			if s, final := c.judge(mine, a); final {
-				s.took = time.Since(began)
-				return s
+			if result, final := c.evaluate(lease, a); final {
+				result.took = time.Since(started)
+				return result
 			}
-			timer.Reset(rejectPause)
+			timer.Reset(retryDelay)
 		}
 	}
 }
 
-type answer struct {
-	done platform.Rows
+// storeAnswer is the outcome of one attempt, received at a time.
+type storeAnswer struct {
+	rows platform.Rows
 	err  error
 	at   time.Time
 }
 
-// judge tells what an answer proves. A row with this write's own number shows
-// that an earlier try took effect though its answer was lost.
-func (c *Coordinator) judge(mine *Lease, a answer) (s settled, final bool) {
+// evaluate returns what an answer proves, and whether that is final. A conflicting row with
+// this write's own Seq shows that an earlier attempt took effect, though its answer was lost.
+func (c *Coordinator) evaluate(lease *Lease, a storeAnswer) (result writeResult, final bool) {
 	if a.err == nil {
-		return settled{ok: true, revision: a.done.Revision, store: time.Duration(a.done.Now), at: a.at}, true
+		return writeResult{ok: true, revision: a.rows.Revision, storeClock: time.Duration(a.rows.Now), storeClockAt: a.at}, true
 	}
 	var conflict *platform.ConflictError
 	var rejected *platform.RejectedError
 	if errors.As(a.err, &rejected) && rejected.Invalid() {
-		c.storeFailed("write lease", a.err)
-		return settled{invalid: true}, true
+		c.logStoreFailure("write lease", a.err)
+		return writeResult{invalid: true}, true
 	}
 	if !errors.As(a.err, &conflict) {
-		c.storeFailed("write lease", a.err)
-		return settled{}, false
+		c.logStoreFailure("write lease", a.err)
+		return writeResult{}, false
 	}
 	for _, r := range conflict.Rows {
 		if r.Table != LeaseTable || r.Key != LeaseKey {
 			continue
 		}
-		if err := json.Unmarshal(r.Value, &s.present); err != nil {
-			c.storeFailed("parse lease", err)
+		if err := json.Unmarshal(r.Value, &result.current); err != nil {
+			c.logStoreFailure("parse lease", err)
 		}
-		s.revision = r.Revision
+		result.revision = r.Revision
 	}
-	s.ok = s.present == *mine
-	return s, true
+	result.ok = result.current == *lease
+	return result, true
 }
--- a/gateway/coordinator/orders.go
+++ b/gateway/coordinator/orders.go
@@ -15,133 +15,135 @@
 	"basilcross.example/platform"
 )
 
-// orderTimeout bounds a grant. It is given up early, and its connection reset,
-// since a grant without an answer counts as held from that moment.
+// orderTimeout bounds a grant. A grant without an answer counts as held from the moment at
+// which its connection is reset, so it times out early.
 const orderTimeout = 450 * time.Millisecond
 
-// grantsAtOnce is how many grants are under way at a time, and suspectsAtOnce
-// the same for targets that leave orders unanswered, which would take all the
-// places of the others. A new coordinator grants all keys anew: sent at the same
-// moment by a small instance, hundreds of calls wait for its processor until
-// all of them time out, and sound targets count as silent.
+// maxConcurrentGrants bounds the grants in flight, and maxConcurrentSuspects those to targets
+// that leave orders unanswered, which would otherwise use up the capacity for the others. A
+// new coordinator grants all keys again: if a small instance sent hundreds of calls at the
+// same moment, they would wait for its processor until all of them timed out, and healthy
+// targets would count as unresponsive.
 const (
-	grantsAtOnce   = 48
-	suspectsAtOnce = 24
+	maxConcurrentGrants   = 48
+	maxConcurrentSuspects = 24
 )
 
-// releaseTimeout bounds a release beyond the hold's end.
+// releaseTimeout is how long after the end of the hold a release may take.
 const releaseTimeout = 100 * time.Millisecond
 
-// carryOut sends an order, or queues a write.
-func (c *Coordinator) carryOut(k *ownership.Manager, o ownership.Order) {
-	l := c.leading
+// execute starts to send an order, or queues a record for the next write.
+func (c *Coordinator) execute(manager *ownership.Manager, o ownership.Order) {
+	l := c.leadership
 	switch o := o.(type) {
 	case *ownership.Record:
-		l.pending[k.Service] = o
+		l.pending[manager.Service] = o
 	case *ownership.Grant:
 		c.group.Go(func() error {
-			c.grant(l, k, o)
+			c.grant(l, manager, o)
 			return nil
 		})
 	case *ownership.Release:
 		c.group.Go(func() error {
-			c.release(l, k, o)
+			c.release(l, manager, o)
 			return nil
 		})
 	}
 }
 
-func (c *Coordinator) grant(l *leading, k *ownership.Manager, o *ownership.Grant) {
-	grants := l.grants
+// grant sends a grant once the limit allows it, and reports the outcome to the manager.
+func (c *Coordinator) grant(l *leadership, manager *ownership.Manager, o *ownership.Grant) {
+	limit := l.grantLimit
 	if o.Suspect {
-		grants = l.suspects
+		limit = l.suspectLimit
 	}
-	if grants.Acquire(l.ctx, 1) != nil {
+	if limit.Acquire(l.ctx, 1) != nil {
 		return
 	}
-	defer grants.Release(1)
-	sent, err := c.sendGrant(l, k.Service, o)
-	out := outcome(err)
+	defer limit.Release(1)
+	sent, err := c.sendGrant(l, manager.Service, o)
+	outcome := orderOutcome(err)
 	now := time.Now()
-	if out != ownership.Done {
-		event.GrantFailed.Log(c.Log, "service", k.Service, "target", o.Owner.ID, "first", o.First, "last", o.Last,
+	if outcome != ownership.Done {
+		event.GrantFailed.Log(c.Log, "service", manager.Service, "target", o.Owner.ID, "first", o.First, "last", o.Last,
 			"epoch", o.Epoch, "channel", o.Channel, "tookMs", now.Sub(sent).Milliseconds(), "error", err)
 	}
-	c.post(l.ctx, func() {
-		k.Granted(now, sent, o, out)
+	c.enqueue(l.ctx, func() {
+		manager.Granted(now, sent, o, outcome)
 	})
 }
 
-// sendGrant sends a grant on the channel that its epoch belongs to, or on any
-// one, which it notes, if the epoch was not sent yet.
-func (c *Coordinator) sendGrant(l *leading, service string, o *ownership.Grant) (sent time.Time, err error) {
+// sendGrant sends a grant on the channel that its epoch is bound to. If the epoch was not
+// sent yet, sendGrant takes any channel to the address and binds the epoch to it.
+func (c *Coordinator) sendGrant(l *leadership, service string, o *ownership.Grant) (sent time.Time, err error) {
 	sent = time.Now()
-	takeCtx, stop := context.WithTimeout(l.ctx, orderTimeout)
-	defer stop()
-	on, err := c.Channels.Take(takeCtx, o.Address, o.Channel)
+	takeCtx, cancelTake := context.WithTimeout(l.ctx, orderTimeout)
+	defer cancelTake()
+	ch, err := c.Channels.Take(takeCtx, o.Address, o.Channel)
 	if err != nil {
 		return sent, &unsentError{err}
 	}
-	defer on.Back()
-	if err := c.identify(l.ctx, service, on, o); err != nil {
+	defer ch.Back()
+	if err := c.verifyTarget(l.ctx, service, ch, o); err != nil {
 		return sent, &unsentError{err}
 	}
-	if !c.mayOrder(l) {
+	if !c.hasAuthority(l) {
 		event.OrderDropped.Log(c.Log, "term", l.lease.Term, "target", o.Owner.ID)
 		return sent, &unsentError{errNoAuthority}
 	}
-	if at := c.strangerAt(service, o); at != "" {
-		return sent, &unsentError{fmt.Errorf("%s of another service lives at %s", at, o.Address)}
+	if other := c.otherServiceTargetAt(service, o); other != "" {
+		return sent, &unsentError{fmt.Errorf("target %s of another service is at %s", other, o.Address)}
 	}
 	if o.Channel == 0 {
 		event.OrderChannel.Log(c.Log, "service", service, "target", o.Owner.ID, "address", o.Address,
-			"channel", on.Number, "first", o.First, "last", o.Last, "epoch", o.Epoch)
+			"channel", ch.Number, "first", o.First, "last", o.Last, "epoch", o.Epoch)
 	}
-	o.Channel, o.Opened = on.Number, on.Opened
+	o.Channel, o.Opened = ch.Number, ch.Opened
 	ctx, cancel := context.WithTimeout(l.ctx, orderTimeout)
 	defer cancel()
 	sent = time.Now()
-	grants := &platform.Grants{HTTP: on.Client()}
+	grants := &platform.Grants{HTTP: ch.Client()}
 	return sent, grants.Grant(ctx, o.Address, platform.Grant{
 		Target: o.Owner.ID, First: o.First, Last: o.Last, Epoch: o.Epoch, Hold: o.Hold, Handover: o.Handover,
 	})
 }
 
-// strangerAt returns another service's target that is named at the order's
-// address and is younger than the one meant; it would take the order for its own.
-func (c *Coordinator) strangerAt(service string, o *ownership.Grant) string {
-	at := c.Roster.Load().Addresses[o.Address]
-	if at == nil || at.Service == service || at.Born <= o.Owner.Born {
+// otherServiceTargetAt returns the ID of another service's target that is listed at the
+// order's address and was started after the intended one; it would accept the order.
+func (c *Coordinator) otherServiceTargetAt(service string, o *ownership.Grant) string {
+	listed := c.Roster.Load().Addresses[o.Address]
+	if listed == nil || listed.Service == service || listed.Born <= o.Owner.Born {
 		return ""
 	}
-	return at.ID
+	return listed.ID
 }
 
-// identify makes sure that the order's target is at the other end of the channel,
-// if another divided service's target could be: that one would take the keys for
-// its own. One answer tells for as long as the connection lasts.
-func (c *Coordinator) identify(ctx context.Context, service string, on *channel.Channel, o *ownership.Grant) error {
+// verifyTarget checks that the order's target is at the other end of the channel, if the
+// target of another sharded service could be: that one would accept the keys. One answer is
+// valid for as long as the connection lasts. The error is a *wrongTargetError if another
+// target answers.
+func (c *Coordinator) verifyTarget(ctx context.Context, service string, ch *channel.Channel, o *ownership.Grant) error {
 	path := healthPath(c.Table(), service)
-	if path == "" || on.Target == o.Owner.ID {
+	if path == "" || ch.Target == o.Owner.ID {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	health := &platform.Health{HTTP: on.Client()}
+	health := &platform.Health{HTTP: ch.Client()}
 	id, err := health.Target(ctx, o.Address, path, o.Owner.ID)
 	if err != nil {
 		return err
 	}
-	on.Target = id
+	ch.Target = id
 	if id != o.Owner.ID {
-		return &notTargetError{Address: o.Address, Want: o.Owner.ID, Lives: id}
+		return &wrongTargetError{Address: o.Address, Want: o.Owner.ID, Got: id}
 	}
 	return nil
 }
 
-// healthPath returns where a divided service's targets tell their names. It is
-// empty if no other service is divided: then none can take keys that were meant
-// for another.
+// healthPath returns the path at which a sharded service's targets return their IDs. It is
+// empty if no other service is sharded: then no target can accept keys that were meant for
+// another service's.
 func healthPath(table *routing.Table, service string) string {
 	if table == nil {
 		return ""
@@ -161,82 +163,87 @@
 	return path
 }
 
-// notTargetError says that another target than the one meant, or one without a
-// name, lives at an address.
-type notTargetError struct{ Address, Want, Lives string }
+// wrongTargetError means that a target other than the intended one, or one without an ID,
+// answers at an address.
+type wrongTargetError struct{ Address, Want, Got string }
 
-func (e *notTargetError) Error() string {
-	return fmt.Sprintf("%q lives at %s, not %s", e.Lives, e.Address, e.Want)
+func (e *wrongTargetError) Error() string {
+	return fmt.Sprintf("got target %q at %s, want %s", e.Got, e.Address, e.Want)
 }
 
-// unsentError is an order of which nothing was sent.
+// unsentError means that no part of an order was sent.
 type unsentError struct{ cause error }
 
-func (e *unsentError) Error() string { return "not sent: " + e.cause.Error() }
+func (e *unsentError) Error() string { return "order not sent: " + e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *unsentError) Unwrap() error { return e.cause }
 
-var errNoAuthority = errors.New("the authority to send it has ended")
+var errNoAuthority = errors.New("authority to send orders has expired")
 
-func (c *Coordinator) release(l *leading, k *ownership.Manager, o *ownership.Release) {
+// release sends a release, and reports the outcome to the manager.
+func (c *Coordinator) release(l *leadership, manager *ownership.Manager, o *ownership.Release) {
 	sent := time.Now()
 	ctx, cancel := context.WithDeadline(l.ctx, o.Until.Add(releaseTimeout))
 	defer cancel()
-	if !c.mayOrder(l) {
+	if !c.hasAuthority(l) {
 		event.OrderDropped.Log(c.Log, "term", l.lease.Term, "target", o.Owner.ID)
-		// The authority may be renewed yet, and the piece must not wait for ever.
-		c.post(l.ctx, func() { k.Released(time.Now(), o, "", ownership.Unsent) })
+		// The authority may still be renewed, so the outcome is reported: the piece must not
+		// wait for an answer forever.
+		c.enqueue(l.ctx, func() { manager.Released(time.Now(), o, "", ownership.Unsent) })
 		return
 	}
 	handover, err := c.Releases.Release(ctx, o.Address, o.Owner.ID, o.First, o.Last, o.Epoch)
 	now := time.Now()
-	event.KeysReleased.Log(c.Log, "service", k.Service, "target", o.Owner.ID, "first", o.First, "last", o.Last,
+	event.KeysReleased.Log(c.Log, "service", manager.Service, "target", o.Owner.ID, "first", o.First, "last", o.Last,
 		"epoch", o.Epoch, "handover", handover != "", "tookMs", now.Sub(sent).Milliseconds(),
 		"heldForMs", o.Until.Sub(now).Milliseconds(), "error", err)
-	c.post(l.ctx, func() {
-		k.Released(now, o, handover, outcome(err))
+	c.enqueue(l.ctx, func() {
+		manager.Released(now, o, handover, orderOutcome(err))
 	})
 }
 
-// mayOrder is asked last thing before an order is sent. It reads the lease's
-// end without a lock: it only grows, and an old value is the safe one.
-func (c *Coordinator) mayOrder(l *leading) bool {
-	return l.ctx.Err() == nil && boottime() < time.Duration(l.goodUntil.Load())
+// hasAuthority reports whether orders may be sent in the term. It is checked last before an
+// order is sent. The end of the authority is read without a lock: it only grows, and an
+// outdated value is the safe one.
+func (c *Coordinator) hasAuthority(l *leadership) bool {
+	return l.ctx.Err() == nil && boottime() < time.Duration(l.authorityEnd.Load())
 }
 
-// noteReplaced takes it as the proof of a target's end that another service's
-// younger one has its address, if it leaves orders unanswered or is not named
-// any more. A refused connection proves nothing: a partition that resets looks
-// the same. What the manager's own service has at the address, it sees itself.
-func (c *Coordinator) noteReplaced(k *ownership.Manager, table *routing.Table, view *roster.View) {
-	for life, owner := range k.Owners() {
-		at := view.Addresses[owner.Address]
-		if at == nil || at.Service == k.Service || at.Born <= life.Born {
+// detectReplacedOwners reports to the manager the owners that are proved to have ended: those
+// whose address has a target of another service that was started later, and that leave orders
+// unanswered or are not listed any more. A refused connection proves nothing: a partition
+// that resets connections looks the same. Targets of the manager's own service at the
+// address are handled by the manager itself.
+func (c *Coordinator) detectReplacedOwners(manager *ownership.Manager, table *routing.Table, view *roster.View) {
+	for incarnation, owner := range manager.Owners() {
+		replacement := view.Addresses[owner.Address]
+		if replacement == nil || replacement.Service == manager.Service || replacement.Born <= incarnation.Born {
 			continue
 		}
-		if !owner.Silent && view.Targets[life.ID] != nil {
+		if !owner.Silent && view.Targets[incarnation.ID] != nil {
 			continue
 		}
-		service := table.Service(at.Service)
-		divided := service == nil || service.Sharded
-		if k.Gone(life, divided) {
-			event.TargetGone.Log(c.Log, "service", k.Service, "target", life.ID, "address", owner.Address,
-				"now", at.ID, "nowService", at.Service, "divided", divided)
+		service := table.Service(replacement.Service)
+		sharded := service == nil || service.Sharded
+		if manager.Gone(incarnation, sharded) {
+			event.TargetGone.Log(c.Log, "service", manager.Service, "target", incarnation.ID, "address", owner.Address,
+				"now", replacement.ID, "nowService", replacement.Service, "divided", sharded)
 		}
 	}
 }
 
-// inherited returns what tells of keys that stay at their address.
-func (c *Coordinator) inherited(service string) func(ownership.Piece, roster.Life) {
+// inheritedLogger returns a function that logs that the target at a piece's address inherits
+// its keys.
+func (c *Coordinator) inheritedLogger(service string) func(ownership.Piece, roster.Life) {
 	return func(p ownership.Piece, to roster.Life) {
 		event.KeysInherited.Log(c.Log, "service", service, "target", p.Owner, "address", p.Address,
 			"now", to.ID, "first", p.First, "last", p.Last)
 	}
 }
 
-// outcome tells what an order's error proves.
-func outcome(err error) ownership.Outcome {
+// orderOutcome returns what an order's error proves about its execution.
+func orderOutcome(err error) ownership.Outcome {
 	var stale *platform.StaleEpochError
 	var refused *platform.OrderError
 	var lost *channel.LostError
--- a/gateway/instance/duties.go
+++ b/gateway/instance/duties.go
@@ -111,7 +111,7 @@
 		lead := r.lead.Load()
 		for _, report := range reports {
 			if lead == nil || *lead == r.settings.Instance {
-				r.coordinator.TakeLoads(report)
+				r.coordinator.ApplyReport(report)
 				continue
 			}
 			r.peers.Send(*lead, &peers.Message{Report: report})
@@ -163,7 +163,7 @@
 		i.instances.Again()
 	}
 	i.state.noteRevisions(m.From, m.Revisions)
-	i.coordinator.Hear(m)
+	i.coordinator.Receive(m)
 }
 
 // takeBeat takes in a coordinator's sign of life.
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -130,9 +130,9 @@
 	i.coordinator = coordinator.New(coordinator.Options{
 		Self: i.peers.Self, Store: i.store,
 		Channels: &channel.Set{Dial: targetDialer.DialContext}, Releases: &platform.Grants{HTTP: newClient(targetDialer)},
-		Refresh: i.replicator.refresh,
+		RestartFeeds: i.replicator.refresh,
 		Joined:  i.replicator.joined.Load,
-		Leads:   i.leads, Took: i.takeNews, Missed: i.assignments.Again,
+		OnLeading:   i.leads, OnUpdate: i.takeNews, OnOversizedUpdate: i.assignments.Again,
 		Peers: i.peers, Roster: i.state.roster, Table: i.state.table.Load, Revisions: i.revisions, Log: log,
 		Holds: ownership.Holds{Usual: min(usualHold, s.LongestHold), Long: min(longHold, s.LongestHold-longMargin), Every: renewHolds, Reuse: s.AddressReuse},
 	})
--- a/gateway/instance/passage.go
+++ b/gateway/instance/passage.go
@@ -20,7 +20,7 @@
 	}
 	parts := datagrams(table, s.again.with(table, p))
 	if parts == nil {
-		parts = []*peers.TableUpdate{{Table: table, From: p.From, To: p.To, Newest: p.Newest, Fetch: true}}
+		parts = []*peers.TableUpdate{{Table: table, From: p.From, To: p.To, NewestChange: p.Newest, Fetch: true}}
 	}
 	for _, m := range parts {
 		s.tell(&peers.Message{TableUpdate: m})
@@ -33,7 +33,7 @@
 	part := &peers.TableUpdate{Table: table, From: p.From}
 	size := 0
 	flush := func(to, newest uint64) {
-		part.To, part.Newest = to, newest
+		part.To, part.NewestChange = to, newest
 		parts = append(parts, part)
 		part = &peers.TableUpdate{Table: table, From: to}
 		size = 0
@@ -96,7 +96,7 @@
 		s.fetchFrom(from, r)
 		return
 	}
-	passage := mirror.Passage{From: r.From, To: r.To, Newest: r.Newest}
+	passage := mirror.Passage{From: r.From, To: r.To, Newest: r.NewestChange}
 	for _, row := range r.Changes {
 		passage.Rows = append(passage.Rows, platform.Row{
 			Table: r.Table, Key: row.Key, Value: row.Value, Revision: row.Revision, Removed: row.Removed,
--- a/gateway/instance/replicator.go
+++ b/gateway/instance/replicator.go
@@ -257,11 +257,11 @@
 }
 
 func (s *replicator) beat() {
-	r := &peers.ReaderHeartbeat{Reached: map[string]uint64{}, TargetsDigest: s.state.roster.Load().Digest}
+	r := &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}, TargetsDigest: s.state.roster.Load().Digest}
 	for _, m := range s.tables {
-		r.Reached[m.Table] = m.Reached()
+		r.MirrorRevisions[m.Table] = m.Reached()
 	}
-	r.Reached[s.assignments.Table] = s.assignments.Newest()
+	r.MirrorRevisions[s.assignments.Table] = s.assignments.Newest()
 	s.tell(&peers.Message{ReaderHeartbeat: r})
 }
 
@@ -352,12 +352,12 @@
 func (s *replicator) hear(from string, r *peers.ReaderHeartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r.Reached == nil {
+	if r.MirrorRevisions == nil {
 		delete(s.heard, from)
 		return
 	}
 	s.heard[from] = time.Now()
-	s.reached[from] = r.Reached
+	s.reached[from] = r.MirrorRevisions
 	s.compare(r)
 }
 
@@ -372,7 +372,7 @@
 func (s *replicator) compare(r *peers.ReaderHeartbeat) {
 	alike := r.TargetsDigest == 0 || r.TargetsDigest == s.state.roster.Load().Digest
 	for _, m := range s.tables {
-		alike = alike || m.Table == platform.TargetTable && m.Reached() < r.Reached[m.Table]
+		alike = alike || m.Table == platform.TargetTable && m.Reached() < r.MirrorRevisions[m.Table]
 	}
 	if alike || !s.listens.Load() {
 		s.unlike = 0
--- a/gateway/instance/replicator_test.go
+++ b/gateway/instance/replicator_test.go
@@ -46,7 +46,7 @@
 	s := i.replicator
 	s.listens.Store(true)
 	now := time.Now()
-	assert.Assert(t, s.receive(&peers.Message{From: "a", ReaderHeartbeat: &peers.ReaderHeartbeat{Reached: map[string]uint64{}}}))
+	assert.Assert(t, s.receive(&peers.Message{From: "a", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}}}))
 	assert.Assert(t, s.mayListen(now))
 	assert.Assert(t, s.receive(&peers.Message{From: "a", ReaderHeartbeat: &peers.ReaderHeartbeat{}}))
 	assert.Assert(t, !s.mayListen(now))
@@ -59,7 +59,7 @@
 	s := i.replicator
 	s.listens.Store(true)
 	hear := func(m *peers.Message) { assert.Assert(t, s.receive(m)) }
-	hear(&peers.Message{From: "a", ReaderHeartbeat: &peers.ReaderHeartbeat{Reached: map[string]uint64{}}})
+	hear(&peers.Message{From: "a", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}}})
 	now := time.Now()
 	assert.Assert(t, s.mayListen(now))
 	i.noteLead(i.settings.Instance, 3)
@@ -79,7 +79,7 @@
 	assert.Assert(t, s.mayListen(now), "three go before it")
 	assert.Assert(t, s.mayListen(now.Add(3*turn-1)))
 	assert.Assert(t, !s.mayListen(now.Add(3*turn)))
-	hear(&peers.Message{From: "d", ReaderHeartbeat: &peers.ReaderHeartbeat{Reached: map[string]uint64{}}})
+	hear(&peers.Message{From: "d", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}}})
 	assert.Assert(t, s.mayListen(now.Add(3*turn)), "another one reads")
 }
 
@@ -94,7 +94,7 @@
 	assert.Assert(t, s.current())
 	i.noteLead("c", 3)
 	assert.Assert(t, !s.mayListen(time.Now()), "there is no reader")
-	assert.Assert(t, s.receive(&peers.Message{From: "c", ReaderHeartbeat: &peers.ReaderHeartbeat{Reached: map[string]uint64{}}}))
+	assert.Assert(t, s.receive(&peers.Message{From: "c", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}}}))
 	assert.Assert(t, s.mayListen(time.Now()))
 }
 
@@ -176,12 +176,12 @@
 	i.replicator.listen(true)
 	reached := targets.Reached()
 	assert.Assert(t, i.replicator.receive(&peers.Message{TableUpdate: &peers.TableUpdate{
-		Table: platform.TargetTable, From: reached, To: reached + 1, Newest: reached + 1,
+		Table: platform.TargetTable, From: reached, To: reached + 1, NewestChange: reached + 1,
 		Changes: []peers.RowChange{{Key: "a", Revision: reached + 1, Removed: true}},
 	}}))
 	poll.WaitOn(t, knows(0))
 	for range unlikeTries {
-		beat := &peers.ReaderHeartbeat{TargetsDigest: readers, Reached: map[string]uint64{platform.TargetTable: reached + 1}}
+		beat := &peers.ReaderHeartbeat{TargetsDigest: readers, MirrorRevisions: map[string]uint64{platform.TargetTable: reached + 1}}
 		assert.Assert(t, i.replicator.receive(&peers.Message{From: "r", ReaderHeartbeat: beat}))
 	}
 	fake.Put("other", "x", nil)
@@ -211,7 +211,7 @@
 	i := testInstance()
 	s := i.replicator
 	s.listen(true)
-	s.receive(&peers.Message{From: "reader", ReaderHeartbeat: &peers.ReaderHeartbeat{Reached: map[string]uint64{platform.TargetTable: 7}}})
+	s.receive(&peers.Message{From: "reader", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{platform.TargetTable: 7}}})
 	now := time.Now()
 	s.checkReached(now)
 	assert.Equal(t, len(s.fetches), 0, "its rows may be on their way")
@@ -254,7 +254,7 @@
 	i.noteLead("c", 3)
 	assert.Assert(t, !s.current(), "nothing was read yet")
 	assert.Assert(t, !s.mayListen(time.Now()), "there is no reader")
-	s.receive(&peers.Message{From: "reader", ReaderHeartbeat: &peers.ReaderHeartbeat{Reached: map[string]uint64{}}})
+	s.receive(&peers.Message{From: "reader", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}}})
 	assert.Assert(t, s.mayListen(time.Now()))
 }
 
--- a/gateway/peers/message.go
+++ b/gateway/peers/message.go
@@ -36,10 +36,10 @@
 type ReaderHeartbeat struct {
 	_ struct{} `cbor:",toarray"`
 
-	// Reached is the revision up to which each table's replica is complete. If it is
+	// MirrorRevisions is the revision up to which each table's replica is complete. If it is
 	// nil, the sender's connection to the store is unconfirmed, and others must not
 	// rely on its replicas.
-	Reached map[string]uint64
+	MirrorRevisions map[string]uint64
 	// TargetsDigest is the digest of the targets in the sender's roster.
 	TargetsDigest uint64
 }
@@ -50,10 +50,10 @@
 type TableUpdate struct {
 	_ struct{} `cbor:",toarray"`
 
-	Table    string
-	From, To uint64
-	Newest   uint64
-	Changes  []RowChange
+	Table        string
+	From, To     uint64
+	NewestChange uint64
+	Changes      []RowChange
 	// Fetch is set if the changes do not fit into a datagram: the receiver fetches
 	// the sender's replica instead.
 	Fetch bool
