--- a/gateway/broker/broker.go
+++ b/gateway/broker/broker.go
@@ -308,7 +308,7 @@
 func encode(seq uint64, a *schedule.Request) *peers.ReserveRequest {
 	now := time.Now()
 	w := &peers.ReserveRequest{
-		Seq: seq, Service: a.Service, Kind: a.Kind, Target: a.Target, Zone: a.Zone, Priority: a.Priority, OnTime: a.OnTime,
+		Seq: seq, Service: a.Service, Kind: a.Kind, Target: a.Target, Zone: a.Zone, Priority: a.Priority, RejectLate: a.OnTime,
 		ObjectiveMs: a.Objective.Sub(now).Milliseconds(), DeadlineMs: a.Deadline.Sub(now).Milliseconds(),
 	}
 	for id := range a.Excluded {
--- a/gateway/broker/scheduler.go
+++ b/gateway/broker/scheduler.go
@@ -85,7 +85,7 @@
 // decode returns the request that another instance asks a slot for.
 func decode(now time.Time, m *peers.ReserveRequest) schedule.Request {
 	a := schedule.Request{
-		Service: m.Service, Kind: m.Kind, Target: m.Target, Zone: m.Zone, Priority: m.Priority, OnTime: m.OnTime,
+		Service: m.Service, Kind: m.Kind, Target: m.Target, Zone: m.Zone, Priority: m.Priority, OnTime: m.RejectLate,
 		Objective: now.Add(time.Duration(m.ObjectiveMs) * time.Millisecond),
 		Deadline:  now.Add(time.Duration(m.DeadlineMs) * time.Millisecond),
 	}
--- a/gateway/coordinator/coordinator.go
+++ b/gateway/coordinator/coordinator.go
@@ -234,6 +234,7 @@
 	})
 }
 
+// receiveHeartbeat applies the heartbeat of another instance that leads or has resigned.
 func (c *Coordinator) receiveHeartbeat(now time.Time, m *peers.Message) {
 	if m.Heartbeat.Resigned {
 		c.lastHeartbeat, c.nextLeaseRead = time.Time{}, now
@@ -247,7 +248,8 @@
 	c.observe(m.Heartbeat.LeaseRevision, Lease{Term: m.Heartbeat.Term, Holder: m.From, Incarnation: m.Incarnation, LeaseMs: m.Heartbeat.LeaseMs})
 }
 
-// observe stores a state of the lease's row, unless a newer one is known.
+// observe stores a state of the lease's row, unless it is not newer than the stored one.
+// Revision 0, which means that there is no row, is always stored.
 func (c *Coordinator) observe(revision uint64, l Lease) {
 	if c.observed.known && revision <= c.observed.revision && revision != 0 {
 		return
@@ -264,15 +266,16 @@
 	})
 }
 
+// applyReport applies a report of any instance to the managers of the term.
 func (c *Coordinator) applyReport(now time.Time, r *peers.Report) {
-	for _, l := range r.Loads {
-		if manager := c.leadership.managers[l.Service]; manager != nil {
-			manager.Load.Add(now, l.Key, float64(l.Ms)/1000)
+	for _, load := range r.Loads {
+		if manager := c.leadership.managers[load.Service]; manager != nil {
+			manager.Load.Add(now, load.Key, float64(load.Ms)/1000)
 		}
 	}
-	for _, s := range r.Latencies {
-		if manager := c.leadership.managers[s.Service]; manager != nil {
-			manager.Speed(s.Target, time.Duration(s.Ms)*time.Millisecond)
+	for _, latency := range r.Latencies {
+		if manager := c.leadership.managers[latency.Service]; manager != nil {
+			manager.Speed(latency.Target, time.Duration(latency.Ms)*time.Millisecond)
 		}
 	}
 }
@@ -329,6 +332,7 @@
 	})
 }
 
+// onLeaseRead applies the result of readLease, and sets the time of the next read.
 func (c *Coordinator) onLeaseRead(ctx context.Context, row platform.Row, err error) {
 	c.leaseCallActive = false
 	c.nextLeaseRead = time.Now().Add(leaseReadInterval/2 + rand.N(leaseReadInterval))
@@ -393,6 +397,7 @@
 	})
 }
 
+// onLeaseAcquired applies the result of acquireLease. If the write took effect, a term begins.
 func (c *Coordinator) onLeaseAcquired(ctx context.Context, lease Lease, sent time.Duration, result writeResult) {
 	c.leaseCallActive = false
 	if !result.ok {
@@ -433,6 +438,7 @@
 	c.lastHeartbeat = time.Time{}
 }
 
+// logStoreFailure logs a failed store call, unless it was canceled.
 func (c *Coordinator) logStoreFailure(call string, err error) {
 	if errors.Is(err, context.Canceled) {
 		return
--- a/gateway/peers/message.go
+++ b/gateway/peers/message.go
@@ -15,12 +15,12 @@
 	// Incarnation identifies one start of the sender: another value under the same
 	// name means that the process was restarted.
 	Incarnation string
-	// Revisions are the newest revisions of the sender's replicas, by table.
+	// Revisions are the newest revisions of the sender's mirrors, by table.
 	Revisions        map[string]uint64
 	Heartbeat        *Heartbeat
 	Report           *Report
 	AssignmentUpdate *AssignmentUpdate
-	// Hello announces an instance that starts.
+	// Hello adds the sender to the receiver's list of instances.
 	Hello           *Instance
 	ReserveRequest  *ReserveRequest
 	ReserveResponse *ReserveResponse
@@ -31,22 +31,22 @@
 	TableUpdate     *TableUpdate
 }
 
-// ReaderHeartbeat is the heartbeat of a feed reader: an instance that follows the
-// store's feeds on behalf of its zone.
+// ReaderHeartbeat is the heartbeat of a feed reader: an instance that polls the store's
+// feeds on behalf of its zone.
 type ReaderHeartbeat struct {
 	_ struct{} `cbor:",toarray"`
 
-	// MirrorRevisions is the revision up to which each table's replica is complete. If it is
-	// nil, the sender's connection to the store is unconfirmed, and others must not
-	// rely on its replicas.
+	// MirrorRevisions are the revisions up to which the sender's mirrors are complete, by
+	// table. If it is nil, the sender's connection to the store is unconfirmed, and others
+	// must not rely on its mirrors.
 	MirrorRevisions map[string]uint64
 	// TargetsDigest is the digest of the targets in the sender's roster.
 	TargetsDigest uint64
 }
 
 // TableUpdate holds the changes of a table after revision From, up to and including
-// To, that the other instances of the zone need. Newest is the revision of the newest
-// change, whether it is included or not.
+// To, that the other instances of the zone need. NewestChange is the revision of the
+// newest change, whether it is included or not.
 type TableUpdate struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -55,7 +55,7 @@
 	NewestChange uint64
 	Changes      []RowChange
 	// Fetch is set if the changes do not fit into a datagram: the receiver fetches
-	// the sender's replica instead.
+	// the sender's snapshot of the table instead.
 	Fetch bool
 }
 
@@ -81,7 +81,7 @@
 	Zone        string
 	Excluded    []string
 	Priority    int
-	OnTime      bool
+	RejectLate  bool
 	ObjectiveMs int64
 	DeadlineMs  int64
 }
@@ -110,7 +110,8 @@
 	HeldUs int64
 }
 
-// Heartbeat is sent by the coordinator to all instances at a fixed interval.
+// Heartbeat is sent by the coordinator to all instances at a fixed interval, and in
+// reply to a Hello.
 type Heartbeat struct {
 	_ struct{} `cbor:",toarray"`
 
