--- a/gateway/coordinator/coordinator.go
+++ b/gateway/coordinator/coordinator.go
@@ -190,7 +190,6 @@
 	return rand.N(longest)
 }
 
-// firstReadDelayLimit returns the longest delay before the first read.
 func firstReadDelayLimit(cores float64) time.Duration {
 	if cores <= 0 {
 		return 2 * baseFirstReadDelay
@@ -234,7 +233,6 @@
 	})
 }
 
-// receiveHeartbeat applies the heartbeat of another instance that leads or has resigned.
 func (c *Coordinator) receiveHeartbeat(now time.Time, m *peers.Message) {
 	if m.Heartbeat.Resigned {
 		c.lastHeartbeat, c.nextLeaseRead = time.Time{}, now
@@ -266,7 +264,6 @@
 	})
 }
 
-// applyReport applies a report of any instance to the managers of the term.
 func (c *Coordinator) applyReport(now time.Time, r *peers.Report) {
 	for _, load := range r.Loads {
 		if manager := c.leadership.managers[load.Service]; manager != nil {
@@ -332,7 +329,6 @@
 	})
 }
 
-// onLeaseRead applies the result of readLease, and sets the time of the next read.
 func (c *Coordinator) onLeaseRead(ctx context.Context, row platform.Row, err error) {
 	c.leaseCallActive = false
 	c.nextLeaseRead = time.Now().Add(leaseReadInterval/2 + rand.N(leaseReadInterval))
@@ -397,7 +393,6 @@
 	})
 }
 
-// onLeaseAcquired applies the result of acquireLease. If the write took effect, a term begins.
 func (c *Coordinator) onLeaseAcquired(ctx context.Context, lease Lease, sent time.Duration, result writeResult) {
 	c.leaseCallActive = false
 	if !result.ok {
@@ -415,7 +410,6 @@
 	c.lead(ctx)
 }
 
-// newLeadership returns the state of a term that begins.
 func newLeadership(ctx context.Context, cancel context.CancelFunc, lease Lease, revision uint64) *leadership {
 	return &leadership{
 		lease: lease, revision: revision, writeStarted: time.Now(), started: time.Now(),
@@ -426,7 +420,6 @@
 	}
 }
 
-// stepDown ends the term on this instance.
 func (c *Coordinator) stepDown(reason string) {
 	if c.leadership == nil {
 		return
--- a/gateway/coordinator/lead.go
+++ b/gateway/coordinator/lead.go
@@ -92,7 +92,6 @@
 	return false
 }
 
-// sendHeartbeat sends the heartbeat to all instances when it is due.
 func (c *Coordinator) sendHeartbeat(now time.Time) {
 	l := c.leadership
 	if now.Before(l.nextHeartbeat) {
@@ -103,7 +102,6 @@
 	c.Peers.Broadcast(c.heartbeat(l))
 }
 
-// heartbeat returns the coordinator's heartbeat as a message.
 func (c *Coordinator) heartbeat(l *leadership) *peers.Message {
 	return &peers.Message{Revisions: c.Revisions(), Heartbeat: &peers.Heartbeat{
 		Term: l.lease.Term, LeaseRevision: l.revision, LeaseMs: l.lease.LeaseMs, Members: c.countMembers(time.Now()), InDoubt: l.inDoubt,
--- a/gateway/coordinator/lease_test.go
+++ b/gateway/coordinator/lease_test.go
@@ -52,7 +52,6 @@
 	}
 }
 
-// newWithStore returns a coordinator with a store of its own.
 func newWithStore(t *testing.T) (*standin.Store, *Coordinator) {
 	t.Helper()
 	store := &standin.Store{}
--- a/gateway/coordinator/orders.go
+++ b/gateway/coordinator/orders.go
@@ -51,7 +51,6 @@
 	}
 }
 
-// grant sends a grant once the limit allows it, and reports the outcome to the manager.
 func (c *Coordinator) grant(l *leadership, manager *ownership.Manager, o *ownership.Grant) {
 	limit := l.grantLimit
 	if o.Suspect {
@@ -181,7 +180,6 @@
 
 var errNoAuthority = errors.New("authority to send orders has expired")
 
-// release sends a release, and reports the outcome to the manager.
 func (c *Coordinator) release(l *leadership, manager *ownership.Manager, o *ownership.Release) {
 	sent := time.Now()
 	ctx, cancel := context.WithDeadline(l.ctx, o.Until.Add(releaseTimeout))
