--- a/gateway/keys/keys.go
+++ b/gateway/keys/keys.go
@@ -1,6 +1,6 @@
-// Package keys has the TLS settings for calls between instances: both ends show
-// a certificate of the fleet's authority, TLS 1.3 only. The files are read again
-// when they change, so certificates are replaced without a restart.
+// Package keys provides the TLS configuration for calls between instances. Both ends
+// present a certificate signed by the fleet's authority, and only TLS 1.3 is accepted. The
+// files are read again when they change, so certificates are replaced without a restart.
 package keys
 
 import (
@@ -13,23 +13,24 @@
 	"time"
 )
 
-// Files name an instance's certificate, its key, and the fleet's authority, all
-// in PEM. The zero value means no TLS.
+// Files holds the paths of an instance's certificate, of its key, and of the certificate of
+// the fleet's authority, all in PEM. The zero value means no TLS.
 type Files struct {
 	Certificate string
 	Key         string
 	Authority   string
 
-	mu     sync.Mutex
-	loaded time.Time
+	mu sync.Mutex
+	// newest is the latest modification time of the files that were loaded.
+	newest time.Time
 	pair   *tls.Certificate
 	pool   *x509.CertPool
 }
 
-// Set tells whether TLS is wanted.
+// Set reports whether TLS is configured.
 func (f *Files) Set() bool { return f.Certificate != "" }
 
-// Check loads the files once, so that faults show at the start.
+// Check loads the files once, so that errors in them are reported at the start.
 func (f *Files) Check() error {
 	if !f.Set() {
 		return nil
@@ -38,9 +39,9 @@
 	return err
 }
 
-// load returns the certificate and the authority, read anew if a file is newer.
-// While the files are faulty, as in the middle of a replacement, the last good
-// ones are used.
+// load returns the certificate and the authority, read again if a file has changed. While
+// the files cannot be loaded, as in the middle of a replacement, the last valid ones are
+// used.
 func (f *Files) load() (*tls.Certificate, *x509.CertPool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -50,37 +51,38 @@
 			newest = info.ModTime()
 		}
 	}
-	if f.pair != nil && !newest.After(f.loaded) {
+	if f.pair != nil && !newest.After(f.newest) {
 		return f.pair, f.pool, nil
 	}
-	pair, pool, err := f.read()
+	pair, pool, err := f.readFiles()
 	if err != nil && f.pair != nil {
 		return f.pair, f.pool, nil
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	f.pair, f.pool, f.loaded = pair, pool, newest
+	f.pair, f.pool, f.newest = pair, pool, newest
 	return pair, pool, nil
 }
 
-func (f *Files) read() (*tls.Certificate, *x509.CertPool, error) {
+func (f *Files) readFiles() (*tls.Certificate, *x509.CertPool, error) {
 	pair, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
-		return nil, nil, fmt.Errorf("load certificate: %w", err)
+		return nil, nil, fmt.Errorf("load certificate %s and key %s: %w", f.Certificate, f.Key, err)
 	}
-	content, err := os.ReadFile(f.Authority)
+	pem, err := os.ReadFile(f.Authority)
 	if err != nil {
-		return nil, nil, fmt.Errorf("load authority: %w", err)
+		return nil, nil, fmt.Errorf("load authority certificate: %w", err)
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(content) {
-		return nil, nil, fmt.Errorf("load authority: no certificate in %s", f.Authority)
+	if !pool.AppendCertsFromPEM(pem) {
+		return nil, nil, fmt.Errorf("load authority certificate: no certificate in %s", f.Authority)
 	}
 	return &pair, pool, nil
 }
 
-// Server returns the settings of a listener for other instances.
+// Server returns the TLS configuration of a listener for other instances. It requires a
+// client certificate.
 func (f *Files) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -100,7 +102,7 @@
 	}
 }
 
-// Client returns the settings for calls to other instances.
+// Client returns the TLS configuration for calls to other instances.
 func (f *Files) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -108,25 +110,26 @@
 			pair, _, err := f.load()
 			return pair, err
 		},
-		// The standard check knows only an authority fixed at the start;
-		// verify makes the same check against the present one.
+		// The standard verification uses the authority that was set when the
+		// configuration was created; verify does the same against the current one.
 		InsecureSkipVerify: true, //nolint:gosec // replaced by VerifyConnection
 		VerifyConnection:   f.verify,
 	}
 }
 
-func (f *Files) verify(s tls.ConnectionState) error {
+// verify verifies the server's certificate against the current authority.
+func (f *Files) verify(state tls.ConnectionState) error {
 	_, pool, err := f.load()
 	if err != nil {
 		return err
 	}
-	if len(s.PeerCertificates) == 0 {
-		return errors.New("the other instance shows no certificate")
+	if len(state.PeerCertificates) == 0 {
+		return errors.New("the other instance presented no certificate")
 	}
-	options := x509.VerifyOptions{Roots: pool, DNSName: s.ServerName, Intermediates: x509.NewCertPool()}
-	for _, c := range s.PeerCertificates[1:] {
-		options.Intermediates.AddCert(c)
+	options := x509.VerifyOptions{Roots: pool, DNSName: state.ServerName, Intermediates: x509.NewCertPool()}
+	for _, cert := range state.PeerCertificates[1:] {
+		options.Intermediates.AddCert(cert)
 	}
-	_, err = s.PeerCertificates[0].Verify(options)
+	_, err = state.PeerCertificates[0].Verify(options)
 	return err
 }
--- a/gateway/keys/keys_test.go
+++ b/gateway/keys/keys_test.go
@@ -43,14 +43,14 @@
 	return &authority{t: t, cert: cert, key: key, der: der}
 }
 
-// issue writes the files of an instance whose certificate ends at a time.
-func (a *authority) issue(dir string, end time.Time) *keys.Files {
+// issue writes the files of an instance whose certificate expires at a time.
+func (a *authority) issue(dir string, expires time.Time) *keys.Files {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(a.t, err)
 	der, err := x509.CreateCertificate(rand.Reader, &x509.Certificate{
 		SerialNumber: big.NewInt(2), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
-		NotBefore: time.Now().Add(-2 * time.Hour), NotAfter: end,
+		NotBefore: time.Now().Add(-2 * time.Hour), NotAfter: expires,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}, a.cert, &key.PublicKey, a.key)
 	assert.NilError(a.t, err)
@@ -67,6 +67,7 @@
 	return f
 }
 
+// serve starts a server with the files of an instance, and returns its URL.
 func serve(t *testing.T, f *keys.Files) string {
 	t.Helper()
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -85,19 +86,21 @@
 	return err
 }
 
-func TestBothEndsMustBelongToTheFleet(t *testing.T) {
-	fleet, strangers := newAuthority(t), newAuthority(t)
+// Calls between instances must fail if either end has no certificate, or one of another
+// authority.
+func TestCertificatesOfOtherAuthoritiesAreRejected(t *testing.T) {
+	fleet, others := newAuthority(t), newAuthority(t)
 	later := time.Now().Add(time.Hour)
 	url := serve(t, fleet.issue(t.TempDir(), later))
 	assert.NilError(t, call(url, fleet.issue(t.TempDir(), later).Client()))
-	assert.Assert(t, call(url, strangers.issue(t.TempDir(), later).Client()) != nil, "a stranger got in")
-	foreign := serve(t, strangers.issue(t.TempDir(), later))
-	assert.Assert(t, call(foreign, fleet.issue(t.TempDir(), later).Client()) != nil, "a stranger was trusted")
-	assert.Assert(t, call(url, &tls.Config{InsecureSkipVerify: true}) != nil, "no certificate was asked for")
+	assert.Assert(t, call(url, others.issue(t.TempDir(), later).Client()) != nil, "a client of another authority was accepted")
+	otherURL := serve(t, others.issue(t.TempDir(), later))
+	assert.Assert(t, call(otherURL, fleet.issue(t.TempDir(), later).Client()) != nil, "a server of another authority was accepted")
+	assert.Assert(t, call(url, &tls.Config{InsecureSkipVerify: true}) != nil, "a client without a certificate was accepted")
 }
 
-// A certificate has expired, and calls fail. It is replaced in its files while
-// the process runs, and calls work again.
+// Calls fail because a certificate has expired. After it was replaced in its files, calls must
+// succeed without a restart of the process.
 func TestExpiredCertificateIsReplacedWithoutRestart(t *testing.T) {
 	fleet := newAuthority(t)
 	dir := t.TempDir()
@@ -110,7 +113,8 @@
 	assert.NilError(t, call(url, expired.Client()))
 }
 
-func TestFaultyFilesAreNamed(t *testing.T) {
+// A certificate that cannot be loaded must be reported at the start, not by the first call.
+func TestCheckReportsUnreadableFiles(t *testing.T) {
 	f := &keys.Files{Certificate: "missing", Key: "missing", Authority: "missing"}
 	assert.ErrorContains(t, f.Check(), "load certificate")
 }
