--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -94,7 +94,7 @@
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	d.lanes = &lane.Set{Dial: dialer.DialContext}
 	cell := &authority.Cell{}
-	sum := &heat.Sum{}
+	sum := &heat.Collector{}
 	d.keys = &keys.Files{Certificate: s.TLSCert, Key: s.TLSKey, Authority: s.TLSAuthority}
 	if err := d.keys.Check(); err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 	return d, nil
 }
 
-func (d *Daemon) buildDuties(b *backend, outside *http.Client, peers *peer.Caller, cell *authority.Cell, sum *heat.Sum) {
+func (d *Daemon) buildDuties(b *backend, outside *http.Client, peers *peer.Caller, cell *authority.Cell, sum *heat.Collector) {
 	s := d.settings
 	incarnation := rand.Text()
 	d.renewer = renewer.New(renewer.Options{
--- a/gateway/entry/entry.go
+++ b/gateway/entry/entry.go
@@ -25,7 +25,7 @@
 	View      *view.View
 	Authority *authority.Cell
 	Lanes     *lane.Set
-	Heat      *heat.Sum
+	Heat      *heat.Collector
 	Metrics   *Metrics
 	Log       *slog.Logger
 }
--- a/gateway/heat/heat.go
+++ b/gateway/heat/heat.go
@@ -1,5 +1,5 @@
-// Package heat adds up the work that requests bring to shards and keys, for
-// the reports to the zone's leader.
+// Package heat adds up the work that requests cause per shard and per key, for the reports
+// to the zone's leader.
 package heat
 
 import (
@@ -11,68 +11,70 @@
 )
 
 const (
-	// interval lies between two reports of loads.
-	interval = 2 * time.Second
-	// hotInterval lies between two reports of hot keys, hotKeys is how many
-	// of each service are told.
-	hotInterval = 5 * time.Second
-	hotKeys     = 64
+	// reportInterval is the time between two reports of loads.
+	reportInterval = 2 * time.Second
+	// hotKeyInterval is the time between two reports of hot keys, and maxHotKeys bounds the
+	// keys of each service in one report.
+	hotKeyInterval = 5 * time.Second
+	maxHotKeys     = 64
 )
 
-// Sum collects work between reports. The zero value is empty.
-type Sum struct {
-	mu       sync.Mutex
-	shards   map[name]float32
-	keys     map[string]*hotkey.Sketch
-	taken    time.Time
-	hotTaken time.Time
+// Collector adds up work between reports. The zero value is empty and ready to use.
+type Collector struct {
+	mu            sync.Mutex
+	shards        map[shardID]float32
+	keys          map[string]*hotkey.Sketch
+	lastReport    time.Time
+	lastHotReport time.Time
 }
 
-type name struct {
+// shardID identifies a shard by its service and the first hash of its range.
+type shardID struct {
 	service string
 	first   uint64
 }
 
-// Add books the work of a request for a key in the shard that begins with a
-// hash.
-func (s *Sum) Add(service, key string, first uint64, work float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.shards == nil {
-		s.shards = map[name]float32{}
-		s.keys = map[string]*hotkey.Sketch{}
+// Add adds the work of a request for a key, in the shard whose range begins with the hash
+// first.
+func (c *Collector) Add(service, key string, first uint64, work float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.shards == nil {
+		c.shards = map[shardID]float32{}
+		c.keys = map[string]*hotkey.Sketch{}
 	}
-	s.shards[name{service, first}] += float32(work)
-	sketch, ok := s.keys[service]
+	c.shards[shardID{service, first}] += float32(work)
+	sketch, ok := c.keys[service]
 	if !ok {
 		sketch = &hotkey.Sketch{}
-		s.keys[service] = sketch
+		c.keys[service] = sketch
 	}
 	sketch.Add(key, work)
 }
 
-// Take returns what is due for a report and begins anew; nothing if the last
-// report was not long ago.
-func (s *Sum) Take(now time.Time) (shards []*control.ShardLoad, hot []*control.HotKey) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if now.Sub(s.taken) < interval {
+// Take returns the loads and the hot keys that are due for a report, and resets them. Both
+// are nil if the last report was less than reportInterval ago; hot is nil if the last one
+// with hot keys was less than hotKeyInterval ago.
+func (c *Collector) Take(now time.Time) (shards []*control.ShardLoad, hot []*control.HotKey) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if now.Sub(c.lastReport) < reportInterval {
 		return nil, nil
 	}
-	s.taken = now
-	for n, work := range s.shards {
-		shards = append(shards, &control.ShardLoad{Service: n.service, First: n.first, Work: work})
+	c.lastReport = now
+	for id, work := range c.shards {
+		shards = append(shards, &control.ShardLoad{Service: id.service, First: id.first, Work: work})
 	}
-	clear(s.shards)
-	if now.Sub(s.hotTaken) < hotInterval {
+	clear(c.shards)
+	if now.Sub(c.lastHotReport) < hotKeyInterval {
 		return shards, nil
 	}
-	s.hotTaken = now
-	for service, sketch := range s.keys {
-		for _, c := range sketch.Top(hotKeys) {
-			hot = append(hot, &control.HotKey{Service: service, Key: c.Key, Work: float32(c.Work)})
+	c.lastHotReport = now
+	for service, sketch := range c.keys {
+		for _, counted := range sketch.Top(maxHotKeys) {
+			hot = append(hot, &control.HotKey{Service: service, Key: counted.Key, Work: float32(counted.Work)})
 		}
-		delete(s.keys, service)
+		delete(c.keys, service)
 	}
 	return shards, hot
 }
