--- a/gateway/coordinator/address_test.go
+++ b/gateway/coordinator/address_test.go
@@ -79,7 +79,7 @@
 		Peers:    &peers.Peers{Log: log}, Roster: f.roster, Table: func() *routing.Table { return table },
 		Revisions: func() map[string]uint64 { return nil }, OnLeading: func(int, bool) {}, RestartFeeds: func() {},
 		OnUpdate: func(*peers.AssignmentUpdate) {}, OnOversizedUpdate: func() {}, Log: log, Joined: func() bool { return true },
-		Holds: ownership.Holds{Usual: 3200 * time.Millisecond, Long: 6 * time.Second, Every: 800 * time.Millisecond, Reuse: 2 * time.Second},
+		Holds: ownership.Holds{Normal: 3200 * time.Millisecond, Long: 6 * time.Second, RenewInterval: 800 * time.Millisecond, AddressReuse: 2 * time.Second},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
@@ -109,7 +109,7 @@
 	p := &process{Target: &standin.Target{ID: id, Sharded: true}}
 	p.server = &http.Server{Handler: p.Target, ReadHeaderTimeout: time.Second, ErrorLog: slog.NewLogLogger(slog.NewTextHandler(io.Discard, nil), slog.LevelDebug)}
 	p.listed = &roster.Target{
-		ID: id, Service: "lists", Address: listener.Addr().String(), Slots: 3, Born: time.Now().UnixMilli(),
+		ID: id, Service: "lists", Address: listener.Addr().String(), Slots: 3, Started: time.Now().UnixMilli(),
 	}
 	var group errgroup.Group
 	group.Go(func() error { return p.server.Serve(listener) })
@@ -144,7 +144,7 @@
 func (f *fleet) checkSingleHolder(d time.Duration, processes ...*process) {
 	f.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		for key := 0; key < ownership.Keys; key += 4096 {
+		for key := 0; key < ownership.KeyCount; key += 4096 {
 			holder := ""
 			for _, p := range processes {
 				if !p.Holds(key) {
@@ -192,13 +192,13 @@
 	first.crash()
 	second := f.startTarget("newcomer", first.listed.Address)
 	// It starts with a warm-up, so that some of the keys move to others.
-	second.listed.Warming = 3 * time.Second
+	second.listed.WarmupLeft = 3 * time.Second
 	f.checkSingleHolder(time.Second, second, targets[1], targets[2])
 	f.setListed(second, true)
 	f.setListed(first, false)
 	f.checkSingleHolder(4*time.Second, second, targets[1], targets[2])
 	f.waitFor("all keys are held", func() bool {
-		for key := 0; key < ownership.Keys; key += 4096 {
+		for key := 0; key < ownership.KeyCount; key += 4096 {
 			if !second.Holds(key) && !targets[1].Holds(key) && !targets[2].Holds(key) {
 				return false
 			}
@@ -215,7 +215,7 @@
 	replacement, other = f.startTarget("newcomer", "127.0.0.1:0"), f.startTarget("other", "127.0.0.1:0")
 	replacement.listed.Service, other.listed.Service = "others", "others"
 	dead := &process{Target: &standin.Target{ID: "dead"}, listed: &roster.Target{
-		ID: "dead", Service: "lists", Address: replacement.listed.Address, Slots: 3, Born: replacement.listed.Born - 5000,
+		ID: "dead", Service: "lists", Address: replacement.listed.Address, Slots: 3, Started: replacement.listed.Started - 5000,
 	}}
 	f.setListed(dead, true)
 	f.setListed(f.startTarget("last", "127.0.0.1:0"), true)
@@ -251,7 +251,7 @@
 	l := newLeadership(ctx, cancel, Lease{Term: 1}, 1)
 	l.authorityEnd.Store(int64(boottime() - time.Millisecond))
 	c.leadership = l
-	c.release(l, &ownership.Manager{}, &ownership.Release{Address: "127.0.0.1:1", Until: time.Now().Add(time.Second)})
+	c.release(l, &ownership.Manager{}, &ownership.Release{Address: "127.0.0.1:1", HeldUntil: time.Now().Add(time.Second)})
 	assert.Equal(t, len(c.events), 1)
 }
 
@@ -267,7 +267,7 @@
 		{&platform.OrderError{Status: http.StatusBadRequest}, ownership.Refused},
 		{&platform.OrderError{Status: http.StatusMisdirectedRequest}, ownership.Unknown},
 		{&platform.OrderError{Status: http.StatusServiceUnavailable}, ownership.Unknown},
-		{&unsentError{&channel.LostError{}}, ownership.ChannelClosed},
+		{&unsentError{&channel.ClosedError{}}, ownership.ChannelClosed},
 		{&unsentError{context.DeadlineExceeded}, ownership.Unsent},
 		{&net.OpError{Op: "dial"}, ownership.Unsent},
 		{&net.OpError{Op: "read"}, ownership.Unknown},
--- a/gateway/coordinator/coordinator.go
+++ b/gateway/coordinator/coordinator.go
@@ -272,7 +272,7 @@
 	}
 	for _, latency := range r.Latencies {
 		if manager := c.leadership.managers[latency.Service]; manager != nil {
-			manager.Speed(latency.Target, time.Duration(latency.Ms)*time.Millisecond)
+			manager.SetLatency(latency.Target, time.Duration(latency.Ms)*time.Millisecond)
 		}
 	}
 }
--- a/gateway/coordinator/lead.go
+++ b/gateway/coordinator/lead.go
@@ -195,14 +195,14 @@
 		if manager == nil {
 			manager = &ownership.Manager{
 				Service: s.Name, Term: l.lease.Term, Epochs: l.epochs, Holds: c.Holds,
-				Jitter: rand.N[time.Duration], Inherited: c.inheritedLogger(s.Name),
+				Jitter: rand.N[time.Duration], OnInherit: c.inheritedLogger(s.Name),
 			}
-			manager.Take(now, l.recorded[s.Name], c.Holds.Long+orderTimeout, l.storeTime(now))
-			manager.StoreInDoubt(now, l.inDoubt)
+			manager.BeginTerm(now, l.recorded[s.Name], c.Holds.Long+orderTimeout, l.storeTime(now))
+			manager.SetStoreInDoubt(now, l.inDoubt)
 			l.managers[s.Name] = manager
 		}
 		c.detectReplacedOwners(manager, table, view)
-		for _, o := range manager.Step(now, view.Services[s.Name]) {
+		for _, o := range manager.Step(now, view.ByService[s.Name]) {
 			c.execute(manager, o)
 		}
 	}
@@ -221,7 +221,7 @@
 	l.nextHeartbeat = time.Time{}
 	event.StoreInDoubt.Log(c.Log, "term", l.lease.Term, "waitedMs", now.Sub(l.writeStarted).Milliseconds())
 	for _, manager := range l.managers {
-		manager.StoreInDoubt(now, true)
+		manager.SetStoreInDoubt(now, true)
 	}
 }
 
@@ -278,7 +278,7 @@
 		for _, manager := range l.managers {
 			// When the answer arrives, the store's clock is ahead of the value in it by no
 			// more than the duration of the write.
-			manager.SetClock(result.storeClockAt, result.storeClock+result.took)
+			manager.SetStoreClock(result.storeClockAt, result.storeClock+result.took)
 		}
 	}
 	l.authorityEnd.Store(int64(sent + time.Duration(next.LeaseMs)*time.Millisecond - orderMargin))
@@ -287,13 +287,13 @@
 		l.inDoubt = false
 		c.RestartFeeds()
 		for _, manager := range l.managers {
-			manager.StoreInDoubt(now, false)
+			manager.SetStoreInDoubt(now, false)
 		}
 	}
 	for name, r := range records {
-		moved := ownership.Moved{}
+		moved := ownership.MoveCounts{}
 		if manager := l.managers[name]; manager != nil {
-			moved = manager.Moved
+			moved = manager.Moves
 			manager.Recorded(now, true)
 		}
 		event.KeysRecorded.Log(c.Log, "service", name, "term", next.Term, "revision", result.revision,
@@ -320,7 +320,7 @@
 	last := l.announced[service]
 	l.announced[service] = announcement{a, revision}
 	if last.assignment != nil {
-		changed := last.assignment.Differences(a)
+		changed := last.assignment.Diff(a)
 		if parts := (len(changed) + piecesPerDatagram - 1) / piecesPerDatagram; parts <= maxUpdateParts {
 			c.sendUpdate(&peers.AssignmentUpdate{Service: service, Term: a.Term, Base: last.revision, Revision: revision, Parts: max(1, parts)}, changed)
 			return
--- a/gateway/coordinator/orders.go
+++ b/gateway/coordinator/orders.go
@@ -78,11 +78,11 @@
 	sent = time.Now()
 	takeCtx, cancelTake := context.WithTimeout(l.ctx, orderTimeout)
 	defer cancelTake()
-	ch, err := c.Channels.Take(takeCtx, o.Address, o.Channel)
+	ch, err := c.Channels.Acquire(takeCtx, o.Address, o.Channel)
 	if err != nil {
 		return sent, &unsentError{err}
 	}
-	defer ch.Back()
+	defer ch.Release()
 	if err := c.verifyTarget(l.ctx, service, ch, o); err != nil {
 		return sent, &unsentError{err}
 	}
@@ -97,7 +97,7 @@
 		event.OrderChannel.Log(c.Log, "service", service, "target", o.Owner.ID, "address", o.Address,
 			"channel", ch.Number, "first", o.First, "last", o.Last, "epoch", o.Epoch)
 	}
-	o.Channel, o.Opened = ch.Number, ch.Opened
+	o.Channel, o.ChannelOpened = ch.Number, ch.Opened
 	ctx, cancel := context.WithTimeout(l.ctx, orderTimeout)
 	defer cancel()
 	sent = time.Now()
@@ -110,8 +110,8 @@
 // otherServiceTargetAt returns the ID of another service's target that is listed at the
 // order's address and was started after the intended one; it would accept the order.
 func (c *Coordinator) otherServiceTargetAt(service string, o *ownership.Grant) string {
-	listed := c.Roster.Load().Addresses[o.Address]
-	if listed == nil || listed.Service == service || listed.Born <= o.Owner.Born {
+	listed := c.Roster.Load().ByAddress[o.Address]
+	if listed == nil || listed.Service == service || listed.Started <= o.Owner.Started {
 		return ""
 	}
 	return listed.ID
@@ -182,7 +182,7 @@
 
 func (c *Coordinator) release(l *leadership, manager *ownership.Manager, o *ownership.Release) {
 	sent := time.Now()
-	ctx, cancel := context.WithDeadline(l.ctx, o.Until.Add(releaseTimeout))
+	ctx, cancel := context.WithDeadline(l.ctx, o.HeldUntil.Add(releaseTimeout))
 	defer cancel()
 	if !c.hasAuthority(l) {
 		event.OrderDropped.Log(c.Log, "term", l.lease.Term, "target", o.Owner.ID)
@@ -195,7 +195,7 @@
 	now := time.Now()
 	event.KeysReleased.Log(c.Log, "service", manager.Service, "target", o.Owner.ID, "first", o.First, "last", o.Last,
 		"epoch", o.Epoch, "handover", handover != "", "tookMs", now.Sub(sent).Milliseconds(),
-		"heldForMs", o.Until.Sub(now).Milliseconds(), "error", err)
+		"heldForMs", o.HeldUntil.Sub(now).Milliseconds(), "error", err)
 	c.enqueue(l.ctx, func() {
 		manager.Released(now, o, handover, orderOutcome(err))
 	})
@@ -215,16 +215,16 @@
 // address are handled by the manager itself.
 func (c *Coordinator) detectReplacedOwners(manager *ownership.Manager, table *routing.Table, view *roster.View) {
 	for incarnation, owner := range manager.Owners() {
-		replacement := view.Addresses[owner.Address]
-		if replacement == nil || replacement.Service == manager.Service || replacement.Born <= incarnation.Born {
+		replacement := view.ByAddress[owner.Address]
+		if replacement == nil || replacement.Service == manager.Service || replacement.Started <= incarnation.Started {
 			continue
 		}
-		if !owner.Silent && view.Targets[incarnation.ID] != nil {
+		if !owner.Unresponsive && view.Targets[incarnation.ID] != nil {
 			continue
 		}
 		service := table.Service(replacement.Service)
 		sharded := service == nil || service.Sharded
-		if manager.Gone(incarnation, sharded) {
+		if manager.OwnerReplaced(incarnation, sharded) {
 			event.TargetGone.Log(c.Log, "service", manager.Service, "target", incarnation.ID, "address", owner.Address,
 				"now", replacement.ID, "nowService", replacement.Service, "divided", sharded)
 		}
@@ -233,8 +233,8 @@
 
 // inheritedLogger returns a function that logs that the target at a piece's address inherits
 // its keys.
-func (c *Coordinator) inheritedLogger(service string) func(ownership.Piece, roster.Life) {
-	return func(p ownership.Piece, to roster.Life) {
+func (c *Coordinator) inheritedLogger(service string) func(ownership.Piece, roster.Incarnation) {
+	return func(p ownership.Piece, to roster.Incarnation) {
 		event.KeysInherited.Log(c.Log, "service", service, "target", p.Owner, "address", p.Address,
 			"now", to.ID, "first", p.First, "last", p.Last)
 	}
@@ -244,7 +244,7 @@
 func orderOutcome(err error) ownership.Outcome {
 	var stale *platform.StaleEpochError
 	var refused *platform.OrderError
-	var lost *channel.LostError
+	var lost *channel.ClosedError
 	var unsent *unsentError
 	var op *net.OpError
 	switch {
--- a/gateway/leader/absorb.go
+++ b/gateway/leader/absorb.go
@@ -93,7 +93,7 @@
 	switch {
 	case after && d.zone == nil:
 		d.zone = &zone.Leader{Zone: d.Zone, UnknownUntil: d.seat.UnknownUntil()}
-		d.book = &promise.Book{ConfirmFrom: time.Now().Add(lease.Wait(seat.Hold))}
+		d.book = &promise.Ledger{ConfirmFrom: time.Now().Add(lease.Wait(seat.Hold))}
 		d.ready = false
 		event.SeatGained.Log(d.Log, "seat", d.Zone, "term", r.Term)
 	case before && !after:
--- a/gateway/leader/leader.go
+++ b/gateway/leader/leader.go
@@ -91,7 +91,7 @@
 	mu      sync.Mutex
 	seat    seat.Seat
 	seats   map[string]*seat.Seat
-	book    *promise.Book
+	book    *promise.Ledger
 	zone    *zone.Leader
 	ready   bool
 	started time.Time
--- a/gateway/leader/outage.go
+++ b/gateway/leader/outage.go
@@ -66,7 +66,7 @@
 		return nil, nil, 0
 	}
 	others = d.otherSeats()
-	needed, ok := promise.NeededToExtend(len(others) + 1)
+	needed, ok := promise.ExtendQuorum(len(others) + 1)
 	if !ok {
 		return nil, nil, 0
 	}
@@ -118,7 +118,7 @@
 	if s, ok := d.seats[req.GetZone()]; ok {
 		known, version = s.Record()
 	}
-	res.Extended = d.book.Extend(now, promise.Request{
+	res.Extended = d.book.Extend(now, promise.ExtendRequest{
 		Zone: req.GetZone(), Holder: req.GetHolder(), Incarnation: req.GetIncarnation(), Version: req.GetRowVersion(),
 	}, known, version)
 	return res, nil
