--- a/gateway/coordinator/coordinator.go
+++ b/gateway/coordinator/coordinator.go
@@ -1,6 +1,6 @@
-// Package coordinator is the duty of the one instance that grants keys. It
-// holds a lease in the store, keeps each sharded service's holders, and sends
-// grants and releases to targets. Every instance runs it; one leads.
+// Package coordinator elects the one instance that grants keys to targets. The
+// coordinator holds a lease in the store, keeps the assignment of each sharded
+// service, and sends grants and releases to targets. Every instance runs it; one leads.
 package coordinator
 
 import (
@@ -23,41 +23,43 @@
 )
 
 const (
-	// stepInterval is how often due orders are looked for.
+	// stepInterval is the time between two checks for due orders and calls.
 	stepInterval = 40 * time.Millisecond
-	// heartbeatInterval is the time between two signs of life.
+	// heartbeatInterval is the time between two heartbeats.
 	heartbeatInterval = 250 * time.Millisecond
-	// heartbeatTimeout is when a coordinator that was heard before counts as silent,
-	// and its row is looked at.
+	// heartbeatTimeout is the time after the last heartbeat at which a coordinator
+	// counts as unresponsive, and the lease's row is read.
 	heartbeatTimeout = 900 * time.Millisecond
-	// baseFirstReadDelay is the longest wait after the start before the row is looked at,
-	// of an instance with a whole processor; others wait as much longer as they
-	// have less of one. Of a fleet that starts at once a few strong ones look,
-	// and the others hear the one that leads.
+	// baseFirstReadDelay is the longest delay between the start and the first read of
+	// the row, for an instance with one whole processor. The delay is inversely
+	// proportional to the share of a processor, at most maxFirstReadDelay. In a fleet
+	// that starts at once, a few strong instances read the row, and the others receive
+	// the heartbeat of the one that leads.
 	baseFirstReadDelay = 150 * time.Millisecond
 	maxFirstReadDelay  = 1200 * time.Millisecond
-	// leaseReadInterval is the time between two looks at the row.
+	// leaseReadInterval is the mean time between two reads of the row.
 	leaseReadInterval = 400 * time.Millisecond
-	// fleetReadInterval is the mean time between two looks of the whole fleet while the
-	// store does not answer: each call is paid, and one that is answered is
-	// enough.
+	// fleetReadInterval is the mean time between two reads by the whole fleet while the
+	// store does not answer: each call is billed, and one that is answered is enough.
 	fleetReadInterval = 100 * time.Millisecond
-	// renewedReadInterval is the same while its holder is seen to renew it.
+	// renewedReadInterval is the time to the next read after a read has shown that the
+	// holder renews the row.
 	renewedReadInterval = 1500 * time.Millisecond
-	// takeoverSpread is the random wait per member before trying to take over, so that
-	// most see the first one's success instead of writing too. Instances with
-	// less than the largest share of a processor wait weakDelay longer: the
-	// coordinator sends all renewals, which can be more than a small one can do.
+	// takeoverSpread is the random takeover delay per instance of the same strength, so
+	// that most see the first one succeed instead of writing too. Instances with
+	// less than the largest share of a processor wait weakTakeoverDelay longer: the
+	// coordinator sends all renewals, which can be more than a small instance can do.
 	takeoverSpread    = 10 * time.Millisecond
 	weakTakeoverDelay = 250 * time.Millisecond
-	// memberTimeout is how long an instance counts after its last report.
+	// memberTimeout is how long an instance counts as a member after its last message.
 	memberTimeout = 2 * time.Second
-	// inDoubtAfter is when a write without an answer makes holds long: early
-	// enough that all targets get them within the lease that is left.
+	// inDoubtAfter is the time without an answer to a write after which longer holds
+	// are granted: early enough for all targets to receive them within the rest of the
+	// lease.
 	inDoubtAfter = 800 * time.Millisecond
-	// healthyWriteTime is the duration of a write that shows the store to be well.
+	// healthyWriteTime is the longest duration of a write to a healthy store.
 	healthyWriteTime = 400 * time.Millisecond
-	// eventQueueSize bounds what waits for the duty's goroutine.
+	// eventQueueSize bounds the events that wait for the coordinator's goroutine.
 	eventQueueSize = 1024
 )
 
@@ -65,97 +67,100 @@
 type Options struct {
 	Self  peers.Instance
 	Store *platform.Store
-	// Channels are for grants, each of which belongs to one connection, and
-	// Releases for what may go to whoever lives at the address.
+	// Channels are for grants, each of which belongs to one connection. Releases is for
+	// orders that any target at the address may receive.
 	Channels *channel.Set
 	Releases *platform.Grants
 	Peers    *peers.Peers
 	Roster   *roster.Roster
-	// Table returns the routes in force, or nil.
+	// Table returns the routing table in force, or nil.
 	Table func() *routing.Table
-	// Revisions returns how far this instance's copies go.
+	// Revisions returns the newest revisions of this instance's mirrors, by table.
 	Revisions func() map[string]uint64
-	// OnLeading is told how many instances report and whether the store answers, with each
-	// sign of life and when that changes.
-	OnLeading func(members int, answers bool)
-	// RestartFeeds begins the feeds of this instance's copies anew: others compare
-	// theirs with them, and feeds may hang that the store took while it did
-	// not answer.
+	// OnLeading is called while this instance leads, with each heartbeat and when storeAnswers
+	// changes. It gets the number of instances that report, and whether the store answers.
+	OnLeading func(members int, storeAnswers bool)
+	// RestartFeeds restarts the feeds of this instance's mirrors: others compare theirs
+	// with them, and feeds that the store accepted while it was unresponsive may hang.
 	RestartFeeds func()
-	// OnUpdate is told of recorded changes, Missed of those too large to tell.
-	OnUpdate          func(n *peers.AssignmentUpdate)
+	// OnUpdate is called for each recorded change of an assignment, and OnOversizedUpdate
+	// for each one that is too large to be sent in datagrams.
+	OnUpdate          func(u *peers.AssignmentUpdate)
 	OnOversizedUpdate func()
 	Holds             ownership.Holds
 	Log               *slog.Logger
-	// Joined tells whether other instances are known, as far as there are any.
+	// Joined reports whether the other instances, if there are any, are known.
 	Joined func() bool
 }
 
-// Coordinator is the duty. Create it with New.
+// Coordinator takes part in the election and, while it leads, manages the owners of keys.
+// Create it with New.
 type Coordinator struct {
 	Options
 
 	events chan func()
 	group  errgroup.Group
 
-	// The rest belongs to the duty's goroutine.
+	// The fields below are used by the goroutine of Serve alone.
 	observed        observedLease
 	lastHeartbeat   time.Time
 	nextLeaseRead   time.Time
 	leaseCallActive bool
-	// takeoverRevision is the revision of the row for which this instance waits its turn.
+	// takeoverRevision is the revision of the row for which the takeover delay was set.
 	takeoverRevision uint64
 	leadership       *leadership
-	// stopping is set once the instance ends: it leads no more.
+	// stopping is set once the instance shuts down: it does not take over any more.
 	stopping bool
-	members  map[string]time.Time
+	// members holds when the last message of each instance was received.
+	members map[string]time.Time
 }
 
-// leadership is the state of a term. Another term has another one, so answers to
-// orders of a former term are known by it.
+// leadership is the state of one term. Each term has its own, so that answers to orders
+// of an earlier term can be recognized.
 type leadership struct {
 	lease    Lease
 	revision uint64
-	// authorityEnd is the end of the authority, by the boot-time clock.
+	// authorityEnd is when the authority to send orders ends, by the boot-time clock.
 	authorityEnd atomic.Int64
 	managers     map[string]*ownership.Manager
-	// epochs are the term's, for all services.
+	// epochs issues the epochs of the term, for all services.
 	epochs *ownership.Epochs
-	// recorded is what the store had when the term began; nil until read.
+	// recorded holds the assignments in the store when the term began; nil until read.
 	recorded map[string]*ownership.Assignment
-	// storeClock is the store's clock when it was read, at storeAt.
-	storeClock    time.Duration
-	storeClockAt  time.Time
-	reading       bool
-	writing       bool
-	writeStarted  time.Time
-	started       time.Time
+	// storeClock is the store's clock in the answer that arrived at storeClockAt.
+	storeClock   time.Duration
+	storeClockAt time.Time
+	reading      bool
+	writing      bool
+	writeStarted time.Time
+	started      time.Time
+	// pending holds the assignments that the next write records, by service.
 	pending       map[string]*ownership.Record
 	nextHeartbeat time.Time
 	announced     map[string]announcement
 	inDoubt       bool
-	// writeOverdue is set while a write takes longer than the store needs if it is well.
+	// writeOverdue is set while a write takes longer than healthyWriteTime.
 	writeOverdue bool
 	resigning    bool
 	cancel       context.CancelFunc
 	ctx          context.Context
-	// grantLimit and suspects bound the grants under way.
+	// grantLimit and suspectLimit bound the grants in flight.
 	grantLimit   *semaphore.Weighted
 	suspectLimit *semaphore.Weighted
 }
 
-// announcement is what instances were told last of a service.
+// announcement is the last assignment of a service that was sent to the instances.
 type announcement struct {
 	assignment *ownership.Assignment
 	revision   uint64
 }
 
-// New returns a duty.
+// New returns a Coordinator that does not lead.
 func New(o Options) *Coordinator {
 	return &Coordinator{Options: o, events: make(chan func(), eventQueueSize), members: map[string]time.Time{}}
 }
 
-// Serve runs the duty until the context ends.
+// Serve runs the coordinator until the context ends, and returns the context's error.
 func (c *Coordinator) Serve(ctx context.Context) error {
 	tick := time.NewTicker(stepInterval)
 	defer tick.Stop()
@@ -172,8 +177,9 @@
 	}
 }
 
-// firstReadDelay is the wait before the first look. Whoever knows a stronger
-// instance lets it take over and be heard first.
+// firstReadDelay returns the random delay before the first read of the lease. An instance
+// in whose list there is a stronger one waits long enough for that one to take over and
+// send a heartbeat.
 func firstReadDelay(self peers.Instance, all []peers.Instance) time.Duration {
 	longest := firstReadDelayLimit(self.Cores)
 	for _, i := range all {
@@ -191,8 +197,9 @@
 	return min(maxFirstReadDelay, time.Duration(float64(baseFirstReadDelay)/cores))
 }
 
-// enqueue brings something to the duty's goroutine. Losing it could leave a call
-// open for ever, so it waits; the duty never waits for its callers.
+// enqueue passes a function to the goroutine of Serve. Dropping it could leave a call
+// pending forever, so enqueue blocks while the queue is full; Serve itself never waits
+// for the callers.
 func (c *Coordinator) enqueue(ctx context.Context, f func()) {
 	select {
 	case c.events <- f:
@@ -200,7 +207,7 @@
 	}
 }
 
-// tryEnqueue is like post for what may be lost.
+// tryEnqueue is like enqueue, but drops the function if the queue is full.
 func (c *Coordinator) tryEnqueue(f func()) {
 	select {
 	case c.events <- f:
@@ -208,7 +215,7 @@
 	}
 }
 
-// Receive takes in another instance's message.
+// Receive processes another instance's message. It does not block.
 func (c *Coordinator) Receive(m *peers.Message) {
 	c.tryEnqueue(func() {
 		now := time.Now()
@@ -220,7 +227,7 @@
 			c.applyReport(now, m.Report)
 		}
 		if m.Hello != nil && c.leadership != nil {
-			// It need not look at the lease's row, which is a call.
+			// This saves the new instance a read of the lease, which is a store call.
 			c.Peers.Send(m.From, c.heartbeat(c.leadership))
 		}
 	})
@@ -239,7 +246,8 @@
 	c.observe(m.Heartbeat.LeaseRevision, Lease{Term: m.Heartbeat.Term, Holder: m.From, Incarnation: m.Incarnation, LeaseMs: m.Heartbeat.LeaseMs})
 }
 
-// observe notes a row of the lease.
+// observe stores a state of the lease's row, unless it is not newer than the stored one.
+// Revision 0, which means that there is no row, is always stored.
 func (c *Coordinator) observe(revision uint64, l Lease) {
 	if c.observed.known && revision <= c.observed.revision && revision != 0 {
 		return
@@ -247,7 +255,7 @@
 	c.observed = observedLease{revision: revision, lease: l, firstSeen: boottime(), known: true}
 }
 
-// ApplyReport takes in this instance's own loads.
+// ApplyReport applies this instance's own report, if it leads. It does not block.
 func (c *Coordinator) ApplyReport(r *peers.Report) {
 	c.tryEnqueue(func() {
 		if c.leadership != nil {
@@ -257,18 +265,19 @@
 }
 
 func (c *Coordinator) applyReport(now time.Time, r *peers.Report) {
-	for _, l := range r.Loads {
-		if k := c.leadership.managers[l.Service]; k != nil {
-			k.Load.Add(now, l.Key, float64(l.Ms)/1000)
+	for _, load := range r.Loads {
+		if manager := c.leadership.managers[load.Service]; manager != nil {
+			manager.Load.Add(now, load.Key, float64(load.Ms)/1000)
 		}
 	}
-	for _, s := range r.Latencies {
-		if k := c.leadership.managers[s.Service]; k != nil {
-			k.SetLatency(s.Target, time.Duration(s.Ms)*time.Millisecond)
+	for _, latency := range r.Latencies {
+		if manager := c.leadership.managers[latency.Service]; manager != nil {
+			manager.SetLatency(latency.Target, time.Duration(latency.Ms)*time.Millisecond)
 		}
 	}
 }
 
+// step does what is due: the work of a term, or the check for a lease that has ended.
 func (c *Coordinator) step(ctx context.Context) {
 	if c.leadership != nil {
 		c.lead(ctx)
@@ -287,9 +296,9 @@
 	c.readLease(ctx)
 }
 
-// leaseReadDue tells whether a look at the row is worth its call: what is known of it
-// says that its holder's time has passed. Then each instance waits its turn, so
-// that most hear the next coordinator before they look.
+// leaseReadDue reports whether the lease should be read: the observed row says that it
+// has ended, so that the store call is worth its price. Each instance then waits for its
+// takeover delay, so that most receive the next coordinator's heartbeat before they read.
 func (c *Coordinator) leaseReadDue(now time.Time) bool {
 	if !c.observed.known {
 		return true
@@ -308,7 +317,7 @@
 	return !now.Before(c.nextLeaseRead)
 }
 
-// readLease reads the lease's row and takes over if its holder's time has passed.
+// readLease reads the lease's row, and acquires the lease if it has ended.
 func (c *Coordinator) readLease(ctx context.Context) {
 	c.leaseCallActive = true
 	c.group.Go(func() error {
@@ -336,7 +345,8 @@
 		}
 	}
 	if renewed := c.observed.known && row.Revision > c.observed.revision; renewed {
-		// It is alive and does not reach us; perhaps it does not know us.
+		// The holder is running, but its heartbeats do not arrive; it may not have this
+		// instance in its list.
 		c.nextLeaseRead = time.Now().Add(renewedReadInterval)
 		c.Peers.Send(l.Holder, &peers.Message{Hello: &c.Self})
 	}
@@ -347,79 +357,81 @@
 	c.acquireLease(ctx)
 }
 
-// takeoverDelay is the wait before an instance tries to take over. The wait is
-// spread over those that are as strong as itself.
+// takeoverDelay returns the random delay before an instance tries to take over. Its
+// range grows with the number of instances that are as strong.
 func takeoverDelay(self peers.Instance, all []peers.Instance) time.Duration {
-	alike, weak := 1, false
+	equal, weak := 1, false
 	for _, i := range all {
 		if i.Name == self.Name {
 			continue
 		}
 		weak = weak || i.Cores > self.Cores
 		if i.Cores == self.Cores {
-			alike++
+			equal++
 		}
 	}
-	delay := rand.N(takeoverSpread * time.Duration(alike))
+	delay := rand.N(takeoverSpread * time.Duration(equal))
 	if weak {
 		delay += weakTakeoverDelay
 	}
 	return delay
 }
 
-// acquireLease writes the lease's row for the next term.
+// acquireLease writes the lease's row for the next term, on the condition that the row is
+// still the observed one.
 func (c *Coordinator) acquireLease(ctx context.Context) {
 	c.leaseCallActive = true
 	sent := boottime()
-	mine := Lease{Term: c.observed.lease.Term + 1, Holder: c.Self.Name, Incarnation: c.Self.Incarnation, LeaseMs: leaseDuration.Milliseconds(), Seq: 1}
-	on := c.observed.revision
+	lease := Lease{Term: c.observed.lease.Term + 1, Holder: c.Self.Name, Incarnation: c.Self.Incarnation, LeaseMs: leaseDuration.Milliseconds(), Seq: 1}
+	expected := c.observed.revision
 	c.group.Go(func() error {
 		callCtx, cancel := context.WithTimeout(ctx, leaseDuration)
 		defer cancel()
-		s := c.writeLease(callCtx, &mine, on, nil)
-		c.enqueue(ctx, func() { c.onLeaseAcquired(ctx, mine, sent, s) })
+		result := c.writeLease(callCtx, &lease, expected, nil)
+		c.enqueue(ctx, func() { c.onLeaseAcquired(ctx, lease, sent, result) })
 		return nil
 	})
 }
 
-func (c *Coordinator) onLeaseAcquired(ctx context.Context, mine Lease, sent time.Duration, s writeResult) {
+func (c *Coordinator) onLeaseAcquired(ctx context.Context, lease Lease, sent time.Duration, result writeResult) {
 	c.leaseCallActive = false
-	if !s.ok {
-		if s.revision != 0 {
-			c.observe(s.revision, s.current)
+	if !result.ok {
+		if result.revision != 0 {
+			c.observe(result.revision, result.current)
 		}
 		return
 	}
 	termCtx, cancel := context.WithCancel(ctx)
-	c.observe(s.revision, mine)
-	c.leadership = newLeadership(termCtx, cancel, mine, s.revision)
+	c.observe(result.revision, lease)
+	c.leadership = newLeadership(termCtx, cancel, lease, result.revision)
 	c.leadership.authorityEnd.Store(int64(sent + leaseDuration - orderMargin))
 	c.RestartFeeds()
-	event.LeadGained.Log(c.Log, "term", mine.Term, "revision", s.revision)
+	event.LeadGained.Log(c.Log, "term", lease.Term, "revision", result.revision)
 	c.lead(ctx)
 }
 
-func newLeadership(ctx context.Context, cancel context.CancelFunc, mine Lease, revision uint64) *leadership {
+func newLeadership(ctx context.Context, cancel context.CancelFunc, lease Lease, revision uint64) *leadership {
 	return &leadership{
-		lease: mine, revision: revision, writeStarted: time.Now(), started: time.Now(),
+		lease: lease, revision: revision, writeStarted: time.Now(), started: time.Now(),
 		announced: map[string]announcement{},
-		epochs:    &ownership.Epochs{Term: mine.Term}, managers: map[string]*ownership.Manager{}, pending: map[string]*ownership.Record{},
+		epochs:    &ownership.Epochs{Term: lease.Term}, managers: map[string]*ownership.Manager{}, pending: map[string]*ownership.Record{},
 		grantLimit: semaphore.NewWeighted(maxConcurrentGrants), suspectLimit: semaphore.NewWeighted(maxConcurrentSuspects),
 		ctx: ctx, cancel: cancel,
 	}
 }
 
-func (c *Coordinator) stepDown(why string) {
+func (c *Coordinator) stepDown(reason string) {
 	if c.leadership == nil {
 		return
 	}
-	event.LeadLost.Log(c.Log, "term", c.leadership.lease.Term, "reason", why)
+	event.LeadLost.Log(c.Log, "term", c.leadership.lease.Term, "reason", reason)
 	c.leadership.cancel()
 	c.leadership = nil
 	c.Channels.Close()
 	c.lastHeartbeat = time.Time{}
 }
 
+// logStoreFailure logs a failed store call, unless it was canceled.
 func (c *Coordinator) logStoreFailure(call string, err error) {
 	if errors.Is(err, context.Canceled) {
 		return
--- a/gateway/peers/message.go
+++ b/gateway/peers/message.go
@@ -1,46 +1,52 @@
-// Package peers is what instances tell each other in small datagrams: that the
-// coordinator is there, how far each one's copies go, and the load on keys.
+// Package peers exchanges small datagrams between instances: the coordinator's
+// heartbeat, replication progress, assignment and table updates, slot
+// reservations, and the load per key.
 package peers
 
 import "basilcross.example/basilcross/ownership"
 
-// Message is a datagram, encoded as CBOR arrays: names of fields would be most
-// of its bytes, and those between regions are paid. Exactly one of its pointers is set.
+// Message is the payload of a datagram. It and its parts are encoded as CBOR
+// arrays: field names would make up most of its bytes, and traffic between
+// regions is billed. Exactly one of its pointers is set, or Leaving.
 type Message struct {
 	_ struct{} `cbor:",toarray"`
 
 	From string
-	// Incarnation is the sender's lifetime: another one under the same name means
-	// that the process was started anew.
-	Incarnation      string
+	// Incarnation identifies one start of the sender: another value under the same
+	// name means that the process was restarted.
+	Incarnation string
+	// Revisions are the newest revisions of the sender's mirrors, by table.
 	Revisions        map[string]uint64
 	Heartbeat        *Heartbeat
 	Report           *Report
 	AssignmentUpdate *AssignmentUpdate
-	Hello            *Instance
-	ReserveRequest   *ReserveRequest
-	ReserveResponse  *ReserveResponse
-	Release          *Release
-	// Leaving is set in the last message of an instance that ends.
+	// Hello adds the sender to the receiver's list of instances.
+	Hello           *Instance
+	ReserveRequest  *ReserveRequest
+	ReserveResponse *ReserveResponse
+	Release         *Release
+	// Leaving is set in the last message of an instance that shuts down.
 	Leaving         bool
 	ReaderHeartbeat *ReaderHeartbeat
 	TableUpdate     *TableUpdate
 }
 
-// ReaderHeartbeat is the sign of life of an instance that follows the store's feeds for
-// its zone.
+// ReaderHeartbeat is the heartbeat of a feed reader: an instance that polls the store's
+// feeds on behalf of its zone.
 type ReaderHeartbeat struct {
 	_ struct{} `cbor:",toarray"`
 
-	// MirrorRevisions is how far each table's copy is complete. Without it the sender's way to
-	// the store is not proved any more, and others must not rely on it.
+	// MirrorRevisions are the revisions up to which the sender's mirrors are complete, by
+	// table. If it is nil, the sender's connection to the store is unconfirmed, and others
+	// must not rely on its mirrors.
 	MirrorRevisions map[string]uint64
-	// TargetsDigest is the digest of the targets that it knows.
+	// TargetsDigest is the digest of the targets in the sender's roster.
 	TargetsDigest uint64
 }
 
-// TableUpdate is what a feed brought: the changes of a table after From up to To that
-// others must hear of. Newest is the revision of the newest change, told or not.
+// TableUpdate holds the changes of a table after revision From, up to and including
+// To, that the other instances of the zone need. NewestChange is the revision of the
+// newest change, whether it is included or not.
 type TableUpdate struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -48,12 +54,12 @@
 	From, To     uint64
 	NewestChange uint64
 	Changes      []RowChange
-	// Fetch is set if the rows do not fit into a datagram: the sender gives
-	// its copy to who asks for it.
+	// Fetch is set if the changes do not fit into a datagram: the receiver fetches
+	// the sender's snapshot of the table instead.
 	Fetch bool
 }
 
-// RowChange is a changed row.
+// RowChange is the new value of a row, or its removal.
 type RowChange struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -63,7 +69,8 @@
 	Removed  bool
 }
 
-// ReserveRequest asks for a slot of a target.
+// ReserveRequest requests a slot of a target from the scheduler. ObjectiveMs and
+// DeadlineMs are counted from the moment of sending.
 type ReserveRequest struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -79,7 +86,8 @@
 	DeadlineMs  int64
 }
 
-// ReserveResponse answers it: with a target, with Queued, or with a refusal.
+// ReserveResponse is the answer to a ReserveRequest: a target with its start time,
+// Queued, or a refusal (NoTarget, or WaitMs and QueueLength).
 type ReserveResponse struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -92,39 +100,41 @@
 	QueueLength int
 }
 
-// Release gives a slot back, or withdraws a request for one.
+// Release returns a slot, or cancels a request for one.
 type Release struct {
 	_ struct{} `cbor:",toarray"`
 
 	Seq    uint64
 	Result int
-	// HeldUs is how long the sender had the slot, in microseconds.
+	// HeldUs is how long the sender held the slot, in microseconds.
 	HeldUs int64
 }
 
-// Heartbeat is the coordinator's sign of life.
+// Heartbeat is sent by the coordinator to all instances at a fixed interval, and in
+// reply to a Hello.
 type Heartbeat struct {
 	_ struct{} `cbor:",toarray"`
 
 	Term int64
-	// LeaseRevision is the revision of the lease's row, and LeaseMs what it is good for.
+	// LeaseRevision is the revision of the lease's row, and LeaseMs its duration.
 	LeaseRevision uint64
 	LeaseMs       int64
-	// Members is how many instances report to the coordinator.
+	// Members is the number of instances that report to the coordinator.
 	Members int
-	// Resigned is set in the last beat of a coordinator that gives up.
+	// Resigned is set in the last heartbeat of a coordinator that released its lease.
 	Resigned bool
-	// InDoubt is set while the store does not answer it.
+	// InDoubt is set while the store does not answer the coordinator.
 	InDoubt bool
 }
 
-// AssignmentUpdate is a change of a service's assignment that was recorded in the store.
+// AssignmentUpdate is a change of a service's assignment that was recorded in the
+// store.
 type AssignmentUpdate struct {
 	_ struct{} `cbor:",toarray"`
 
 	Service string
 	Term    int64
-	// Base is the revision to which Pieces are the difference.
+	// Base is the revision that Pieces are a difference to.
 	Base     uint64
 	Revision uint64
 	// Part is one of Parts datagrams with the same Revision.
@@ -133,17 +143,16 @@
 	Pieces []ownership.Piece
 }
 
-// Report is what an instance tells the coordinator.
+// Report is what an instance reports to the coordinator at a fixed interval.
 type Report struct {
 	_ struct{} `cbor:",toarray"`
 
 	Loads []KeyLoad
-	// Latencies are how long targets need for an answer, as far as the sender
-	// decides for them.
+	// Latencies are those of the targets that the sender schedules.
 	Latencies []TargetLatency
 }
 
-// TargetLatency is a target's usual time of an answer.
+// TargetLatency is a target's usual response time, in milliseconds.
 type TargetLatency struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -158,11 +167,11 @@
 
 	Service string
 	Key     int
-	// Ms is time of a target's slot, in milliseconds.
+	// Ms is the time for which slots of targets were in use, in milliseconds.
 	Ms int
 }
 
-// Instance is what an instance writes about itself into the store.
+// Instance describes an instance; each instance writes its own into the store.
 type Instance struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -171,6 +180,6 @@
 	Zone        string `json:"zone"`
 	Datagram    string `json:"datagram"`
 	Control     string `json:"control"`
-	// Cores is its share of a processor; 0 if it does not know.
+	// Cores is the instance's share of processors; 0 if unknown.
 	Cores float64 `json:"cores,omitempty"`
 }
--- a/gateway/peers/peers_test.go
+++ b/gateway/peers/peers_test.go
@@ -23,8 +23,8 @@
 	return p
 }
 
-// Guards against lists of instances that are out of date after one comes, moves
-// to another availability zone, or ends.
+// The lists derived from the instances must be updated when an instance joins, moves
+// to another availability zone, or leaves; otherwise messages go to wrong instances.
 func TestListsAreUpdatedOnChange(t *testing.T) {
 	p := newPeers(16)
 	count := func(all, zone int) {
@@ -51,8 +51,8 @@
 	count(1, 0)
 }
 
-// Guards against an address that cannot be read: its instance counts, and nothing
-// is sent there.
+// An instance whose datagram address does not resolve is still counted, and nothing
+// is sent to it.
 func TestInstanceWithUnresolvableAddressIsListed(t *testing.T) {
 	p := newPeers(2)
 	bad := testInstance(5)
@@ -62,8 +62,8 @@
 	p.Send(bad.Name, &Message{})
 }
 
-// Guards against work for a hello, of which a fleet that starts sends several from
-// each instance to each other one, that grows with the fleet.
+// While a fleet starts, each instance sends several hellos to every other one. A hello
+// of a listed instance must not rebuild the lists, whose cost grows with the fleet.
 func TestRepeatedHelloAllocatesNothing(t *testing.T) {
 	p := newPeers(300)
 	p.All()
@@ -76,7 +76,7 @@
 	}), 0.0)
 }
 
-// All instances of a fleet become known, each by three hellos.
+// Adds every instance of a fleet three times, as the hellos of a starting fleet do.
 func BenchmarkAddInstances(b *testing.B) {
 	for _, n := range []int{100, 300, 1000} {
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
