--- a/gateway/admin/admin.go
+++ b/gateway/admin/admin.go
@@ -35,7 +35,7 @@
 	Zone     string
 	View     *view.View
 	Table    table.Client
-	Leader   *leader.Duty
+	Leader   *leader.Leader
 	Ready    func() bool
 	// Planning tells whether this instance is the planner.
 	Planning func(now time.Time) bool
--- a/gateway/entry/attempt.go
+++ b/gateway/entry/attempt.go
@@ -87,7 +87,7 @@
 		// waits until all have.
 		return nil, waitForOwner(refusal.OwnerMoving, "the key is moving to another target")
 	}
-	return &route{lane: f.Lanes.To(target), target: target, epoch: sh.Epoch, seen: s}, nil
+	return &route{lane: f.Lanes.Get(target), target: target, epoch: sh.Epoch, seen: s}, nil
 }
 
 func waitForOwner(cause refusal.Cause, detail string) *failed {
@@ -129,7 +129,7 @@
 		_ = res.Body.Close()
 		cancel()
 		if whole {
-			r.lane.Succeeded()
+			r.lane.RecordSuccess()
 			release(slot.Answered)
 			return
 		}
@@ -192,7 +192,7 @@
 	out.done(err == nil)
 	if err != nil {
 		event.AnswerCut.Log(f.Log, "target", r.target.ID, "error", err)
-		r.lane.Failed(time.Now())
+		r.lane.RecordFailure(time.Now())
 		return &failed{refusal: refusal.Doubt(refusal.AnswerCut, "the target's answer ended early"), wait: c.ifRepeatable()}
 	}
 	out.body, out.buffered = body, true
@@ -249,7 +249,7 @@
 		event.TargetSilent.Log(f.Log, "target", r.target.ID)
 		r.lane.Pool.Suspect(now)
 	}
-	if r.lane.Failed(now) {
+	if r.lane.RecordFailure(now) {
 		event.TargetEjected.Log(f.Log, "target", r.target.ID)
 	}
 }
--- a/gateway/entry/entry.go
+++ b/gateway/entry/entry.go
@@ -23,7 +23,7 @@
 	Zone      string
 	Region    string
 	View      *view.View
-	Authority *authority.Cell
+	Authority *authority.Authority
 	Lanes     *lane.Set
 	Heat      *heat.Sum
 	Metrics   *Metrics
--- a/gateway/entry/entry_test.go
+++ b/gateway/entry/entry_test.go
@@ -32,7 +32,7 @@
 type bench struct {
 	t    testing.TB
 	view view.View
-	cell authority.Cell
+	cell authority.Authority
 	url  string
 }
 
