--- a/gateway/planner/decide.go
+++ b/gateway/planner/decide.go
@@ -20,34 +20,34 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// planServices plans every service and writes what changes in one transaction.
-func (d *Planner) planServices(ctx context.Context) {
-	doc := d.View.Load().Config
-	if doc == nil || d.instances == nil {
+// planServices plans every service and writes all changes in one transaction.
+func (p *Planner) planServices(ctx context.Context) {
+	doc := p.View.Load().Config
+	if doc == nil || p.instances == nil {
 		return
 	}
 	now := time.Now()
-	evicted := d.advanceEvictions(ctx)
-	balance := now.Sub(d.balancedAt) >= balanceInterval
+	evicted := p.advanceEvictions(ctx)
+	balance := now.Sub(p.balancedAt) >= balanceInterval
 	if balance {
-		d.balancedAt = now
+		p.balancedAt = now
 	}
-	b := &batch{planner: d, tx: table.Transaction{Token: d.NewToken()}, splits: map[string][]plan.Split{}, merges: map[string][]plan.Merge{}}
+	b := &batch{planner: p, tx: table.Transaction{Token: p.NewToken()}, splits: map[string][]plan.Split{}, merges: map[string][]plan.Merge{}}
 	for _, service := range doc.Services {
-		in := d.planInput(now, doc, service, evicted)
+		in := p.planInput(now, doc, service, evicted)
 		in.Balance = balance
-		decision := plan.Next(d.deltaLog(service.Name).Current(), in)
+		decision := plan.Next(p.deltaLog(service.Name).Current(), in)
 		if decision.Next == nil {
 			continue
 		}
 		if err := b.add(ctx, decision, evicted); err != nil {
-			d.Log.Error("plan", "service", service.Name, "error", err)
+			p.Log.Error("plan", "service", service.Name, "error", err)
 			return
 		}
 	}
 	for name := range evicted {
-		if err := b.addEviction(now, d.zoneSeats[name]); err != nil {
-			d.Log.Error("evict", "zone", name, "error", err)
+		if err := b.addEviction(now, p.zoneSeats[name]); err != nil {
+			p.Log.Error("evict", "zone", name, "error", err)
 			return
 		}
 	}
@@ -56,19 +56,19 @@
 	}
 }
 
-// advanceEvictions works on the eviction of zones whose seat nobody renews or takes
-// over, and returns those for which it is complete.
-func (d *Planner) advanceEvictions(ctx context.Context) map[string]bool {
+// advanceEvictions advances the eviction of zones whose seat is neither renewed nor
+// claimed, and returns the zones for which it is complete.
+func (p *Planner) advanceEvictions(ctx context.Context) map[string]bool {
 	lost := map[string]bool{}
-	var none sync.Mutex
-	for name, z := range d.zoneSeats {
+	var unused sync.Mutex
+	for name, z := range p.zoneSeats {
 		r, _ := z.Record()
-		d.applyHints(name, z)
+		p.applyHints(name, z)
 		suspect := z.Hinted() || z.Silence(time.Now()) >= evictor.SuspectAfter
-		if r.Holder == "" || !suspect || d.leaderAlive(name) {
+		if r.Holder == "" || !suspect || p.leaderAlive(name) {
 			continue
 		}
-		complete := d.Evictor.Step(ctx, &none, z, d.otherSeats(name))
+		complete := p.Evictor.Step(ctx, &unused, z, p.otherSeats(name))
 		if complete && time.Since(z.TableEnd()) > zoneEvictionDelay {
 			lost[name] = true
 		}
@@ -76,25 +76,25 @@
 	return lost
 }
 
-// applyHints passes on what the zone's leader said of its seat.
-func (d *Planner) applyHints(zone string, z *seat.Seat) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if h := d.hints[zone]; h != nil {
+// applyHints copies the renewals that the zone's leader announced to its seat.
+func (p *Planner) applyHints(zone string, z *seat.Seat) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if h := p.hints[zone]; h != nil {
 		z.SetHints(h.Clone())
 	}
 }
 
-// leaderAlive tells whether the zone's leader has given a sign of life lately.
-func (d *Planner) leaderAlive(zone string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return time.Since(d.lastHeartbeat(zone)) <= heartbeatTimeout
+// leaderAlive reports whether the zone's leader has sent a heartbeat lately.
+func (p *Planner) leaderAlive(zone string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return time.Since(p.lastHeartbeat(zone)) <= heartbeatTimeout
 }
 
-func (d *Planner) otherSeats(zone string) []seat.Record {
+func (p *Planner) otherSeats(zone string) []seat.Record {
 	var others []seat.Record
-	for name, z := range d.zoneSeats {
+	for name, z := range p.zoneSeats {
 		if r, _ := z.Record(); name != zone {
 			others = append(others, r)
 		}
@@ -102,10 +102,10 @@
 	return others
 }
 
-// planInput gathers what a decision about a service rests on.
-func (d *Planner) planInput(now time.Time, doc *config.Document, service config.Service, evicted map[string]bool) plan.Input {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// planInput collects the input of a service's next decision.
+func (p *Planner) planInput(now time.Time, doc *config.Document, service config.Service, evicted map[string]bool) plan.Input {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	in := plan.Input{
 		Divided:  service.Divided,
 		Shards:   service.InitialShards(),
@@ -113,12 +113,12 @@
 		Draining: map[string]bool{},
 		Evicted:  evicted,
 		Led:      map[string]bool{},
-		Settled:  now.Sub(d.planningSince) > startupDelay,
-		Loads:    d.loads.ratesOf(service.Name, now),
+		Settled:  now.Sub(p.planningSince) > startupDelay,
+		Loads:    p.loads.ratesOf(service.Name, now),
 		Window:   loadWindow.Seconds(),
-		Hot:      d.hot.top(service.Name),
+		Hot:      p.hot.top(service.Name),
 	}
-	for _, i := range d.instances {
+	for _, i := range p.instances {
 		if i.Role != platform.TargetRole || i.Service != service.Name {
 			continue
 		}
@@ -127,7 +127,7 @@
 		in.Draining[i.ID] = *rules.Drain
 	}
 	reached := ^uint64(0)
-	for name, r := range d.reports {
+	for name, r := range p.reports {
 		if now.Sub(r.receivedAt) > maxReportAge || evicted[name] {
 			continue
 		}
@@ -137,14 +137,14 @@
 		in.Drained = append(in.Drained, decodeDrains(r.req.GetDrained())...)
 		reached = min(reached, knownVersion(r.req.GetReached(), service.Name))
 	}
-	in.Quiet = d.quietVersionOf(now, service.Name, d.reachedByAllZones(in.Led, reached), doc)
+	in.Quiet = p.quietVersionOf(now, service.Name, p.reachedByAllZones(in.Led, reached), doc)
 	return in
 }
 
-// reachedByAllZones is zero while a zone whose gateways may have authority has
-// not reported.
-func (d *Planner) reachedByAllZones(led map[string]bool, reached uint64) uint64 {
-	for name, z := range d.zoneSeats {
+// reachedByAllZones returns reached, or zero while a zone whose gateways may have
+// authority has no current report.
+func (p *Planner) reachedByAllZones(led map[string]bool, reached uint64) uint64 {
+	for name, z := range p.zoneSeats {
 		if r, _ := z.Record(); r.Holder != "" && !led[name] {
 			return 0
 		}
@@ -152,11 +152,11 @@
 	return reached
 }
 
-func (d *Planner) quietVersionOf(now time.Time, service string, reached uint64, doc *config.Document) uint64 {
-	q, ok := d.quietVersions[service]
+func (p *Planner) quietVersionOf(now time.Time, service string, reached uint64, doc *config.Document) uint64 {
+	q, ok := p.quietVersions[service]
 	if !ok {
 		q = &quietVersion{}
-		d.quietVersions[service] = q
+		p.quietVersions[service] = q
 	}
 	return q.record(now, reached, longestDeadline(doc, service, now)+pauseMargin)
 }
@@ -198,7 +198,7 @@
 	return 0
 }
 
-// batch is one transaction with the decisions of all services.
+// batch collects the decisions of all services in one transaction.
 type batch struct {
 	planner  *Planner
 	tx       table.Transaction
@@ -229,11 +229,10 @@
 	return nil
 }
 
-// requireTerm makes the write depend on the zone's leader still being the one
-// that reported. The failure: a leader reports a target as released and loses
-// its seat; the next leader, who knows nothing of that, renews the target
-// while this write gives its shards away. With the condition one of the two
-// sees the other: the write fails, or the new leader reads the new assignment.
+// requireTerm makes the write conditional on the zone's term being the one of the
+// report. Otherwise a leader could report a target as released and lose its seat,
+// and the next leader renew the target while this write reassigns its shards. With
+// the condition either the write fails or the new leader reads the new assignment.
 func (b *batch) requireTerm(zone string) {
 	b.planner.mu.Lock()
 	version := b.planner.reports[zone].req.GetTermVersion()
@@ -246,7 +245,7 @@
 	b.tx.Conditions = append(b.tx.Conditions, table.Condition{Key: seat.TermKey(zone), Version: version})
 }
 
-// addEviction takes the zone's seat away in the same transaction.
+// addEviction adds the eviction of the zone's seat to the transaction.
 func (b *batch) addEviction(now time.Time, z *seat.Seat) error {
 	tx, err := z.Evict(now, b.tx.Token)
 	if err != nil {
@@ -259,55 +258,55 @@
 	return nil
 }
 
-// logEvictions tells of each zone taken away how long it had been silent.
+// logEvictions logs each evicted zone with the age of its leader's last heartbeat.
 func (b *batch) logEvictions() {
 	now := time.Now()
 	for _, z := range b.evicted {
 		b.planner.mu.Lock()
-		heard := b.planner.lastHeartbeat(z.Name)
+		lastSeen := b.planner.lastHeartbeat(z.Name)
 		b.planner.mu.Unlock()
-		event.ZoneEvicted.Log(b.planner.Log, "zone", z.Name, "heardMsAgo", now.Sub(heard).Milliseconds(),
+		event.ZoneEvicted.Log(b.planner.Log, "zone", z.Name, "heardMsAgo", now.Sub(lastSeen).Milliseconds(),
 			"planningMs", now.Sub(b.planner.planningSince).Milliseconds())
 	}
 }
 
 func (b *batch) write(ctx context.Context) {
-	d := b.planner
+	p := b.planner
 	callCtx, cancel := context.WithTimeout(ctx, 2*tableTimeout)
 	defer cancel()
-	if err := d.chain.Add(&b.tx, audit.Record{
-		At: time.Now(), Who: d.Instance, What: "assignment", Why: strings.Join(b.causes, "; "),
+	if err := p.chain.Add(&b.tx, audit.Record{
+		At: time.Now(), Who: p.Instance, What: "assignment", Why: strings.Join(b.causes, "; "),
 	}); err != nil {
-		d.Log.Error("audit", "error", err)
+		p.Log.Error("audit", "error", err)
 		return
 	}
 	b.tx.ReadPrefixes = []string{"head/"}
 	b.tx.ReadKeys = []string{audit.HeadKey(audit.System)}
-	res, err := table.Settle(callCtx, d.Table, b.tx)
+	res, err := table.Settle(callCtx, p.Table, b.tx)
 	if err != nil {
-		d.Log.Warn("assignment not settled", "error", err)
+		p.Log.Warn("write assignment: outcome unknown", "error", err)
 		return
 	}
 	if !res.Committed {
-		event.AssignmentRefused.Log(d.Log, "causes", b.causes)
-		d.applyHeads(ctx, res)
+		event.AssignmentRefused.Log(p.Log, "causes", b.causes)
+		p.applyHeads(ctx, res)
 		return
 	}
-	d.chain.Accept(res.Revision)
+	p.chain.Accept(res.Revision)
 	b.applySplitsAndMerges()
 	for _, service := range b.services {
-		delta := d.deltaLog(service).Accept(res.Revision)
-		if err := d.View.ApplyDelta(delta); err != nil {
-			d.Log.Debug("own delta", "error", err)
+		delta := p.deltaLog(service).Accept(res.Revision)
+		if err := p.View.ApplyDelta(delta); err != nil {
+			p.Log.Debug("apply own assignment delta", "error", err)
 		}
 	}
-	d.applyHeads(ctx, res)
-	event.AssignmentWritten.Log(d.Log, "causes", b.causes)
+	p.applyHeads(ctx, res)
+	event.AssignmentWritten.Log(p.Log, "causes", b.causes)
 	b.logEvictions()
-	d.nudgeLeaders(ctx)
+	p.nudgeLeaders(ctx)
 }
 
-// applySplitsAndMerges books the loads of divided and joined shards anew.
+// applySplitsAndMerges moves the loads of split and merged shards to the new shards.
 func (b *batch) applySplitsAndMerges() {
 	b.planner.mu.Lock()
 	defer b.planner.mu.Unlock()
@@ -323,19 +322,19 @@
 	}
 }
 
-// nudgeLeaders tells every zone's leader to read the table now.
-func (d *Planner) nudgeLeaders(ctx context.Context) {
+// nudgeLeaders asks every zone's leader to read the table at once.
+func (p *Planner) nudgeLeaders(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, nudgeTimeout)
 	defer cancel()
 	var group errgroup.Group
-	for _, z := range d.zoneSeats {
+	for _, z := range p.zoneSeats {
 		r, _ := z.Record()
 		if r.Address == "" {
 			continue
 		}
 		group.Go(func() error {
-			// A lost nudge only delays the news until the leader's next turn.
-			_, _ = d.Peers.Zone(r.Address).Nudge(ctx, &control.NudgeRequest{})
+			// A lost nudge only delays the update until the leader's next read.
+			_, _ = p.Peers.Zone(r.Address).Nudge(ctx, &control.NudgeRequest{})
 			return nil
 		})
 	}
--- a/gateway/planner/hot.go
+++ b/gateway/planner/hot.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// hotWindow is the time after which a key's earlier work counts 1/e.
+	// hotWindow is the time in which the weight of a key's work decays to 1/e.
 	hotWindow = 15 * time.Second
-	// maxHotKeys is how many keys of a service the planner looks at.
+	// maxHotKeys bounds the hot keys of a service that the planner considers.
 	maxHotKeys = 64
 )
 
-// hotKeys merges the hot keys of all zones, by service.
+// hotKeys combines the hot keys reported by all zones, by service.
 type hotKeys struct {
 	sketches  map[string]*hotkey.Sketch
 	decayedAt time.Time
--- a/gateway/planner/load.go
+++ b/gateway/planner/load.go
@@ -11,15 +11,15 @@
 const (
 	// loadWindow is the time constant of the load averages.
 	loadWindow = 20 * time.Second
-	// loadUpdateInterval is how often the averages take in what was reported.
+	// loadUpdateInterval is the time between two updates of the averages.
 	loadUpdateInterval = time.Second
-	// pauseMargin is how long a gateway may be paused between its last look
-	// at its authority and the first byte of a request, for targets that do
-	// not check. A longer pause is the residual risk.
+	// pauseMargin is how long a gateway may be paused between its last check of
+	// its authority and the first byte of a request to a target that does not
+	// check grants. A longer pause is the residual risk.
 	pauseMargin = 2 * time.Second
 )
 
-// loadAverage smooths the reported loads, by service and shard.
+// loadAverage is the moving average of the reported loads, by service and shard.
 type loadAverage struct {
 	pending   map[string]map[uint64]float64
 	rates     map[string]map[uint64]float64
@@ -42,7 +42,7 @@
 	}
 }
 
-// ratesOf returns a service's rates in work per second.
+// ratesOf returns a service's loads in work per second, by first hash of the shard.
 func (l *loadAverage) ratesOf(service string, now time.Time) map[uint64]float64 {
 	if elapsed := now.Sub(l.updatedAt); l.pending != nil && elapsed >= loadUpdateInterval {
 		l.update(elapsed)
@@ -51,7 +51,7 @@
 	return l.rates[service]
 }
 
-// split books a shard's load on its two parts.
+// split divides a shard's load between its two parts.
 func (l *loadAverage) split(service string, s plan.Split) {
 	if rates := l.rates[service]; rates != nil {
 		load := rates[s.First]
@@ -60,7 +60,7 @@
 	}
 }
 
-// merge books a shard's load on the one that it was joined to.
+// merge adds a shard's load to that of the shard it was merged into.
 func (l *loadAverage) merge(service string, m plan.Merge) {
 	if rates := l.rates[service]; rates != nil {
 		rates[m.First] += rates[m.Gone]
@@ -88,7 +88,7 @@
 	}
 }
 
-// quietVersion tracks since when every gateway has had a version in force.
+// quietVersion tracks the newest version that all gateways have had for long enough.
 type quietVersion struct {
 	history []reachedVersion
 	newest  uint64
@@ -99,11 +99,11 @@
 	version uint64
 }
 
-// maxHistory bounds the history.
+// maxHistory bounds quietVersion.history.
 const maxHistory = 256
 
-// record takes in the version that all have reached and returns the newest that
-// all have had for at least wait.
+// record adds the version that all gateways have reached at now, and returns the
+// newest that all have had for at least wait.
 func (q *quietVersion) record(now time.Time, reached uint64, wait time.Duration) uint64 {
 	if reached == ^uint64(0) {
 		return q.newest
@@ -120,7 +120,7 @@
 	return q.newest
 }
 
-// longestDeadline is the longest time that a request to a service may take.
+// longestDeadline returns the longest deadline of a service's request kinds.
 func longestDeadline(doc *config.Document, service string, now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for _, k := range doc.Kinds {
--- a/gateway/planner/planner.go
+++ b/gateway/planner/planner.go
@@ -1,7 +1,6 @@
-// Package planner is the duty of deciding assignments for the whole fleet,
-// carried out by the zone leader that holds the planner's seat. Losing the
-// seat in the middle of a decision harms nothing: each decision is one
-// conditional write.
+// Package planner decides the assignments of the whole fleet, on the zone leader
+// that holds the planner's seat. Losing the seat during a decision is harmless,
+// since each decision is one conditional write.
 package planner
 
 import (
@@ -26,35 +25,36 @@
 const (
 	// SeatName is the name of the planner's seat; no zone may have it.
 	SeatName = "$planner"
-	// planInterval lies between two looks at what there is to decide.
+	// planInterval is the time between two planning rounds.
 	planInterval = 100 * time.Millisecond
-	// renewInterval lies between two renewals of the planner's seat.
+	// renewInterval is the time between two renewals of the planner's seat.
 	renewInterval = 400 * time.Millisecond
-	// plannerTimeout is how long the planner's row stands still before another
-	// leader takes the seat.
+	// plannerTimeout is how long the planner's row must be unchanged before
+	// another leader claims the seat.
 	plannerTimeout = 700 * time.Millisecond
-	// readInterval lies between two readings of the heads while every zone's
-	// leader gives signs of life, alarmInterval while one does not.
+	// readInterval is the time between two reads of the heads while every zone's
+	// leader sends heartbeats, fastReadInterval while one does not.
 	readInterval     = 2 * time.Second
 	fastReadInterval = 150 * time.Millisecond
-	// heartbeatTimeout is the silence of a zone's leader that raises the alarm.
+	// heartbeatTimeout is the time without heartbeats after which a zone's leader
+	// counts as unresponsive.
 	heartbeatTimeout = 600 * time.Millisecond
-	// instanceListInterval lies between two readings of the platform's list.
+	// instanceListInterval is the time between two reads of the platform's list.
 	instanceListInterval = time.Second
-	// balanceInterval lies between two decisions for balance.
+	// balanceInterval is the time between two load balancing decisions.
 	balanceInterval = time.Second
 	// startupDelay is how long a new planner waits for reports.
 	startupDelay = 2 * time.Second
-	// zoneEvictionDelay is what a silent zone's own candidates get after its seat
-	// became free, before the whole zone counts as lost.
+	// zoneEvictionDelay is how long an unresponsive zone's own candidates may claim
+	// its free seat before the whole zone counts as lost.
 	zoneEvictionDelay = 250 * time.Millisecond
-	// maxReportAge is the silence after which a zone counts as not led.
+	// maxReportAge is the age of its last report at which a zone counts as not led.
 	maxReportAge = 4 * time.Second
 	tableTimeout = 800 * time.Millisecond
 	nudgeTimeout = 300 * time.Millisecond
 )
 
-// Options are what a Duty needs; all fields must be set.
+// Options configure a Planner; all fields must be set.
 type Options struct {
 	Instance    string
 	Incarnation string
@@ -65,16 +65,17 @@
 	Peers       *peer.Caller
 	Log         *slog.Logger
 	NewToken    func() string
-	// Instances reads the platform's list.
+	// Instances reads the platform's instance list.
 	Instances func(ctx context.Context) ([]platform.Instance, error)
-	// Leading tells whether this instance leads a zone; only those plan.
+	// Leading reports whether this instance leads a zone; only leaders plan.
 	Leading func(now time.Time) bool
-	// PlannerUnresponsive tells whether the present planner has taken no report lately.
+	// PlannerUnresponsive reports whether the current planner has accepted no
+	// report lately.
 	PlannerUnresponsive func() bool
 	Evictor             *evictor.Evictor
 }
 
-// Planner plans while its instance holds the planner's seat.
+// Planner plans the assignments while its instance holds the planner's seat.
 type Planner struct {
 	Options
 
@@ -87,7 +88,7 @@
 	hot      hotKeys
 	stopping bool
 
-	// The rest belongs to Serve alone.
+	// The fields below are used by Serve only.
 	chain           audit.Chain
 	deltaLogs       map[string]*deltalog.Log
 	zoneSeats       map[string]*seat.Seat
@@ -106,7 +107,7 @@
 	req        *control.ReportRequest
 }
 
-// New returns a duty without the seat.
+// New returns a Planner that does not hold the seat.
 func New(o Options) *Planner {
 	return &Planner{
 		Options: o,
@@ -123,81 +124,81 @@
 	}
 }
 
-// Observe takes in the planner seat's row.
-func (d *Planner) Observe(now time.Time, row *table.Row) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if err := d.seat.Observe(now, row); err != nil {
-		d.Log.Error("planner seat", "error", err)
+// Observe applies the planner seat's row, as read from the table at now.
+func (p *Planner) Observe(now time.Time, row *table.Row) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if err := p.seat.Observe(now, row); err != nil {
+		p.Log.Error("apply planner seat row", "error", err)
 	}
 }
 
-// Address returns where the planner is, as far as known.
-func (d *Planner) Address() string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	r, _ := d.seat.Record()
+// Address returns the planner's control address; empty if unknown.
+func (p *Planner) Address() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	r, _ := p.seat.Record()
 	return r.Address
 }
 
-// Planning tells whether this instance plans at now.
-func (d *Planner) Planning(now time.Time) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.seat.Holding() && d.seat.Authority().Valid(now)
+// Planning reports whether this instance holds the planner's seat at now.
+func (p *Planner) Planning(now time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.seat.Holding() && p.seat.Authority().Valid(now)
 }
 
-// ReceiveHeartbeat takes in a zone's leader's sign of life, whether this instance plans or
-// not: it may have to, should the planner be lost together with its zone.
-func (d *Planner) ReceiveHeartbeat(now time.Time, beat *control.BeatRequest) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	h := d.hints[beat.GetZone()]
+// ReceiveHeartbeat records a zone leader's heartbeat, also on instances that do not
+// plan: they may have to, if the planner is lost together with its zone.
+func (p *Planner) ReceiveHeartbeat(now time.Time, beat *control.BeatRequest) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	h := p.hints[beat.GetZone()]
 	if h == nil {
 		h = &seat.Hints{}
-		d.hints[beat.GetZone()] = h
+		p.hints[beat.GetZone()] = h
 	}
 	h.Add(now, beat.GetTerm(), beat.GetRenewals(), time.Duration(beat.GetTableLeftUs())*time.Microsecond)
 }
 
-// lastHeartbeat is when a zone's leader last gave a sign of life. It is called with the
-// lock held.
-func (d *Planner) lastHeartbeat(zone string) time.Time {
-	if h := d.hints[zone]; h != nil {
+// lastHeartbeat returns when the zone leader's last heartbeat was received. It is
+// called with the lock held.
+func (p *Planner) lastHeartbeat(zone string) time.Time {
+	if h := p.hints[zone]; h != nil {
 		return h.At()
 	}
 	return time.Time{}
 }
 
-// Report takes in what a zone's leader knows.
-func (d *Planner) Report(_ context.Context, req *control.ReportRequest) (*control.ReportResponse, error) {
+// Report receives a zone leader's report.
+func (p *Planner) Report(_ context.Context, req *control.ReportRequest) (*control.ReportResponse, error) {
 	now := time.Now()
-	if !d.Planning(now) {
+	if !p.Planning(now) {
 		return &control.ReportResponse{}, nil
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if last, ok := d.reports[req.GetZone()]; ok && req.GetBeat() && last.req.GetTerm() == req.GetTerm() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if last, ok := p.reports[req.GetZone()]; ok && req.GetBeat() && last.req.GetTerm() == req.GetTerm() {
 		last.receivedAt = now
-		d.reports[req.GetZone()] = last
+		p.reports[req.GetZone()] = last
 		return &control.ReportResponse{Planning: true}, nil
 	}
 	if req.GetBeat() {
-		// A planner that is new wants the whole report.
+		// A new planner needs the full report.
 		return &control.ReportResponse{}, nil
 	}
-	d.reports[req.GetZone()] = zoneReport{receivedAt: now, req: req}
-	d.loads.add(req.GetLoads())
-	d.hot.add(now, req.GetHot())
+	p.reports[req.GetZone()] = zoneReport{receivedAt: now, req: req}
+	p.loads.add(req.GetLoads())
+	p.hot.add(now, req.GetHot())
 	select {
-	case d.wake <- struct{}{}:
+	case p.wake <- struct{}{}:
 	default:
 	}
 	return &control.ReportResponse{Planning: true}, nil
 }
 
 // Serve plans until the context ends.
-func (d *Planner) Serve(ctx context.Context) error {
+func (p *Planner) Serve(ctx context.Context) error {
 	tick := time.NewTicker(planInterval)
 	defer tick.Stop()
 	for {
@@ -205,198 +206,198 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
-		case <-d.wake:
+		case <-p.wake:
 		}
-		d.runOnce(ctx)
+		p.runOnce(ctx)
 	}
 }
 
-func (d *Planner) runOnce(ctx context.Context) {
+func (p *Planner) runOnce(ctx context.Context) {
 	now := time.Now()
-	if !d.Leading(now) {
-		d.planningSince = time.Time{}
+	if !p.Leading(now) {
+		p.planningSince = time.Time{}
 		return
 	}
-	if now.Sub(d.renewedAt) >= renewInterval || d.shouldClaimSeat(now) {
-		d.renewedAt = now
-		d.renewOrClaimSeat(ctx, now)
+	if now.Sub(p.renewedAt) >= renewInterval || p.shouldClaimSeat(now) {
+		p.renewedAt = now
+		p.renewOrClaimSeat(ctx, now)
 	}
-	d.readHeads(ctx, now)
-	if !d.Planning(time.Now()) {
-		d.planningSince = time.Time{}
+	p.readHeads(ctx, now)
+	if !p.Planning(time.Now()) {
+		p.planningSince = time.Time{}
 		return
 	}
-	if d.planningSince.IsZero() {
-		d.planningSince = now
-		event.SeatGained.Log(d.Log, "seat", SeatName)
+	if p.planningSince.IsZero() {
+		p.planningSince = now
+		event.SeatGained.Log(p.Log, "seat", SeatName)
 	}
-	d.refreshInstances(ctx, now)
-	d.planServices(ctx)
+	p.refreshInstances(ctx, now)
+	p.planServices(ctx)
 }
 
-// renewOrClaimSeat renews the planner's seat, or takes it when it is free, and reads
+// renewOrClaimSeat renews the planner's seat, or claims it if it is free, and reads
 // the heads in the same round trip.
-func (d *Planner) renewOrClaimSeat(ctx context.Context, now time.Time) {
-	d.mu.Lock()
+func (p *Planner) renewOrClaimSeat(ctx context.Context, now time.Time) {
+	p.mu.Lock()
 	var tx table.Transaction
 	var err error
 	switch {
-	case d.stopping:
-	case d.seat.Holding():
-		tx, err = d.seat.Renew(now, d.NewToken())
-	case d.seat.Free() || d.seat.Lapsed(now) || d.plannerLost(now):
-		// Two planners for a moment do no harm, since every decision is one
-		// conditional write; so nobody waits for the old one's authority.
-		tx, err = d.seat.Claim(now, d.NewToken())
-	}
-	d.mu.Unlock()
+	case p.stopping:
+	case p.seat.Holding():
+		tx, err = p.seat.Renew(now, p.NewToken())
+	case p.seat.Free() || p.seat.Lapsed(now) || p.plannerLost(now):
+		// Two planners at a time are harmless, since every decision is one
+		// conditional write; so the old one's authority need not expire first.
+		tx, err = p.seat.Claim(now, p.NewToken())
+	}
+	p.mu.Unlock()
 	if err != nil || len(tx.Puts) == 0 {
 		return
 	}
 	tx.ReadKeys = []string{seat.RowKey(SeatName)}
 	callCtx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
-	res, err := d.Table.Transact(callCtx, tx)
+	res, err := p.Table.Transact(callCtx, tx)
 	if err != nil {
 		return
 	}
-	d.applyHeads(ctx, res)
+	p.applyHeads(ctx, res)
 }
 
-// readHeads reads the heads: seldom while all zones' leaders give signs of life, and
-// often while one is silent, since its seat may have to be taken.
-func (d *Planner) readHeads(ctx context.Context, now time.Time) {
+// readHeads reads the heads when due, and more often while a zone's leader is
+// unresponsive, since its seat may have to be evicted.
+func (p *Planner) readHeads(ctx context.Context, now time.Time) {
 	interval := readInterval
-	if d.anyLeaderUnresponsive(now) {
+	if p.anyLeaderUnresponsive(now) {
 		interval = fastReadInterval
 	}
-	if now.Sub(d.headsReadAt) < interval || !d.Planning(now) {
+	if now.Sub(p.headsReadAt) < interval || !p.Planning(now) {
 		return
 	}
-	d.headsReadAt = now
+	p.headsReadAt = now
 	callCtx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
-	res, err := d.Table.Transact(callCtx, table.Transaction{ReadPrefixes: []string{"head/"}, ReadKeys: []string{audit.HeadKey(audit.System)}})
+	res, err := p.Table.Transact(callCtx, table.Transaction{ReadPrefixes: []string{"head/"}, ReadKeys: []string{audit.HeadKey(audit.System)}})
 	if err != nil {
 		return
 	}
-	d.applyHeads(ctx, res)
+	p.applyHeads(ctx, res)
 }
 
-// shouldClaimSeat tells whether the planner's seat should be taken now.
-func (d *Planner) shouldClaimSeat(now time.Time) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return !d.seat.Holding() && d.plannerLost(now)
+// shouldClaimSeat reports whether the planner's seat should be claimed at once.
+func (p *Planner) shouldClaimSeat(now time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return !p.seat.Holding() && p.plannerLost(now)
 }
 
-// plannerLost tells whether the planner takes no reports and its row stands still. One
-// of the two alone may only mean that the table is slow, or a way is cut.
-func (d *Planner) plannerLost(now time.Time) bool {
-	return d.PlannerUnresponsive() && d.seat.Known() && d.seat.Silence(now) > plannerTimeout
+// plannerLost reports whether the planner accepts no reports and its row is unchanged.
+// One of the two alone may only mean a slow table or a broken connection.
+func (p *Planner) plannerLost(now time.Time) bool {
+	return p.PlannerUnresponsive() && p.seat.Known() && p.seat.Silence(now) > plannerTimeout
 }
 
-func (d *Planner) anyLeaderUnresponsive(now time.Time) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.zoneSeats) == 0 {
+func (p *Planner) anyLeaderUnresponsive(now time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.zoneSeats) == 0 {
 		return true
 	}
-	for name, z := range d.zoneSeats {
+	for name, z := range p.zoneSeats {
 		r, _ := z.Record()
-		if r.Holder != "" && now.Sub(d.lastHeartbeat(name)) > heartbeatTimeout {
+		if r.Holder != "" && now.Sub(p.lastHeartbeat(name)) > heartbeatTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// applyHeads takes in a reading of all heads.
-func (d *Planner) applyHeads(ctx context.Context, res table.Result) {
+// applyHeads applies the rows of one read of the heads.
+func (p *Planner) applyHeads(ctx context.Context, res table.Result) {
 	now := time.Now()
 	if row, ok := res.Row(audit.HeadKey(audit.System)); ok {
-		if err := d.chain.Observe(&row); err != nil {
-			d.Log.Error("audit head", "error", err)
+		if err := p.chain.Observe(&row); err != nil {
+			p.Log.Error("apply audit head row", "error", err)
 		}
 	}
 	for _, row := range res.Rows {
 		if name, ok := seat.NameOf(row.Key); ok {
-			d.applySeat(now, name, row)
+			p.applySeat(now, name, row)
 			continue
 		}
 		if service, ok := deltalog.ServiceOf(row.Key); ok {
-			d.applyAssignment(ctx, service, row)
+			p.applyAssignment(ctx, service, row)
 		}
 	}
 }
 
-func (d *Planner) applySeat(now time.Time, name string, row table.Row) {
+func (p *Planner) applySeat(now time.Time, name string, row table.Row) {
 	if name == SeatName {
-		d.Observe(now, &row)
+		p.Observe(now, &row)
 		return
 	}
-	z, ok := d.zoneSeats[name]
+	z, ok := p.zoneSeats[name]
 	if !ok {
 		z = &seat.Seat{Name: name}
-		d.zoneSeats[name] = z
+		p.zoneSeats[name] = z
 	}
 	if err := z.Observe(now, &row); err != nil {
-		d.Log.Error("seat row", "seat", name, "error", err)
+		p.Log.Error("apply seat row", "seat", name, "error", err)
 	}
 }
 
-func (d *Planner) deltaLog(service string) *deltalog.Log {
-	l, ok := d.deltaLogs[service]
+func (p *Planner) deltaLog(service string) *deltalog.Log {
+	l, ok := p.deltaLogs[service]
 	if !ok {
-		l = &deltalog.Log{Service: service, Table: d.Table, Objects: d.Objects}
+		l = &deltalog.Log{Service: service, Table: p.Table, Objects: p.Objects}
 		l.Damaged = func(name string, err error) {
-			event.SnapshotDamaged.Log(d.Log, "object", name, "error", err)
+			event.SnapshotDamaged.Log(p.Log, "object", name, "error", err)
 		}
-		d.deltaLogs[service] = l
+		p.deltaLogs[service] = l
 	}
 	return l
 }
 
-func (d *Planner) applyAssignment(ctx context.Context, service string, row table.Row) {
+func (p *Planner) applyAssignment(ctx context.Context, service string, row table.Row) {
 	callCtx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
-	if _, err := d.deltaLog(service).CatchUp(callCtx, row); err != nil {
-		d.Log.Warn("planner not caught up", "service", service, "error", err)
+	if _, err := p.deltaLog(service).CatchUp(callCtx, row); err != nil {
+		p.Log.Warn("catch up with assignment deltas", "service", service, "error", err)
 	}
 }
 
-// refreshInstances reads the platform's instance list. It lags and may fail; the last one
-// read is used on.
-func (d *Planner) refreshInstances(ctx context.Context, now time.Time) {
-	if now.Sub(d.instancesReadAt) < instanceListInterval {
+// refreshInstances reads the platform's instance list when due. The list lags; if the
+// read fails, the last one stays in use.
+func (p *Planner) refreshInstances(ctx context.Context, now time.Time) {
+	if now.Sub(p.instancesReadAt) < instanceListInterval {
 		return
 	}
-	d.instancesReadAt = now
+	p.instancesReadAt = now
 	callCtx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
-	listed, err := d.Instances(callCtx)
+	listed, err := p.Instances(callCtx)
 	if err != nil {
 		return
 	}
-	d.instances = listed
+	p.instances = listed
 }
 
-// Stop hands the planner's seat over before the instance shuts down.
-func (d *Planner) Stop(ctx context.Context) {
-	d.mu.Lock()
-	d.stopping = true
-	if !d.seat.Holding() {
-		d.mu.Unlock()
+// Stop releases the planner's seat, so that another leader can claim it at once.
+func (p *Planner) Stop(ctx context.Context) {
+	p.mu.Lock()
+	p.stopping = true
+	if !p.seat.Holding() {
+		p.mu.Unlock()
 		return
 	}
-	tx, err := d.seat.HandOver(time.Now(), d.NewToken())
-	d.mu.Unlock()
+	tx, err := p.seat.HandOver(time.Now(), p.NewToken())
+	p.mu.Unlock()
 	if err == nil {
-		_, err = d.Table.Transact(ctx, tx)
+		_, err = p.Table.Transact(ctx, tx)
 	}
 	if err != nil {
-		d.Log.Warn("planner's seat not handed over", "error", err)
+		p.Log.Warn("hand over planner seat", "error", err)
 		return
 	}
-	event.SeatHandedOver.Log(d.Log, "seat", SeatName)
+	event.SeatHandedOver.Log(p.Log, "seat", SeatName)
 }
