--- a/gateway/leader/beat_test.go
+++ b/gateway/leader/heartbeat_test.go
@@ -20,7 +20,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// recordingPlanner is a planner that keeps what it hears.
+// recordingPlanner is a planner that records when each renewal was first announced.
 type recordingPlanner struct {
 	leader.Planner
 
@@ -40,8 +40,8 @@
 	}
 }
 
-// slowTable takes writes at once, answers them late, and keeps when each renewal
-// took effect.
+// slowTable applies writes at once, delays the answers by 300 ms, and records when
+// each renewal took effect.
 type slowTable struct {
 	table.Memory
 
@@ -67,30 +67,30 @@
 	}
 }
 
-// Guards against a renewal that took effect just before its zone was cut off and
-// of which nobody was told: the zone's keys then wait a whole hold longer.
+// A renewal that took effect just before its zone was cut off must have been announced
+// to the other leaders; otherwise the zone's keys wait a whole seat.Hold longer.
 func TestRenewalIsAnnouncedBeforeItTakesEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := &slowTable{renewedAt: map[uint64]time.Time{}}
-		heard := &recordingPlanner{receivedAt: map[uint64]time.Time{}}
+		recorder := &recordingPlanner{receivedAt: map[uint64]time.Time{}}
 		tokens := 0
-		d := leader.New(leader.Options{
+		l := leader.New(leader.Options{
 			Instance: "one", Incarnation: "1", Address: "127.0.0.1:1", Zone: "graz", Table: rows, Direct: rows,
-			View: &view.View{}, Follower: &follower.Follower{}, Authority: &authority.Authority{}, Planner: heard,
+			View: &view.View{}, Follower: &follower.Follower{}, Authority: &authority.Authority{}, Planner: recorder,
 			Log:      slog.New(slog.DiscardHandler),
 			NewToken: func() string { tokens++; return strconv.Itoa(tokens) },
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
-		group.Go(func() { _ = d.Serve(ctx) })
-		group.Go(func() { _ = (&leader.HeartbeatSender{Leader: d}).Serve(ctx) })
+		group.Go(func() { _ = l.Serve(ctx) })
+		group.Go(func() { _ = (&leader.HeartbeatSender{Leader: l}).Serve(ctx) })
 		time.Sleep(10 * time.Second)
 		cancel()
 		group.Wait()
 		assert.Assert(t, len(rows.renewedAt) > 10)
 		for number, at := range rows.renewedAt {
-			told, ok := heard.receivedAt[number]
-			assert.Assert(t, ok && !told.After(at), "renewal %d took effect at %v and was told of at %v", number, at, told)
+			announced, ok := recorder.receivedAt[number]
+			assert.Assert(t, ok && !announced.After(at), "renewal %d took effect at %v and was announced at %v", number, at, announced)
 		}
 	})
 }
--- a/gateway/leader/leader.go
+++ b/gateway/leader/leader.go
@@ -1,6 +1,6 @@
-// Package leader is the duty of leading an availability zone: holding the
-// zone's seat, reading what is agreed from the table, and answering the polls
-// of the zone's instances.
+// Package leader leads an availability zone: it holds the zone's seat, reads the
+// configuration and assignments from the table, and answers the polls of the
+// zone's instances.
 package leader
 
 import (
@@ -25,40 +25,40 @@
 )
 
 const (
-	// renewInterval lies between two renewals of the seat.
+	// renewInterval is the time between two renewals of the seat.
 	renewInterval = 400 * time.Millisecond
-	// renewalsPerRead is how many renewals go without reading the heads, unless a
-	// nudge comes: news spreads by nudges, and the heads are many bytes.
+	// renewalsPerRead is the number of renewals per read of the heads, unless a nudge
+	// arrives: updates are announced by nudges, and the heads are large.
 	renewalsPerRead = 3
-	// candidateInterval lies between two looks at the seat while the leader
-	// is silent.
+	// candidateInterval is the time between two reads of the seat while the leader
+	// is unresponsive.
 	candidateInterval = 100 * time.Millisecond
-	// leaderTimeout is the leader's silence after which an instance looks at
-	// the seat itself.
+	// leaderTimeout is the time without an answer of the leader after which an
+	// instance reads the seat itself.
 	leaderTimeout = 650 * time.Millisecond
-	// rankDelay is what each place in the order of candidates waits longer.
+	// rankDelay is the additional takeover delay per rank among the candidates.
 	rankDelay = 80 * time.Millisecond
-	// maxRank bounds the wait of instances far down the order.
+	// maxRank bounds the takeover delay of instances of low rank.
 	maxRank = 5
-	// fastRenewInterval lies between two turns while the planner is silent, and
-	// plannerSilence is the time without a report taken after which it is.
+	// fastRenewInterval replaces renewInterval while the planner is unresponsive,
+	// which it is after plannerTimeout without accepting a report.
 	fastRenewInterval = 150 * time.Millisecond
 	plannerTimeout    = 600 * time.Millisecond
-	// retryInterval lies between a renewal that failed and the next.
+	// retryInterval is the time between a failed renewal and the next.
 	retryInterval = 50 * time.Millisecond
 	// tableTimeout bounds one transaction; a later answer would bring less
-	// authority than it costs to wait for.
+	// authority than the wait costs.
 	tableTimeout = 800 * time.Millisecond
 )
 
-// Options are what a Duty needs; all fields must be set.
+// Options configure a Leader; all fields must be set.
 type Options struct {
 	Instance    string
 	Incarnation string
 	Address     string
 	Zone        string
 	Table       table.Client
-	// Direct reaches the table without the help of other leaders.
+	// Direct calls the table directly, not through other leaders.
 	Direct    table.Client
 	Evictor   *evictor.Evictor
 	Objects   object.Client
@@ -72,19 +72,19 @@
 	NewToken func() string
 }
 
-// Planner is the planning duty of the same instance.
+// Planner is the planner of the same instance.
 type Planner interface {
 	control.Planner
-	// Observe takes in the planner seat's row; nil if there is none.
+	// Observe applies the planner seat's row; nil if there is none.
 	Observe(now time.Time, row *table.Row)
-	// ReceiveHeartbeat takes in a sign of life of a zone's leader.
+	// ReceiveHeartbeat records a heartbeat of a zone's leader.
 	ReceiveHeartbeat(now time.Time, beat *control.BeatRequest)
-	// Address returns where the present planner is; empty if unknown.
+	// Address returns the planner's control address; empty if unknown.
 	Address() string
 }
 
-// Leader leads the zone while its instance holds the seat, and stands by as a
-// candidate otherwise.
+// Leader leads the zone while its instance holds the seat, and is a candidate for
+// the seat otherwise.
 type Leader struct {
 	Options
 
@@ -100,295 +100,295 @@
 	changed    chan struct{}
 	nudges     chan struct{}
 	heartbeats chan *control.BeatRequest
-	// renewalsSinceRead counts renewals since the heads were read; Serve's own.
+	// renewalsSinceRead counts renewals since the heads were read; used by Serve only.
 	renewalsSinceRead int
-	// renewalInDoubt is set after a renewal without an answer; Serve's own.
+	// renewalInDoubt is set after a renewal without an answer; used by Serve only.
 	renewalInDoubt bool
-	// reportAcceptedAt is when the planner last took a report.
+	// reportAcceptedAt is when the planner last accepted a report.
 	reportAcceptedAt time.Time
 	loads            loadSum
 	tableFailing     bool
 	stopping         bool
 }
 
-// New returns a duty that has not looked at the seat yet.
+// New returns a Leader that has not read the seat yet.
 func New(o Options) *Leader {
-	d := &Leader{Options: o, deltaLogs: map[string]*deltalog.Log{}, seats: map[string]*seat.Seat{}}
-	d.changed = make(chan struct{})
-	d.nudges = make(chan struct{}, 1)
-	d.heartbeats = make(chan *control.BeatRequest, maxQueuedHeartbeats)
-	d.started = time.Now()
-	d.seat = seat.Seat{Name: o.Zone, Self: seat.Record{
+	l := &Leader{Options: o, deltaLogs: map[string]*deltalog.Log{}, seats: map[string]*seat.Seat{}}
+	l.changed = make(chan struct{})
+	l.nudges = make(chan struct{}, 1)
+	l.heartbeats = make(chan *control.BeatRequest, maxQueuedHeartbeats)
+	l.started = time.Now()
+	l.seat = seat.Seat{Name: o.Zone, Self: seat.Record{
 		Holder:      o.Instance,
 		Incarnation: o.Incarnation,
 		Address:     o.Address,
 	}}
-	return d
+	return l
 }
 
-// Serve holds or watches the seat until the context ends.
-func (d *Leader) Serve(ctx context.Context) error {
+// Serve renews the seat, or tries to take it over, until the context ends.
+func (l *Leader) Serve(ctx context.Context) error {
 	for {
-		pause := d.runOnce(ctx)
+		pause := l.runOnce(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(pause):
-		case <-d.nudges:
-			d.renewalsSinceRead = renewalsPerRead
+		case <-l.nudges:
+			l.renewalsSinceRead = renewalsPerRead
 		}
 	}
 }
 
-// runOnce does what is due and returns the pause until the next turn.
-func (d *Leader) runOnce(ctx context.Context) time.Duration {
-	if d.Holding() {
-		if d.PlannerUnresponsive() {
-			// Its seat has to be watched closely.
-			d.renewalsSinceRead = renewalsPerRead
+// runOnce renews the seat or tries to take it over, and returns the pause after it.
+func (l *Leader) runOnce(ctx context.Context) time.Duration {
+	if l.Holding() {
+		if l.PlannerUnresponsive() {
+			// The planner's seat must be read at each renewal.
+			l.renewalsSinceRead = renewalsPerRead
 		}
-		if !d.renew(ctx) {
+		if !l.renew(ctx) {
 			return retryInterval
 		}
-		if d.PlannerUnresponsive() {
+		if l.PlannerUnresponsive() {
 			return fastRenewInterval
 		}
 		return renewInterval
 	}
-	if d.leaderUnresponsive() {
-		d.tryTakeOver(ctx)
+	if l.leaderUnresponsive() {
+		l.tryTakeOver(ctx)
 	}
 	return candidateInterval
 }
 
-// PlannerUnresponsive tells whether the planner has taken no report lately.
-func (d *Leader) PlannerUnresponsive() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return time.Since(d.reportAcceptedAt) > plannerTimeout
+// PlannerUnresponsive reports whether the planner has accepted no report lately.
+func (l *Leader) PlannerUnresponsive() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return time.Since(l.reportAcceptedAt) > plannerTimeout
 }
 
-// Holding tells whether this instance holds the seat as far as it knows.
-func (d *Leader) Holding() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.seat.Holding()
+// Holding reports whether this instance holds the seat; its authority may have expired.
+func (l *Leader) Holding() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.seat.Holding()
 }
 
-// Leading tells whether this instance has the authority of the zone's leader
+// Leading reports whether this instance has the authority of the zone's leader
 // at now.
-func (d *Leader) Leading(now time.Time) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.leading(now)
+func (l *Leader) Leading(now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.leading(now)
 }
 
-func (d *Leader) leading(now time.Time) bool {
-	return d.ready && d.seat.Holding() && d.seat.Authority().Valid(now)
+func (l *Leader) leading(now time.Time) bool {
+	return l.ready && l.seat.Holding() && l.seat.Authority().Valid(now)
 }
 
-func (d *Leader) leaderUnresponsive() bool {
-	last := d.Authority.LastContact()
-	if last.Before(d.started) {
-		last = d.started.Add(-leaderTimeout)
+func (l *Leader) leaderUnresponsive() bool {
+	last := l.Authority.LastContact()
+	if last.Before(l.started) {
+		last = l.started.Add(-leaderTimeout)
 	}
 	return time.Since(last) >= leaderTimeout
 }
 
-// renew keeps the seat and reads what is new in one round trip. It tells
-// whether the renewal took effect.
-func (d *Leader) renew(ctx context.Context) bool {
-	if d.renewalInDoubt {
-		// The renewal may have taken effect and only its answer be lost. A
-		// reading shows its token, and the next one needs its row version.
-		d.transact(ctx, table.Transaction{})
-		d.renewalInDoubt = false
+// renew renews the seat, with a read of the heads in the same round trip if one is
+// due, and reports whether the renewal took effect.
+func (l *Leader) renew(ctx context.Context) bool {
+	if l.renewalInDoubt {
+		// The renewal may have taken effect though its answer was lost. A read
+		// shows its token, and the next renewal needs its row version.
+		l.transact(ctx, table.Transaction{})
+		l.renewalInDoubt = false
 	}
-	d.mu.Lock()
-	if d.stopping {
-		d.mu.Unlock()
+	l.mu.Lock()
+	if l.stopping {
+		l.mu.Unlock()
 		return true
 	}
-	token := d.NewToken()
+	token := l.NewToken()
 	sent := time.Now()
-	tx, err := d.seat.Renew(sent, token)
-	d.queueHeartbeat(sent)
-	d.mu.Unlock()
+	tx, err := l.seat.Renew(sent, token)
+	l.queueHeartbeat(sent)
+	l.mu.Unlock()
 	if err != nil {
-		d.Log.Error("renew", "error", err)
+		l.Log.Error("renew", "error", err)
 		return false
 	}
-	if d.renewalsSinceRead++; d.renewalsSinceRead >= renewalsPerRead {
-		d.renewalsSinceRead = 0
-		return d.transact(ctx, tx)
+	if l.renewalsSinceRead++; l.renewalsSinceRead >= renewalsPerRead {
+		l.renewalsSinceRead = 0
+		return l.transact(ctx, tx)
 	}
-	return d.renewOnly(ctx, tx)
+	return l.renewOnly(ctx, tx)
 }
 
-// renewOnly renews without reading. A renewal that fails is followed by one
-// that reads, to see why.
-func (d *Leader) renewOnly(ctx context.Context, tx table.Transaction) bool {
+// renewOnly renews without reading. After a failure the next renewal reads, to find
+// the cause.
+func (l *Leader) renewOnly(ctx context.Context, tx table.Transaction) bool {
 	callCtx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
-	res, err := d.Table.Transact(callCtx, tx)
-	d.recordTableResult(err)
+	res, err := l.Table.Transact(callCtx, tx)
+	l.recordTableResult(err)
 	if err != nil || !res.Committed {
-		d.renewalsSinceRead = renewalsPerRead
-		d.renewalInDoubt = true
+		l.renewalsSinceRead = renewalsPerRead
+		l.renewalInDoubt = true
 		return false
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.seat.Committed(time.Now(), tx.Token, res.Revision)
-	d.broadcast()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.seat.Committed(time.Now(), tx.Token, res.Revision)
+	l.broadcast()
 	return true
 }
 
-// transact adds the reading of all heads to a write, carries both out, takes
-// in the result, and tells whether it was committed.
-func (d *Leader) transact(ctx context.Context, tx table.Transaction) bool {
+// transact executes a write together with a read of all heads, applies the result,
+// and reports whether the write was committed.
+func (l *Leader) transact(ctx context.Context, tx table.Transaction) bool {
 	tx.ReadPrefixes = []string{headKeyPrefix}
-	tx.ReadKeys = []string{seat.TermKey(d.Zone)}
+	tx.ReadKeys = []string{seat.TermKey(l.Zone)}
 	callCtx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
-	res, err := d.Table.Transact(callCtx, tx)
-	d.recordTableResult(err)
+	res, err := l.Table.Transact(callCtx, tx)
+	l.recordTableResult(err)
 	if err != nil {
-		d.renewalInDoubt = len(tx.Puts) > 0
+		l.renewalInDoubt = len(tx.Puts) > 0
 		return false
 	}
-	d.applyHeads(ctx, res)
+	l.applyHeads(ctx, res)
 	return res.Committed
 }
 
-func (d *Leader) recordTableResult(err error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (l *Leader) recordTableResult(err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	bad := err != nil
-	if bad == d.tableFailing {
+	if bad == l.tableFailing {
 		return
 	}
-	d.tableFailing = bad
+	l.tableFailing = bad
 	if bad {
-		event.PlatformDown.Log(d.Log, "error", err)
+		event.PlatformDown.Log(l.Log, "error", err)
 		return
 	}
-	event.PlatformBack.Log(d.Log)
+	event.PlatformBack.Log(l.Log)
 }
 
-// tryTakeOver looks at the seat as a candidate and takes it when it is free.
-func (d *Leader) tryTakeOver(ctx context.Context) {
-	d.transact(ctx, table.Transaction{})
-	d.mu.Lock()
+// tryTakeOver reads the seat, and claims it if it is free or its holder is evicted.
+func (l *Leader) tryTakeOver(ctx context.Context) {
+	l.transact(ctx, table.Transaction{})
+	l.mu.Lock()
 	now := time.Now()
-	d.updateFollower()
-	stopping, free := d.stopping, d.mayClaim(now)
-	d.mu.Unlock()
+	l.updateFollower()
+	stopping, free := l.stopping, l.mayClaim(now)
+	l.mu.Unlock()
 	switch {
 	case stopping:
 	case free:
-		d.claim(ctx, (*seat.Seat).Claim)
-	case d.advanceEviction(ctx):
-		d.claim(ctx, (*seat.Seat).Take)
+		l.claim(ctx, (*seat.Seat).Claim)
+	case l.advanceEviction(ctx):
+		l.claim(ctx, (*seat.Seat).Take)
 	}
 }
 
-func (d *Leader) claim(ctx context.Context, how func(*seat.Seat, time.Time, string) (table.Transaction, error)) {
-	d.mu.Lock()
-	tx, err := how(&d.seat, time.Now(), d.NewToken())
-	d.mu.Unlock()
+func (l *Leader) claim(ctx context.Context, how func(*seat.Seat, time.Time, string) (table.Transaction, error)) {
+	l.mu.Lock()
+	tx, err := how(&l.seat, time.Now(), l.NewToken())
+	l.mu.Unlock()
 	if err != nil {
-		d.Log.Error("claim", "error", err)
+		l.Log.Error("claim", "error", err)
 		return
 	}
-	d.transact(ctx, tx)
+	l.transact(ctx, tx)
 }
 
-// advanceEviction works on the eviction of a silent holder and tells whether it is
-// complete. The first candidate begins; the others wait longer.
-func (d *Leader) advanceEviction(ctx context.Context) bool {
-	d.mu.Lock()
-	silent := d.seat.Silence(time.Now())
-	first := silent > evictor.SuspectAfter+d.rank()*rankDelay
-	seats := d.otherSeats()
-	d.mu.Unlock()
-	return first && d.Evictor.Step(ctx, &d.mu, &d.seat, seats)
+// advanceEviction advances the eviction of an unresponsive holder and reports whether
+// it is complete. Candidates of lower rank begin later.
+func (l *Leader) advanceEviction(ctx context.Context) bool {
+	l.mu.Lock()
+	unchanged := l.seat.Silence(time.Now())
+	mayBegin := unchanged > evictor.SuspectAfter+l.rank()*rankDelay
+	seats := l.otherSeats()
+	l.mu.Unlock()
+	return mayBegin && l.Evictor.Step(ctx, &l.mu, &l.seat, seats)
 }
 
 // otherSeats returns the records of the other zones' seats as last read.
-func (d *Leader) otherSeats() []seat.Record {
+func (l *Leader) otherSeats() []seat.Record {
 	var others []seat.Record
-	for name, s := range d.seats {
-		if r, _ := s.Record(); name != d.Zone {
+	for name, s := range l.seats {
+		if r, _ := s.Record(); name != l.Zone {
 			others = append(others, r)
 		}
 	}
 	return others
 }
 
-// updateFollower points the follower at a holder that may still be there.
-func (d *Leader) updateFollower() {
-	r, _ := d.seat.Record()
-	if r.Holder != "" && r.Address != d.Address && !d.seat.Free() {
-		d.Follower.SetLeader(r.Address)
+// updateFollower makes the follower poll the holder of the seat as last read.
+func (l *Leader) updateFollower() {
+	r, _ := l.seat.Record()
+	if r.Holder != "" && r.Address != l.Address && !l.seat.Free() {
+		l.Follower.SetLeader(r.Address)
 	}
 }
 
-// mayClaim lets the candidates go one after another, so that a free seat is
-// not fought over by every instance of the zone at once.
-func (d *Leader) mayClaim(now time.Time) bool {
-	if !d.seat.Free() {
-		d.freeSince = time.Time{}
+// mayClaim reports whether this candidate's takeover delay is over. The delays differ
+// by rank, so that the zone's instances don't all claim a free seat at once.
+func (l *Leader) mayClaim(now time.Time) bool {
+	if !l.seat.Free() {
+		l.freeSince = time.Time{}
 		return false
 	}
-	if d.freeSince.IsZero() {
-		d.freeSince = now
+	if l.freeSince.IsZero() {
+		l.freeSince = now
 	}
-	return now.Sub(d.freeSince) >= d.rank()*rankDelay
+	return now.Sub(l.freeSince) >= l.rank()*rankDelay
 }
 
-func (d *Leader) rank() time.Duration {
-	for i, m := range d.Follower.Members() {
-		if m == d.Instance {
+func (l *Leader) rank() time.Duration {
+	for i, m := range l.Follower.Members() {
+		if m == l.Instance {
 			return time.Duration(min(i, maxRank))
 		}
 	}
 	return 0
 }
 
-// Hint takes in what the present leader said of its seat.
-func (d *Leader) Hint(now time.Time, term, renewals uint64, left time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.seat.Hint(now, term, renewals, left)
+// Hint records the leader's renewal and the authority that it had left from the table.
+func (l *Leader) Hint(now time.Time, term, renewals uint64, left time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.seat.Hint(now, term, renewals, left)
 }
 
-// broadcast wakes all who wait for news. It is called with the lock held.
-func (d *Leader) broadcast() {
-	close(d.changed)
-	d.changed = make(chan struct{})
+// broadcast wakes all polls that wait for a change. It is called with the lock held.
+func (l *Leader) broadcast() {
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// Stop hands the seat over before the instance shuts down.
-func (d *Leader) Stop(ctx context.Context) {
-	d.mu.Lock()
-	d.stopping = true
-	if !d.seat.Holding() {
-		d.mu.Unlock()
+// Stop hands the seat over on shutdown, so that a candidate can claim it at once.
+func (l *Leader) Stop(ctx context.Context) {
+	l.mu.Lock()
+	l.stopping = true
+	if !l.seat.Holding() {
+		l.mu.Unlock()
 		return
 	}
-	tx, err := d.seat.HandOver(time.Now(), d.NewToken())
-	d.zoneState, d.ledger, d.ready = nil, nil, false
-	d.broadcast()
-	d.mu.Unlock()
+	tx, err := l.seat.HandOver(time.Now(), l.NewToken())
+	l.zoneState, l.ledger, l.ready = nil, nil, false
+	l.broadcast()
+	l.mu.Unlock()
 	if err == nil {
-		_, err = d.Table.Transact(ctx, tx)
+		_, err = l.Table.Transact(ctx, tx)
 	}
 	if err != nil {
-		d.Log.Warn("seat not handed over", "error", err)
+		l.Log.Warn("hand over seat", "error", err)
 		return
 	}
-	event.SeatHandedOver.Log(d.Log, "seat", d.Zone)
+	event.SeatHandedOver.Log(l.Log, "seat", l.Zone)
 }
 
 // Status is a leader's state for operators.
@@ -400,14 +400,14 @@
 	TableOK bool          `json:"tableOk"`
 }
 
-// Status returns the present state.
-func (d *Leader) Status() Status {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	r, _ := d.seat.Record()
-	s := Status{Zone: d.Zone, Leading: d.leading(time.Now()), Record: r, TableOK: !d.tableFailing}
-	if d.zoneState != nil {
-		s.Members = d.zoneState.Members()
+// Status returns the current state.
+func (l *Leader) Status() Status {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	r, _ := l.seat.Record()
+	s := Status{Zone: l.Zone, Leading: l.leading(time.Now()), Record: r, TableOK: !l.tableFailing}
+	if l.zoneState != nil {
+		s.Members = l.zoneState.Members()
 	}
 	return s
 }
--- a/gateway/leader/loads.go
+++ b/gateway/leader/loads.go
@@ -8,7 +8,7 @@
 	"basilcross.example/gateway/control"
 )
 
-// loadSum adds up the loads that instances report, until a planner has them.
+// loadSum adds up the loads that instances report, until a planner has accepted them.
 type loadSum struct {
 	shards map[shardID]float32
 	hot    map[keyID]float32
@@ -24,7 +24,7 @@
 	key     string
 }
 
-// maxHotKeys bounds the hot keys kept between two reports.
+// maxHotKeys bounds the hot keys kept between two reports to the planner.
 const maxHotKeys = 256
 
 func (s *loadSum) add(loads []*control.ShardLoad, hot []*control.HotKey) {
@@ -55,7 +55,7 @@
 	return loads, hot
 }
 
-// subtract takes off what a report carried; what came since stays.
+// subtract removes the loads of an accepted report; loads added since remain.
 func (s *loadSum) subtract(loads []*control.ShardLoad, hot []*control.HotKey) {
 	for _, l := range loads {
 		name := shardID{l.GetService(), l.GetFirst()}
--- a/gateway/leader/outage.go
+++ b/gateway/leader/outage.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// extendInterval lies between two rounds of requests for extension.
+	// extendInterval is the time between two rounds of extension requests.
 	extendInterval = 150 * time.Millisecond
-	// extendThreshold is the authority left below which the table is suspect. A
-	// leader in good health renews long before.
+	// extendThreshold is the authority left below which extensions are requested.
+	// A leader whose table calls succeed renews long before.
 	extendThreshold = 650 * time.Millisecond
 	extendTimeout   = 300 * time.Millisecond
 )
 
-// Extender is the duty of keeping the leader's authority while the table
-// service is out of reach, on the word of the other zones' leaders.
+// Extender keeps the leader's authority by extensions from the other zones' leaders
+// while the table service is unreachable.
 type Extender struct {
 	Leader *Leader
 }
 
-// Serve extends when it is needed until the context ends.
+// Serve extends the leader's authority when needed, until the context ends.
 func (e *Extender) Serve(ctx context.Context) error {
 	tick := time.NewTicker(extendInterval)
 	defer tick.Stop()
@@ -40,44 +40,44 @@
 	}
 }
 
-// extend asks all other leaders at once. Authority counts from before the
-// first request was sent.
-func (d *Leader) extend(ctx context.Context) {
+// extend requests an extension from all other leaders at once, if one is needed. The
+// authority counts from before the first request was sent.
+func (l *Leader) extend(ctx context.Context) {
 	sent := time.Now()
-	req, others, needed := d.extendRequest(sent)
+	req, others, needed := l.extendRequest(sent)
 	if req == nil {
 		return
 	}
-	if d.requestExtensions(ctx, req, others) < needed {
+	if l.requestExtensions(ctx, req, others) < needed {
 		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.seat.Extend(sent) {
-		d.broadcast()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.seat.Extend(sent) {
+		l.broadcast()
 	}
 }
 
-// extendRequest returns the request to send, nil if none is needed or allowed.
-func (d *Leader) extendRequest(now time.Time) (req *control.ExtendRequest, others []seat.Record, needed int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if !d.ready || d.stopping || !d.seat.Holding() || d.seat.Authority().Left(now) > extendThreshold {
+// extendRequest returns the request, nil if none is needed or allowed, and the quorum.
+func (l *Leader) extendRequest(now time.Time) (req *control.ExtendRequest, others []seat.Record, needed int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.ready || l.stopping || !l.seat.Holding() || l.seat.Authority().Left(now) > extendThreshold {
 		return nil, nil, 0
 	}
-	others = d.otherSeats()
+	others = l.otherSeats()
 	needed, ok := promise.NeededToExtend(len(others) + 1)
 	if !ok {
 		return nil, nil, 0
 	}
-	record, version := d.seat.Record()
+	record, version := l.seat.Record()
 	return &control.ExtendRequest{
-		Zone: d.Zone, Holder: record.Holder, Incarnation: record.Incarnation, RowVersion: version,
+		Zone: l.Zone, Holder: record.Holder, Incarnation: record.Incarnation, RowVersion: version,
 	}, others, needed
 }
 
-// requestExtensions returns how many leaders extend.
-func (d *Leader) requestExtensions(ctx context.Context, req *control.ExtendRequest, others []seat.Record) int {
+// requestExtensions sends the request and returns how many leaders extended.
+func (l *Leader) requestExtensions(ctx context.Context, req *control.ExtendRequest, others []seat.Record) int {
 	ctx, cancel := context.WithTimeout(ctx, extendTimeout)
 	defer cancel()
 	extended := 0
@@ -88,7 +88,7 @@
 			continue
 		}
 		group.Go(func() error {
-			res, err := d.Peers.Zone(r.Address).Extend(ctx, req)
+			res, err := l.Peers.Zone(r.Address).Extend(ctx, req)
 			if err != nil || !res.GetExtended() || res.GetZone() != r.Zone {
 				return err
 			}
@@ -99,52 +99,52 @@
 		})
 	}
 	if err := group.Wait(); err != nil {
-		d.Log.Debug("extend", "error", err)
+		l.Log.Debug("extend", "error", err)
 	}
 	return extended
 }
 
-// Extend promises another zone's leader to take no part in its eviction.
-func (d *Leader) Extend(_ context.Context, req *control.ExtendRequest) (*control.ExtendResponse, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	res := &control.ExtendResponse{Zone: d.Zone}
+// Extend promises another leader to take no part in its eviction for a seat.Hold.
+func (l *Leader) Extend(_ context.Context, req *control.ExtendRequest) (*control.ExtendResponse, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	res := &control.ExtendResponse{Zone: l.Zone}
 	now := time.Now()
-	if !d.leading(now) || req.GetZone() == d.Zone {
+	if !l.leading(now) || req.GetZone() == l.Zone {
 		return res, nil
 	}
 	var known seat.Record
 	var version uint64
-	if s, ok := d.seats[req.GetZone()]; ok {
+	if s, ok := l.seats[req.GetZone()]; ok {
 		known, version = s.Record()
 	}
-	res.Extended = d.ledger.Extend(now, promise.Request{
+	res.Extended = l.ledger.Extend(now, promise.Request{
 		Zone: req.GetZone(), Holder: req.GetHolder(), Incarnation: req.GetIncarnation(), Version: req.GetRowVersion(),
 	}, known, version)
 	return res, nil
 }
 
-// Refrain promises to extend another zone's seat no more.
-func (d *Leader) Refrain(_ context.Context, req *control.RefrainRequest) (*control.RefrainResponse, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	res := &control.RefrainResponse{Zone: d.Zone}
+// Refrain promises to stop extending another zone's seat.
+func (l *Leader) Refrain(_ context.Context, req *control.RefrainRequest) (*control.RefrainResponse, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	res := &control.RefrainResponse{Zone: l.Zone}
 	now := time.Now()
-	if !d.leading(now) || req.GetZone() == d.Zone {
+	if !l.leading(now) || req.GetZone() == l.Zone {
 		return res, nil
 	}
-	left := d.ledger.Refrain(now, req.GetZone(), req.GetRowVersion())
+	left := l.ledger.Refrain(now, req.GetZone(), req.GetRowVersion())
 	res.Confirmed = true
 	res.LeftMs = uint32((left + time.Millisecond - 1).Milliseconds())
 	return res, nil
 }
 
 // OtherLeaders returns the control addresses of other zones' leaders.
-func (d *Leader) OtherLeaders() []string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (l *Leader) OtherLeaders() []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var addresses []string
-	for _, r := range d.otherSeats() {
+	for _, r := range l.otherSeats() {
 		if r.Address != "" {
 			addresses = append(addresses, r.Address)
 		}
--- a/gateway/leader/poll.go
+++ b/gateway/leader/poll.go
@@ -18,13 +18,13 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// maxPollWait bounds how long a poll may be held back, whatever it asks for.
+// maxPollWait bounds the wait that a poll may request.
 const maxPollWait = time.Second
 
-// Poll answers an instance of the zone. It waits until there is news.
-func (d *Leader) Poll(ctx context.Context, req *control.PollRequest) (*control.PollResponse, error) {
-	if req.GetZone() != d.Zone {
-		return nil, twirp.InvalidArgumentError("zone", "this instance is in zone "+d.Zone)
+// Poll answers an instance of the zone, once there is a change or its wait is over.
+func (l *Leader) Poll(ctx context.Context, req *control.PollRequest) (*control.PollResponse, error) {
+	if req.GetZone() != l.Zone {
+		return nil, twirp.InvalidArgumentError("zone", "this instance is in zone "+l.Zone)
 	}
 	if req.GetInstance() == "" {
 		return nil, twirp.RequiredArgumentError("instance")
@@ -32,11 +32,11 @@
 	wait := min(time.Duration(req.GetWaitMs())*time.Millisecond, maxPollWait)
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
-	if !d.applyPoll(req) {
-		return d.notLeading(), nil
+	if !l.applyPoll(req) {
+		return l.notLeading(), nil
 	}
 	for {
-		res, news := d.tryAnswer(req)
+		res, changed := l.tryAnswer(req)
 		if res != nil {
 			return res, nil
 		}
@@ -44,39 +44,39 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-timeout.C:
-			return d.answerAtTimeout(req), nil
-		case <-news:
+			return l.answerAtTimeout(req), nil
+		case <-changed:
 		}
 	}
 }
 
-// applyPoll takes in the report; false if this instance does not lead.
-func (d *Leader) applyPoll(req *control.PollRequest) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// applyPoll applies the instance's report; false if this instance does not lead.
+func (l *Leader) applyPoll(req *control.PollRequest) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
-	if !d.leading(now) {
+	if !l.leading(now) {
 		return false
 	}
-	before := d.zoneState.Version()
-	d.zoneState.Poll(now, d.decodeReport(req))
-	d.loads.add(req.GetLoads(), req.GetHot())
-	if d.zoneState.Version() != before {
-		d.broadcast()
+	before := l.zoneState.Version()
+	l.zoneState.Poll(now, l.decodeReport(req))
+	l.loads.add(req.GetLoads(), req.GetHot())
+	if l.zoneState.Version() != before {
+		l.broadcast()
 	}
 	return true
 }
 
-// decodeReport drops the directive's version if it is of another term: those
-// versions are counted anew in each.
-func (d *Leader) decodeReport(req *control.PollRequest) zone.Report {
+// decodeReport drops the directive's version if it is of another term, since the
+// versions start again in each term.
+func (l *Leader) decodeReport(req *control.PollRequest) zone.Report {
 	r := zone.Report{
 		Instance:    req.GetInstance(),
 		Incarnation: req.GetIncarnation(),
 		Address:     req.GetAddress(),
 		Versions:    decodeKnown(req.GetKnown()),
 	}
-	if record, _ := d.seat.Record(); req.GetTerm() == record.Term {
+	if record, _ := l.seat.Record(); req.GetTerm() == record.Term {
 		r.Directive = req.GetDirective()
 	}
 	for _, t := range req.GetTargets() {
@@ -105,45 +105,45 @@
 	return versions
 }
 
-func (d *Leader) notLeading() *control.PollResponse {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	r, _ := d.seat.Record()
+func (l *Leader) notLeading() *control.PollResponse {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	r, _ := l.seat.Record()
 	res := &control.PollResponse{}
-	if r.Address != d.Address {
+	if r.Address != l.Address {
 		res.LeaderAddress = r.Address
 	}
 	return res
 }
 
-// tryAnswer returns the answer if there is news, else the channel that tells of
-// the next.
-func (d *Leader) tryAnswer(req *control.PollRequest) (*control.PollResponse, <-chan struct{}) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// tryAnswer returns the answer if there is a change to send, else the channel that is
+// closed at the next change.
+func (l *Leader) tryAnswer(req *control.PollRequest) (*control.PollResponse, <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
-	if !d.leading(now) {
-		r, _ := d.seat.Record()
+	if !l.leading(now) {
+		r, _ := l.seat.Record()
 		return &control.PollResponse{LeaderAddress: r.Address}, nil
 	}
-	record, _ := d.seat.Record()
-	// A renewal is news too: candidates then know how long the seat is held,
-	// and the authority is fresh.
-	stale := req.GetTerm() != record.Term || req.GetDirective() != d.zoneState.Version() || req.GetRenewals() != record.Renewals
-	if !stale && !hasNewer(d.View.Load(), req.GetKnown()) {
-		return nil, d.changed
+	record, _ := l.seat.Record()
+	// A renewal is a change too: it extends the instance's authority, and candidates
+	// receive how long the seat is held.
+	stale := req.GetTerm() != record.Term || req.GetDirective() != l.zoneState.Version() || req.GetRenewals() != record.Renewals
+	if !stale && !hasNewer(l.View.Load(), req.GetKnown()) {
+		return nil, l.changed
 	}
-	return d.buildResponse(now, req), nil
+	return l.buildResponse(now, req), nil
 }
 
-func (d *Leader) answerAtTimeout(req *control.PollRequest) *control.PollResponse {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (l *Leader) answerAtTimeout(req *control.PollRequest) *control.PollResponse {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
-	if !d.leading(now) {
+	if !l.leading(now) {
 		return &control.PollResponse{}
 	}
-	return d.buildResponse(now, req)
+	return l.buildResponse(now, req)
 }
 
 func hasNewer(s *view.Snapshot, known []*control.Known) bool {
@@ -156,20 +156,20 @@
 	return false
 }
 
-// buildResponse gives the instance authority and what it lacks.
-func (d *Leader) buildResponse(now time.Time, req *control.PollRequest) *control.PollResponse {
-	record, _ := d.seat.Record()
-	left := d.seat.Authority().Left(now)
-	d.zoneState.Grant(now, req.GetInstance(), left)
+// buildResponse grants the instance authority and adds the updates that it lacks.
+func (l *Leader) buildResponse(now time.Time, req *control.PollRequest) *control.PollResponse {
+	record, _ := l.seat.Record()
+	left := l.seat.Authority().Left(now)
+	l.zoneState.Grant(now, req.GetInstance(), left)
 	res := &control.PollResponse{
 		Leading:     true,
 		Term:        record.Term,
 		AuthorityUs: uint32(left.Microseconds()),
 		Renewals:    record.Renewals,
-		TableLeftUs: d.tableLeft(now),
-		Updates:     d.missingUpdates(req.GetKnown()),
+		TableLeftUs: l.tableLeft(now),
+		Updates:     l.missingUpdates(req.GetKnown()),
 	}
-	directive := d.zoneState.Directive(now, req.GetInstance())
+	directive := l.zoneState.Directive(now, req.GetInstance())
 	if req.GetTerm() == record.Term && req.GetDirective() == directive.Version {
 		return res
 	}
@@ -179,63 +179,63 @@
 	for _, r := range directive.Renew {
 		res.Renew = append(res.Renew, &control.Renewal{Target: r.Target, Generation: r.Generation, Standby: r.Standby, Urgent: r.Urgent})
 	}
-	for _, m := range d.zoneState.Members() {
-		if m.Instance != d.Instance {
+	for _, m := range l.zoneState.Members() {
+		if m.Instance != l.Instance {
 			res.Members = append(res.Members, m.Instance)
 		}
 	}
 	return res
 }
 
-// tableLeft is what the leader has left from the table, in microseconds.
-func (d *Leader) tableLeft(now time.Time) uint32 {
-	return uint32(lease.New(d.seat.Renewed(), seat.Hold).Left(now).Microseconds())
+// tableLeft returns the authority left from the table, in microseconds.
+func (l *Leader) tableLeft(now time.Time) uint32 {
+	return uint32(lease.New(l.seat.Renewed(), seat.Hold).Left(now).Microseconds())
 }
 
 // missingUpdates returns the configuration and the deltas that the instance lacks.
-func (d *Leader) missingUpdates(known []*control.Known) []*control.Update {
+func (l *Leader) missingUpdates(known []*control.Known) []*control.Update {
 	has := decodeKnown(known)
-	s := d.View.Load()
+	s := l.View.Load()
 	var updates []*control.Update
 	if s.Config != nil && s.Config.Version > has[view.ConfigName] {
-		updates = append(updates, d.encodeUpdate(view.ConfigName, 0, s.Config.Version, s.Config))
+		updates = append(updates, l.encodeUpdate(view.ConfigName, 0, s.Config.Version, s.Config))
 	}
 	for name := range s.Services {
-		for _, delta := range d.View.Since(name, has[name]) {
-			updates = append(updates, d.encodeUpdate(name, delta.From, delta.To, delta))
+		for _, delta := range l.View.Since(name, has[name]) {
+			updates = append(updates, l.encodeUpdate(name, delta.From, delta.To, delta))
 		}
 	}
 	return updates
 }
 
-func (d *Leader) encodeUpdate(name string, from, to uint64, v any) *control.Update {
+func (l *Leader) encodeUpdate(name string, from, to uint64, v any) *control.Update {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		d.Log.Error("pack update", "name", name, "error", err)
+		l.Log.Error("encode update", "name", name, "error", err)
 	}
-	// A buffer's writes do not fail.
+	// Writes to a bytes.Buffer do not fail.
 	_ = w.Close()
 	return &control.Update{Name: name, From: from, To: to, Body: b.Bytes()}
 }
 
-// Nudge makes the next turn come at once.
-func (d *Leader) Nudge(context.Context, *control.NudgeRequest) (*control.NudgeResponse, error) {
+// Nudge makes the leader renew and read the heads at once.
+func (l *Leader) Nudge(context.Context, *control.NudgeRequest) (*control.NudgeResponse, error) {
 	select {
-	case d.nudges <- struct{}{}:
+	case l.nudges <- struct{}{}:
 	default:
 	}
 	return &control.NudgeResponse{}, nil
 }
 
-// Transact carries out a table transaction for a leader that is cut off from
-// the platform. It adds no authority: the caller counts from its own sending.
-func (d *Leader) Transact(ctx context.Context, req *control.TransactRequest) (*control.TransactResponse, error) {
+// Transact executes a table transaction for a leader that cannot reach the platform.
+// It adds no authority: the caller counts from when it sent the request.
+func (l *Leader) Transact(ctx context.Context, req *control.TransactRequest) (*control.TransactResponse, error) {
 	var tx table.Transaction
 	if err := json.Unmarshal(req.GetTransaction(), &tx); err != nil {
 		return nil, twirp.InvalidArgumentError("transaction", err.Error())
 	}
-	res, err := d.Direct.Transact(ctx, tx)
+	res, err := l.Direct.Transact(ctx, tx)
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
@@ -246,15 +246,15 @@
 	return &control.TransactResponse{Result: content}, nil
 }
 
-// nudgeTimeout bounds the telling of other zones' leaders.
+// nudgeTimeout bounds one NudgeAll.
 const nudgeTimeout = 300 * time.Millisecond
 
-// NudgeAll tells the leader of every zone to read the table now. A lost nudge
-// only delays the news until that leader's next turn.
-func (d *Leader) NudgeAll(ctx context.Context) {
+// NudgeAll asks every zone's leader to read the table at once. A lost nudge only
+// delays the update until that leader's next read.
+func (l *Leader) NudgeAll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, nudgeTimeout)
 	defer cancel()
-	res, err := d.Table.Transact(ctx, table.Transaction{ReadPrefixes: []string{seat.RowKey("")}})
+	res, err := l.Table.Transact(ctx, table.Transaction{ReadPrefixes: []string{seat.RowKey("")}})
 	if err != nil {
 		return
 	}
@@ -265,11 +265,11 @@
 			continue
 		}
 		group.Go(func() error {
-			_, err := d.Peers.Zone(r.Address).Nudge(ctx, &control.NudgeRequest{})
+			_, err := l.Peers.Zone(r.Address).Nudge(ctx, &control.NudgeRequest{})
 			return err
 		})
 	}
 	if err := group.Wait(); err != nil {
-		d.Log.Debug("nudge", "error", err)
+		l.Log.Debug("nudge", "error", err)
 	}
 }
--- a/gateway/leader/report.go
+++ b/gateway/leader/report.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// reportCheckInterval lies between two looks whether there is news to report.
+	// reportCheckInterval is the time between two checks whether a report is due.
 	reportCheckInterval = 50 * time.Millisecond
-	// maxReportInterval is the longest time between two reports.
+	// maxReportInterval is the longest time between two full reports.
 	maxReportInterval = 2 * time.Second
-	// keepAliveInterval is the longest time between two signs of life, which are
-	// reports without the parts that are sums.
+	// keepAliveInterval is the longest time between two reports of any sort; between
+	// full reports, keep-alive reports without contents are sent.
 	keepAliveInterval = 400 * time.Millisecond
 	reportTimeout     = 300 * time.Millisecond
 )
 
-// Reporter is the duty of telling the planner what the zone's leader knows.
+// Reporter sends the reports of the zone's leader to the planner.
 type Reporter struct {
 	Leader *Leader
 }
 
-// Serve reports until the context ends.
+// Serve sends reports until the context ends.
 func (r *Reporter) Serve(ctx context.Context) error {
-	var sent, beat time.Time
+	var lastFull, lastSent time.Time
 	var last string
 	tick := time.NewTicker(reportCheckInterval)
 	defer tick.Stop()
@@ -41,9 +41,9 @@
 		if req == nil {
 			continue
 		}
-		news := urgentPart(req)
-		full := news != last || now.Sub(sent) >= maxReportInterval
-		if !full && now.Sub(beat) < keepAliveInterval {
+		urgent := urgentPart(req)
+		full := urgent != last || now.Sub(lastFull) >= maxReportInterval
+		if !full && now.Sub(lastSent) < keepAliveInterval {
 			continue
 		}
 		if full {
@@ -54,21 +54,21 @@
 		if !r.Leader.sendReport(ctx, req) {
 			continue
 		}
-		beat = now
+		lastSent = now
 		if full {
-			sent, last = now, news
+			lastFull, last = now, urgent
 		}
 	}
 }
 
-// keepAliveReport is a sign of life.
+// keepAliveReport returns a report without contents: the last full one is still valid.
 func keepAliveReport(req *control.ReportRequest) *control.ReportRequest {
 	return &control.ReportRequest{
 		Zone: req.GetZone(), Instance: req.GetInstance(), Term: req.GetTerm(), Beat: true,
 	}
 }
 
-// urgentPart is what a planner should hear of at once.
+// urgentPart returns the fields whose changes are reported at once, as text.
 func urgentPart(req *control.ReportRequest) string {
 	short := &control.ReportRequest{
 		Term:     req.GetTerm(),
@@ -80,43 +80,43 @@
 	return short.String()
 }
 
-// report composes the report; nil if this instance does not lead.
-func (d *Leader) report(now time.Time) *control.ReportRequest {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if !d.leading(now) {
+// report returns the report without totals; nil if this instance does not lead.
+func (l *Leader) report(now time.Time) *control.ReportRequest {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.leading(now) {
 		return nil
 	}
-	record, _ := d.seat.Record()
+	record, _ := l.seat.Record()
 	req := &control.ReportRequest{
-		Zone:        d.Zone,
-		Instance:    d.Instance,
+		Zone:        l.Zone,
+		Instance:    l.Instance,
 		Term:        record.Term,
-		TermVersion: d.seat.TermVersion(),
-		Released:    encodeReleases(d.zoneState.Released(now)),
-		Returned:    encodeReleases(d.zoneState.Returned()),
+		TermVersion: l.seat.TermVersion(),
+		Released:    encodeReleases(l.zoneState.Released(now)),
+		Returned:    encodeReleases(l.zoneState.Returned()),
 	}
-	for _, drained := range d.zoneState.Drained(now) {
+	for _, drained := range l.zoneState.Drained(now) {
 		req.Drained = append(req.Drained, &control.Drain{
 			Service: drained.Service, First: drained.First, Epoch: drained.Epoch, Version: drained.Version,
 		})
 	}
-	for name := range d.View.Load().Versions() {
-		req.Reached = append(req.Reached, &control.Known{Name: name, Version: d.zoneState.Reached(now, name)})
+	for name := range l.View.Load().Versions() {
+		req.Reached = append(req.Reached, &control.Known{Name: name, Version: l.zoneState.Reached(now, name)})
 	}
 	sortKnown(req.Reached)
 	return req
 }
 
-// addTotals adds what is worth telling only now and then.
-func (d *Leader) addTotals(now time.Time, req *control.ReportRequest) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.zoneState == nil {
+// addTotals adds the loads and the members, whose changes are not urgent.
+func (l *Leader) addTotals(now time.Time, req *control.ReportRequest) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.zoneState == nil {
 		return
 	}
-	req.Loads, req.Hot = d.loads.totals()
-	for _, m := range d.zoneState.Members() {
+	req.Loads, req.Hot = l.loads.totals()
+	for _, m := range l.zoneState.Members() {
 		req.Members = append(req.Members, encodeMember(now, m))
 	}
 }
@@ -142,28 +142,28 @@
 	return out
 }
 
-// sendReport brings the report to the planner, and books the loads as told.
-func (d *Leader) sendReport(ctx context.Context, req *control.ReportRequest) bool {
-	address := d.Planner.Address()
+// sendReport sends the report and, once the planner accepted it, subtracts its loads.
+func (l *Leader) sendReport(ctx context.Context, req *control.ReportRequest) bool {
+	address := l.Planner.Address()
 	if address == "" {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	res, err := d.plannerAt(address).Report(ctx, req)
+	res, err := l.plannerAt(address).Report(ctx, req)
 	if err != nil || !res.GetPlanning() {
 		return false
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.reportAcceptedAt = time.Now()
-	d.loads.subtract(req.GetLoads(), req.GetHot())
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.reportAcceptedAt = time.Now()
+	l.loads.subtract(req.GetLoads(), req.GetHot())
 	return true
 }
 
-func (d *Leader) plannerAt(address string) control.Planner {
-	if address == d.Address {
-		return d.Planner
+func (l *Leader) plannerAt(address string) control.Planner {
+	if address == l.Address {
+		return l.Planner
 	}
-	return d.Peers.Planner(address)
+	return l.Peers.Planner(address)
 }
