--- a/gateway/renewer/grants.go
+++ b/gateway/renewer/grants.go
@@ -13,7 +13,7 @@
 	"basilcross.example/gateway/view"
 )
 
-// grantIndex keeps each target's grants for the assignments last asked about.
+// grantIndex caches each target's grants, by service, for the last assignment used.
 type grantIndex struct {
 	services map[string]serviceGrants
 }
@@ -47,12 +47,12 @@
 	return g
 }
 
-// HTTPCaller sends orders over HTTP, the stand-in for the users' own protocol.
+// HTTPCaller sends orders over HTTP, in place of the users' own protocol.
 type HTTPCaller struct {
 	Client *http.Client
 }
 
-// maxStatusBytes bounds what is read of a target's status.
+// maxStatusBytes bounds the size of a target's status.
 const maxStatusBytes = 1 << 20
 
 // Order posts the order and returns the target's status.
@@ -60,24 +60,24 @@
 	var s grant.Status
 	content, err := json.Marshal(o)
 	if err != nil {
-		return s, fmt.Errorf("encode order: %w", err)
+		return s, fmt.Errorf("encode order to %s: %w", address, err)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+grant.Path, bytes.NewReader(content))
 	if err != nil {
-		return s, fmt.Errorf("order: %w", err)
+		return s, fmt.Errorf("create order request to %s: %w", address, err)
 	}
-	// Nothing reads it, and it goes out several times a second.
+	// No target uses this header, and orders are sent several times a second.
 	req.Header.Set("User-Agent", "")
 	res, err := c.Client.Do(req)
 	if err != nil {
-		return s, fmt.Errorf("order: %w", err)
+		return s, fmt.Errorf("send order: %w", err)
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		return s, fmt.Errorf("order: target answered %d", res.StatusCode)
+		return s, fmt.Errorf("send order to %s: target answered %d", address, res.StatusCode)
 	}
 	if err := json.NewDecoder(io.LimitReader(res.Body, maxStatusBytes)).Decode(&s); err != nil {
-		return s, fmt.Errorf("order: %w", err)
+		return s, fmt.Errorf("decode status of %s: %w", address, err)
 	}
 	return s, nil
 }
--- a/gateway/renewer/renewer.go
+++ b/gateway/renewer/renewer.go
@@ -1,5 +1,5 @@
-// Package renewer gives targets their leases and grants, as the zone leader
-// directs, and sees whether they answer.
+// Package renewer sends targets their leases and grants, as the zone leader's
+// directive demands, and detects targets that do not answer.
 package renewer
 
 import (
@@ -19,22 +19,22 @@
 )
 
 const (
-	// renewInterval lies between two renewals of a target.
+	// renewInterval is the time between two renewals of a target.
 	renewInterval = 250 * time.Millisecond
-	// standbyInterval is that of the instance that only stands by. Should the
-	// other one be lost, the lease may lapse for less than this.
+	// standbyInterval is that of a standby instance. If the other instance is lost,
+	// the lease may be expired for less than this.
 	standbyInterval = time.Second
-	// retryInterval lies between an unanswered renewal and the next.
+	// retryInterval is the time between an unanswered renewal and the next.
 	retryInterval = 80 * time.Millisecond
 	// callTimeout bounds one renewal.
 	callTimeout = 300 * time.Millisecond
-	// TargetLease is the longest lease that a target gets. It bounds how long
-	// a lost target's keys wait for their next owner.
+	// TargetLease is the longest lease given to a target. It bounds how long a
+	// lost target's keys wait for their next owner.
 	TargetLease = 750 * time.Millisecond
-	// failingAfter is how many renewals in a row go unanswered before the
-	// target is reported as failing.
+	// failingAfter is the number of consecutive unanswered renewals after which
+	// the target is reported as failing.
 	failingAfter = 2
-	// aliveTimeout is how long an answer counts as a sign of life.
+	// aliveTimeout is how long a target counts as alive after an answer.
 	aliveTimeout = time.Second
 )
 
@@ -43,7 +43,7 @@
 	Order(ctx context.Context, address string, o grant.Order) (grant.Status, error)
 }
 
-// Options are what a Duty needs; all fields must be set.
+// Options configure a Renewer; all fields must be set.
 type Options struct {
 	Instance  string
 	View      *view.View
@@ -52,7 +52,7 @@
 	Log       *slog.Logger
 }
 
-// Renewer renews the targets that its directive names.
+// Renewer renews the leases of the targets in its directive, and probes others.
 type Renewer struct {
 	Options
 
@@ -64,12 +64,12 @@
 	reportDue chan struct{}
 }
 
-// targetState is what is known of one target.
+// targetState is a target's last status, and when to call the target next.
 type targetState struct {
 	status grant.Status
-	// statusAt is when the status with its stamp was received.
+	// statusAt is when status, with its stamp, was received.
 	statusAt time.Time
-	// leasesEnd is when every lease that this instance gave has ended.
+	// leasesEnd is when all leases that this instance gave have expired.
 	leasesEnd time.Time
 	failures  int
 	nextCall  time.Time
@@ -77,7 +77,7 @@
 	callAgain bool
 }
 
-// New returns a duty without a directive.
+// New returns a Renewer without a directive.
 func New(o Options) *Renewer {
 	return &Renewer{
 		Options:   o,
@@ -87,17 +87,17 @@
 	}
 }
 
-// SetDirective takes in the leader's order. When it returns, no renewal of a
-// target that the directive leaves out will begin.
-func (d *Renewer) SetDirective(next zone.Directive) {
-	d.mu.Lock()
-	d.directive = next
-	d.mu.Unlock()
-	signal(d.wake)
+// SetDirective replaces the leader's directive. When it returns, no renewal of a
+// target that is not in the directive will begin.
+func (r *Renewer) SetDirective(next zone.Directive) {
+	r.mu.Lock()
+	r.directive = next
+	r.mu.Unlock()
+	signal(r.wake)
 }
 
-// ReportDue signals that a report is worth sending before its time.
-func (d *Renewer) ReportDue() <-chan struct{} { return d.reportDue }
+// ReportDue signals that a report should be sent before the next poll is due.
+func (r *Renewer) ReportDue() <-chan struct{} { return r.reportDue }
 
 func signal(c chan struct{}) {
 	select {
@@ -107,25 +107,25 @@
 }
 
 // Serve renews until the context ends.
-func (d *Renewer) Serve(ctx context.Context) error {
+func (r *Renewer) Serve(ctx context.Context) error {
 	var group errgroup.Group
 	defer func() { _ = group.Wait() }()
 	tick := time.NewTicker(retryInterval / 2)
 	defer tick.Stop()
 	for {
-		changed := d.View.Load().Changed
+		changed := r.View.Load().Changed
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
-		case <-d.wake:
-			d.makeAllDue()
+		case <-r.wake:
+			r.makeAllDue()
 		case <-changed:
-			d.makeAllDue()
+			r.makeAllDue()
 		}
-		for _, id := range d.takeDue(time.Now()) {
+		for _, id := range r.takeDue(time.Now()) {
 			group.Go(func() error {
-				d.callTarget(ctx, id)
+				r.callTarget(ctx, id)
 				return nil
 			})
 		}
@@ -133,145 +133,145 @@
 }
 
 // makeAllDue makes every target due at once.
-func (d *Renewer) makeAllDue() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, l := range d.targets {
-		l.nextCall = time.Time{}
-		l.callAgain = l.calling
+func (r *Renewer) makeAllDue() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, state := range r.targets {
+		state.nextCall = time.Time{}
+		state.callAgain = state.calling
 	}
 }
 
-// takeDue returns the targets whose turn it is, and marks them as busy.
-func (d *Renewer) takeDue(now time.Time) []string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// takeDue returns the targets that are due, and marks them as being called.
+func (r *Renewer) takeDue(now time.Time) []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var ids []string
-	for _, id := range d.directiveTargets() {
-		l, ok := d.targets[id]
+	for _, id := range r.directiveTargets() {
+		state, ok := r.targets[id]
 		if !ok {
-			l = &targetState{}
-			d.targets[id] = l
+			state = &targetState{}
+			r.targets[id] = state
 		}
-		if l.calling || now.Before(l.nextCall) {
+		if state.calling || now.Before(state.nextCall) {
 			continue
 		}
-		l.calling = true
+		state.calling = true
 		ids = append(ids, id)
 	}
 	return ids
 }
 
 // directiveTargets returns the targets to renew and to probe.
-func (d *Renewer) directiveTargets() []string {
-	ids := slices.Clone(d.directive.Probe)
-	for _, r := range d.directive.Renew {
-		ids = append(ids, r.Target)
+func (r *Renewer) directiveTargets() []string {
+	ids := slices.Clone(r.directive.Probe)
+	for _, renewal := range r.directive.Renew {
+		ids = append(ids, renewal.Target)
 	}
 	return ids
 }
 
-// callTarget sends one order, or two where the target lacks the grants.
-func (d *Renewer) callTarget(ctx context.Context, id string) {
-	defer d.scheduleNext(id)
+// callTarget sends one order, or two if the target needs another; see recordStatus.
+func (r *Renewer) callTarget(ctx context.Context, id string) {
+	defer r.scheduleNext(id)
 	for range 2 {
-		target, order, ok := d.prepareOrder(id, time.Now())
+		target, order, ok := r.prepareOrder(id, time.Now())
 		if !ok {
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-		status, err := d.Caller.Order(callCtx, target.Address, order)
+		status, err := r.Caller.Order(callCtx, target.Address, order)
 		cancel()
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			d.recordFailure(id, err)
+			r.recordFailure(id, err)
 			return
 		}
-		if !d.recordStatus(id, order, status, time.Now()) {
+		if !r.recordStatus(id, order, status, time.Now()) {
 			return
 		}
 	}
 }
 
-func (d *Renewer) scheduleNext(id string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	l := d.targets[id]
-	l.calling = false
-	l.nextCall = time.Now().Add(renewInterval)
-	if d.isStandby(id) {
-		l.nextCall = time.Now().Add(standbyInterval)
+func (r *Renewer) scheduleNext(id string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	state := r.targets[id]
+	state.calling = false
+	state.nextCall = time.Now().Add(renewInterval)
+	if r.isStandby(id) {
+		state.nextCall = time.Now().Add(standbyInterval)
 	}
-	if l.failures > 0 {
-		l.nextCall = time.Now().Add(retryInterval)
+	if state.failures > 0 {
+		state.nextCall = time.Now().Add(retryInterval)
 	}
-	if l.callAgain {
-		l.callAgain = false
-		l.nextCall = time.Time{}
+	if state.callAgain {
+		state.callAgain = false
+		state.nextCall = time.Time{}
 	}
 }
 
-func (d *Renewer) isStandby(id string) bool {
-	r, ok := d.renewal(id)
-	return ok && r.Standby
+func (r *Renewer) isStandby(id string) bool {
+	renewal, ok := r.renewal(id)
+	return ok && renewal.Standby
 }
 
-// failureThreshold is how many renewals in a row must go unanswered.
-func (d *Renewer) failureThreshold(id string) int {
-	if r, ok := d.renewal(id); ok && r.Urgent {
+// failureThreshold returns how many consecutive failures make the target failing.
+func (r *Renewer) failureThreshold(id string) int {
+	if renewal, ok := r.renewal(id); ok && renewal.Urgent {
 		return 1
 	}
 	return failingAfter
 }
 
 // renewal returns the directive's entry for a target.
-func (d *Renewer) renewal(id string) (r zone.Renewal, ok bool) {
-	i := slices.IndexFunc(d.directive.Renew, func(r zone.Renewal) bool { return r.Target == id })
+func (r *Renewer) renewal(id string) (renewal zone.Renewal, ok bool) {
+	i := slices.IndexFunc(r.directive.Renew, func(x zone.Renewal) bool { return x.Target == id })
 	if i < 0 {
 		return zone.Renewal{}, false
 	}
-	return d.directive.Renew[i], true
+	return r.directive.Renew[i], true
 }
 
-// prepareOrder works out the order and books its lease before it can be sent.
-func (d *Renewer) prepareOrder(id string, now time.Time) (*assignment.Target, grant.Order, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	service, target := findTarget(d.View.Load(), id)
+// prepareOrder returns the next order, and records its lease before it can be sent.
+func (r *Renewer) prepareOrder(id string, now time.Time) (*assignment.Target, grant.Order, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	service, target := findTarget(r.View.Load(), id)
 	if target == nil {
 		return nil, grant.Order{}, false
 	}
-	l := d.targets[id]
+	state := r.targets[id]
 	order := grant.Order{
-		Incarnation: l.status.Incarnation,
-		Stamp:       l.status.Stamp,
+		Incarnation: state.status.Incarnation,
+		Stamp:       state.status.Stamp,
 		Version:     target.Grants,
 	}
-	order.Lease = d.leaseLength(target, l, now)
-	if order.Lease > 0 && l.status.Version != order.Version {
+	order.Lease = r.leaseLength(target, state, now)
+	if order.Lease > 0 && state.status.Version != order.Version {
 		order.Full = true
-		order.Grants = d.grants.grantsOf(service, id)
+		order.Grants = r.grants.grantsOf(service, id)
 	}
 	return target, order, true
 }
 
-// leaseLength is the lease that may be given now; zero asks for the status only.
+// leaseLength returns the lease that may be given now; zero requests the status only.
 //
 // The target counts from when it issued the stamp, which is before this
 // instance received it. A lease of what the authority had left at that moment
 // therefore ends within the authority.
-func (d *Renewer) leaseLength(target *assignment.Target, l *targetState, now time.Time) time.Duration {
-	r, renewed := d.renewal(target.ID)
-	renewed = renewed && r.Generation == target.Generation
-	left := d.Authority.Lease().Left(now)
-	if !renewed || left == 0 || l.statusAt.IsZero() {
+func (r *Renewer) leaseLength(target *assignment.Target, state *targetState, now time.Time) time.Duration {
+	renewal, renewed := r.renewal(target.ID)
+	renewed = renewed && renewal.Generation == target.Generation
+	left := r.Authority.Lease().Left(now)
+	if !renewed || left == 0 || state.statusAt.IsZero() {
 		return 0
 	}
-	length := min(TargetLease, left+now.Sub(l.statusAt))
-	if end := l.statusAt.Add(length); end.After(l.leasesEnd) {
-		l.leasesEnd = end
+	length := min(TargetLease, left+now.Sub(state.statusAt))
+	if end := state.statusAt.Add(length); end.After(state.leasesEnd) {
+		state.leasesEnd = end
 	}
 	return length
 }
@@ -285,66 +285,66 @@
 	return nil, nil
 }
 
-func (d *Renewer) recordFailure(id string, err error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	l := d.targets[id]
-	l.failures++
-	if l.failures == d.failureThreshold(id) {
-		event.TargetFailing.Log(d.Log, "target", id, "error", err)
-		signal(d.reportDue)
+func (r *Renewer) recordFailure(id string, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	state := r.targets[id]
+	state.failures++
+	if state.failures == r.failureThreshold(id) {
+		event.TargetFailing.Log(r.Log, "target", id, "error", err)
+		signal(r.reportDue)
 	}
 }
 
-// recordStatus takes in a status and tells whether another order should follow at
-// once: the target did not take the lease, or has news to be confirmed.
-func (d *Renewer) recordStatus(id string, o grant.Order, s grant.Status, now time.Time) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	l := d.targets[id]
-	if l.failures >= failingAfter {
-		event.TargetAnswers.Log(d.Log, "target", id)
-		signal(d.reportDue)
+// recordStatus records the answer to an order and reports whether another order should
+// follow at once, since the target did not apply the lease.
+func (r *Renewer) recordStatus(id string, o grant.Order, s grant.Status, now time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	state := r.targets[id]
+	if state.failures >= failingAfter {
+		event.TargetAnswers.Log(r.Log, "target", id)
+		signal(r.reportDue)
 	}
-	l.failures = 0
-	if len(s.Drained) > 0 && !slices.Equal(s.Drained, l.status.Drained) {
-		signal(d.reportDue)
+	state.failures = 0
+	if len(s.Drained) > 0 && !slices.Equal(s.Drained, state.status.Drained) {
+		signal(r.reportDue)
 	}
-	l.status = s
-	l.statusAt = now
+	state.status = s
+	state.statusAt = now
 	return !s.Renewed && s.Version <= o.Version
 }
 
-// Reports returns what is to be told to the leader, with the directive's
-// version that it goes with. Targets that are renewed and well are left out:
-// they are nearly all, and every poll would carry them.
-func (d *Renewer) Reports(now time.Time) (directive uint64, reports []zone.TargetReport) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	snapshot := d.View.Load()
-	for id, l := range d.targets {
-		r := zone.TargetReport{
+// Reports returns the target reports for the leader, and the version of the directive
+// that they belong to. Renewed targets without failures or drains are omitted: they
+// are nearly all, and every poll would carry them.
+func (r *Renewer) Reports(now time.Time) (directive uint64, reports []zone.TargetReport) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	snapshot := r.View.Load()
+	for id, state := range r.targets {
+		report := zone.TargetReport{
 			ID:        id,
-			Failing:   l.failures >= d.failureThreshold(id),
-			Alive:     l.failures == 0 && now.Sub(l.statusAt) < aliveTimeout,
-			LeaseLeft: max(0, l.leasesEnd.Sub(now)),
-			Drained:   completedDrains(snapshot, id, l.status),
+			Failing:   state.failures >= r.failureThreshold(id),
+			Alive:     state.failures == 0 && now.Sub(state.statusAt) < aliveTimeout,
+			LeaseLeft: max(0, state.leasesEnd.Sub(now)),
+			Drained:   completedDrains(snapshot, id, state.status),
 		}
-		if d.shouldReport(id, r) {
-			reports = append(reports, r)
+		if r.shouldReport(id, report) {
+			reports = append(reports, report)
 		}
 	}
-	return d.directive.Version, reports
+	return r.directive.Version, reports
 }
 
-func (d *Renewer) shouldReport(id string, r zone.TargetReport) bool {
-	if slices.Contains(d.directive.Probe, id) {
+func (r *Renewer) shouldReport(id string, report zone.TargetReport) bool {
+	if slices.Contains(r.directive.Probe, id) {
 		return true
 	}
-	if _, renewed := d.renewal(id); renewed {
-		return r.Failing || len(r.Drained) > 0
+	if _, renewed := r.renewal(id); renewed {
+		return report.Failing || len(report.Drained) > 0
 	}
-	return r.LeaseLeft > 0
+	return report.LeaseLeft > 0
 }
 
 func completedDrains(s *view.Snapshot, id string, status grant.Status) []zone.Drain {
