--- a/gateway/authority/authority.go
+++ b/gateway/authority/authority.go
@@ -1,5 +1,4 @@
-// Package authority holds what the zone leader lets this instance do, and for
-// how long.
+// Package authority holds the lease that an instance has from its zone leader.
 package authority
 
 import (
@@ -9,14 +8,14 @@
 	"basilcross.example/basilcross/lease"
 )
 
-// Authority is this instance's authority from its zone leader. The zero value is none.
+// Authority is this instance's authority from its zone leader. The zero value has none.
 type Authority struct {
 	mu          sync.Mutex
 	lease       lease.Lease
 	lastContact time.Time
 }
 
-// Extend takes in the answer to a poll that was sent at sent.
+// Extend applies the answer to a poll; length counts from when the poll was sent.
 func (c *Authority) Extend(sent time.Time, length time.Duration, received time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -24,7 +23,7 @@
 	c.lastContact = received
 }
 
-// Lease returns the present authority.
+// Lease returns the current authority.
 func (c *Authority) Lease() lease.Lease {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/evictor/evictor.go
+++ b/gateway/evictor/evictor.go
@@ -1,5 +1,5 @@
-// Package evictor carries out evictions: it writes the intent, asks the other
-// zones' leaders to refrain, and says when the seat may be taken.
+// Package evictor executes evictions: it writes the intent, requests the other zones'
+// leaders to refrain from extensions, and reports when the seat may be taken.
 package evictor
 
 import (
@@ -18,9 +18,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// SuspectAfter is the silence of a row after which its holder's eviction may begin.
-// Attempts against holders that are well would leave refusals behind that
-// spoil the next outage.
+// SuspectAfter is how long a row must be unchanged before its holder's eviction may
+// begin. Attempts against healthy holders would leave other leaders refusing to extend
+// them in the next outage.
 const SuspectAfter = 700 * time.Millisecond
 
 const (
@@ -28,7 +28,7 @@
 	refrainTimeout = 300 * time.Millisecond
 )
 
-// Evictor works on evictions. All fields must be set.
+// Evictor executes evictions. All exported fields must be set.
 type Evictor struct {
 	Instance string
 	Table    table.Client
@@ -40,8 +40,8 @@
 	attempts map[string]*eviction.Eviction
 }
 
-// Step goes on with the eviction of a seat's holder and tells whether the seat
-// may now be taken. lock guards the seat; others are the other zones' seats.
+// Step advances the eviction of a seat's holder and reports whether the seat may be
+// taken now. lock guards the seat; others are the other zones' seats.
 func (e *Evictor) Step(ctx context.Context, lock sync.Locker, s *seat.Seat, others []seat.Record) bool {
 	lock.Lock()
 	record, version := s.Record()
@@ -75,14 +75,14 @@
 	return a
 }
 
-// writeIntent writes the intent. Whoever reads the row next goes on from there, so
-// a lost answer costs only time.
+// writeIntent writes the intent into the seat's row. The next reader of the row
+// continues the eviction, so a lost answer costs only time.
 func (e *Evictor) writeIntent(ctx context.Context, lock sync.Locker, s *seat.Seat) {
 	lock.Lock()
 	tx, err := s.Intend(time.Now(), e.NewToken(), e.Instance)
 	lock.Unlock()
 	if err != nil {
-		e.Log.Error("eviction intent", "seat", s.Name, "error", err)
+		e.Log.Error("prepare eviction intent", "seat", s.Name, "error", err)
 		return
 	}
 	key := seat.RowKey(s.Name)
@@ -101,7 +101,7 @@
 	defer lock.Unlock()
 	now := time.Now()
 	if err := s.Observe(now, &row); err != nil {
-		e.Log.Error("seat row", "seat", s.Name, "error", err)
+		e.Log.Error("apply seat row", "seat", s.Name, "error", err)
 		return
 	}
 	record, _ := s.Record()
@@ -109,7 +109,7 @@
 		"unchangedMs", s.Silence(now).Milliseconds(), "told", s.Hinted(), "authorityLeftMs", s.TableEnd().Sub(now).Milliseconds())
 }
 
-// requestRefrain asks every leader that has not confirmed yet.
+// requestRefrain sends the request to every leader that has not confirmed yet.
 func (e *Evictor) requestRefrain(ctx context.Context, attempt *eviction.Eviction, zone string, others []seat.Record) {
 	ctx, cancel := context.WithTimeout(ctx, refrainTimeout)
 	defer cancel()
--- a/gateway/follower/follower.go
+++ b/gateway/follower/follower.go
@@ -1,5 +1,5 @@
-// Package follower polls the zone's leader: reports go up, authority,
-// directives, assignments and the configuration come back.
+// Package follower polls the zone's leader: it sends reports, and receives authority,
+// directives, assignments and the configuration.
 package follower
 
 import (
@@ -26,23 +26,23 @@
 )
 
 const (
-	// pollWait is how long the leader may hold a poll back. It is taken off the
+	// pollWait is how long the leader may delay the answer to a poll. It reduces the
 	// authority that the answer brings.
 	pollWait = 450 * time.Millisecond
 	// pollTimeout bounds one poll.
 	pollTimeout = pollWait + 150*time.Millisecond
-	// retryDelay lies between two polls that failed.
+	// retryDelay is the pause after a failed poll.
 	retryDelay = 60 * time.Millisecond
-	// authorityLossDelay is the time without an answer after which it is logged.
+	// authorityLossDelay is the time without an answer after which the loss is logged.
 	authorityLossDelay = 1500 * time.Millisecond
 )
 
-// Loads gives the loads since the last call, for the report.
+// Loads returns the loads since the last call, for the report.
 type Loads interface {
 	Take(now time.Time) (shards []*control.ShardLoad, hot []*control.HotKey)
 }
 
-// Follower polls the leader. All fields up to Log are set by the owner.
+// Follower polls the leader. All fields up to Log must be set.
 type Follower struct {
 	Instance      string
 	Incarnation   string
@@ -53,7 +53,7 @@
 	Authority     *authority.Authority
 	Renewer       *renewer.Renewer
 	Loads         Loads
-	// OnRenewal is told of the leader's renewals and of what it had left.
+	// OnRenewal receives the leader's renewal and what it had left from the table.
 	OnRenewal func(now time.Time, term, renewals uint64, left time.Duration)
 	Caller    *peer.Caller
 	Log       *slog.Logger
@@ -67,35 +67,35 @@
 	authorityLost bool
 }
 
-// SetLeader tells where the leader is, as read from the seat's row.
-func (d *Follower) SetLeader(address string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.leader = address
+// SetLeader sets the leader's address; empty if unknown.
+func (f *Follower) SetLeader(address string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.leader = address
 }
 
-// Members returns the zone's instances in the order in which they may take the
-// leader's seat, as last heard.
-func (d *Follower) Members() []string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.members
+// Members returns the zone's instances in the order in which they may claim the
+// leader's seat, as last received.
+func (f *Follower) Members() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.members
 }
 
-// Leader returns the leader's address as far as known.
-func (d *Follower) Leader() string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.leader
+// Leader returns the leader's address; empty if unknown.
+func (f *Follower) Leader() string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.leader
 }
 
 // Serve polls until the context ends.
-func (d *Follower) Serve(ctx context.Context) error {
+func (f *Follower) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if d.poll(ctx) {
+		if f.poll(ctx) {
 			continue
 		}
-		d.logAuthorityLoss()
+		f.logAuthorityLoss()
 		select {
 		case <-ctx.Done():
 		case <-time.After(retryDelay):
@@ -104,60 +104,60 @@
 	return ctx.Err()
 }
 
-func (d *Follower) logAuthorityLoss() {
-	if d.authorityLost || time.Since(d.Authority.LastContact()) < authorityLossDelay {
+func (f *Follower) logAuthorityLoss() {
+	if f.authorityLost || time.Since(f.Authority.LastContact()) < authorityLossDelay {
 		return
 	}
-	d.authorityLost = true
-	event.AuthorityLapsed.Log(d.Log, "leader", d.Leader())
+	f.authorityLost = true
+	event.AuthorityLapsed.Log(f.Log, "leader", f.Leader())
 }
 
-// pollAddress returns the address to poll: the leader, or a peer that may know it.
-func (d *Follower) pollAddress() string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.leader != "" {
-		return d.leader
+// pollAddress returns the address to poll: the leader's, or a peer's that may return it.
+func (f *Follower) pollAddress() string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.leader != "" {
+		return f.leader
 	}
-	if len(d.PeerAddresses) == 0 {
+	if len(f.PeerAddresses) == 0 {
 		return ""
 	}
-	d.nextPeer++
-	return d.PeerAddresses[d.nextPeer%len(d.PeerAddresses)]
+	f.nextPeer++
+	return f.PeerAddresses[f.nextPeer%len(f.PeerAddresses)]
 }
 
-// poll carries out one poll and tells whether the leader answered it.
-func (d *Follower) poll(ctx context.Context) bool {
-	address := d.pollAddress()
+// poll sends one poll and reports whether the leader answered it.
+func (f *Follower) poll(ctx context.Context) bool {
+	address := f.pollAddress()
 	if address == "" {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	stop := d.cancelWhenReportDue(ctx, cancel)
+	stop := f.cancelWhenReportDue(ctx, cancel)
 	defer stop()
-	req := d.buildRequest()
+	req := f.buildRequest()
 	sent := time.Now()
-	res, err := d.Caller.Zone(address).Poll(ctx, req)
+	res, err := f.Caller.Zone(address).Poll(ctx, req)
 	if err != nil {
-		d.dropLeader(address, err)
+		f.dropLeader(address, err)
 		return false
 	}
 	if !res.GetLeading() {
-		d.SetLeader(res.GetLeaderAddress())
+		f.SetLeader(res.GetLeaderAddress())
 		return false
 	}
-	d.applyResponse(sent, address, res)
+	f.applyResponse(sent, address, res)
 	return true
 }
 
-// cancelWhenReportDue ends a poll that waits at the leader when there is news to report.
-func (d *Follower) cancelWhenReportDue(ctx context.Context, cancel func()) (stop func()) {
+// cancelWhenReportDue cancels a poll that waits at the leader when a report is due.
+func (f *Follower) cancelWhenReportDue(ctx context.Context, cancel func()) (stop func()) {
 	done := make(chan struct{})
 	var group sync.WaitGroup
 	group.Go(func() {
 		select {
-		case <-d.Renewer.ReportDue():
+		case <-f.Renewer.ReportDue():
 			cancel()
 		case <-done:
 		case <-ctx.Done():
@@ -169,39 +169,39 @@
 	}
 }
 
-// dropLeader drops a leader that cannot be reached, so that its address is asked
-// for again. A poll that was cut short says nothing about it.
-func (d *Follower) dropLeader(address string, err error) {
+// dropLeader drops the address of an unreachable leader, so that peers are polled for
+// the new one. A poll canceled by cancelWhenReportDue is no evidence.
+func (f *Follower) dropLeader(address string, err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.leader == address && time.Since(d.Authority.LastContact()) > pollTimeout {
-		d.leader = ""
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.leader == address && time.Since(f.Authority.LastContact()) > pollTimeout {
+		f.leader = ""
 	}
 }
 
-func (d *Follower) buildRequest() *control.PollRequest {
+func (f *Follower) buildRequest() *control.PollRequest {
 	now := time.Now()
-	directive, reports := d.Renewer.Reports(now)
+	directive, reports := f.Renewer.Reports(now)
 	req := &control.PollRequest{
-		Instance:    d.Instance,
-		Incarnation: d.Incarnation,
-		Address:     d.Address,
-		Zone:        d.Zone,
-		Term:        d.term,
+		Instance:    f.Instance,
+		Incarnation: f.Incarnation,
+		Address:     f.Address,
+		Zone:        f.Zone,
+		Term:        f.term,
 		Directive:   directive,
-		Renewals:    d.renewals,
+		Renewals:    f.renewals,
 		WaitMs:      uint32(pollWait.Milliseconds()),
 	}
 	for _, r := range reports {
 		req.Targets = append(req.Targets, encodeReport(r))
 	}
-	for name, version := range d.View.Load().Versions() {
+	for name, version := range f.View.Load().Versions() {
 		req.Known = append(req.Known, &control.Known{Name: name, Version: version})
 	}
-	req.Loads, req.Hot = d.Loads.Take(now)
+	req.Loads, req.Hot = f.Loads.Take(now)
 	return req
 }
 
@@ -220,32 +220,32 @@
 	return out
 }
 
-// applyResponse puts an answer in force. The directive goes before the authority: under
-// the new authority the old directive may no longer hold.
-func (d *Follower) applyResponse(sent time.Time, address string, res *control.PollResponse) {
+// applyResponse applies an answer. The directive is applied before the authority, since
+// the old directive may be invalid under the new authority.
+func (f *Follower) applyResponse(sent time.Time, address string, res *control.PollResponse) {
 	for _, u := range res.GetUpdates() {
-		if err := d.applyUpdate(u); err != nil {
-			d.Log.Warn("update refused", "name", u.GetName(), "error", err)
+		if err := f.applyUpdate(u); err != nil {
+			f.Log.Warn("apply update", "name", u.GetName(), "error", err)
 		}
 	}
 	if res.GetRenews() {
-		d.Renewer.SetDirective(decodeDirective(res))
+		f.Renewer.SetDirective(decodeDirective(res))
 	}
 	now := time.Now()
 	left := time.Duration(res.GetAuthorityUs()) * time.Microsecond
-	d.Authority.Extend(sent, left, now)
-	d.OnRenewal(now, res.GetTerm(), res.GetRenewals(), time.Duration(res.GetTableLeftUs())*time.Microsecond)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.leader = address
-	d.term = res.GetTerm()
-	d.renewals = res.GetRenewals()
+	f.Authority.Extend(sent, left, now)
+	f.OnRenewal(now, res.GetTerm(), res.GetRenewals(), time.Duration(res.GetTableLeftUs())*time.Microsecond)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.leader = address
+	f.term = res.GetTerm()
+	f.renewals = res.GetRenewals()
 	if res.GetRenews() {
-		d.members = res.GetMembers()
+		f.members = res.GetMembers()
 	}
-	if d.authorityLost {
-		d.authorityLost = false
-		event.AuthorityBack.Log(d.Log, "leader", address)
+	if f.authorityLost {
+		f.authorityLost = false
+		event.AuthorityBack.Log(f.Log, "leader", address)
 	}
 }
 
@@ -259,7 +259,7 @@
 	return directive
 }
 
-func (d *Follower) applyUpdate(u *control.Update) error {
+func (f *Follower) applyUpdate(u *control.Update) error {
 	content, err := gunzip(u.GetBody())
 	if err != nil {
 		return err
@@ -269,34 +269,34 @@
 		if err := json.Unmarshal(content, &doc); err != nil {
 			return fmt.Errorf("decode configuration: %w", err)
 		}
-		return d.setConfig(&doc)
+		return f.setConfig(&doc)
 	}
 	var delta assignment.Delta
 	if err := json.Unmarshal(content, &delta); err != nil {
-		return fmt.Errorf("decode delta: %w", err)
+		return fmt.Errorf("decode assignment delta of %q: %w", u.GetName(), err)
 	}
-	return d.View.ApplyDelta(delta)
+	return f.View.ApplyDelta(delta)
 }
 
-func (d *Follower) setConfig(doc *config.Document) error {
-	if err := d.View.SetConfig(doc); err != nil {
+func (f *Follower) setConfig(doc *config.Document) error {
+	if err := f.View.SetConfig(doc); err != nil {
 		var stale *view.StaleError
 		if errors.As(err, &stale) && stale.Offer == stale.InForce {
 			return nil
 		}
 		return err
 	}
-	event.ConfigInForce.Log(d.Log, "version", doc.Version)
+	event.ConfigInForce.Log(f.Log, "version", doc.Version)
 	return nil
 }
 
-// maxUpdateBytes bounds an unpacked update, whatever its sender claims.
+// maxUpdateBytes bounds the size of an unpacked update, whatever its sender states.
 const maxUpdateBytes = 64 << 20
 
 func gunzip(content []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(content))
 	if err != nil {
-		return nil, fmt.Errorf("unzip update: %w", err)
+		return nil, fmt.Errorf("read gzip header of update: %w", err)
 	}
 	plain, err := io.ReadAll(io.LimitReader(r, maxUpdateBytes))
 	if err != nil {
--- a/gateway/lane/lane.go
+++ b/gateway/lane/lane.go
@@ -1,5 +1,5 @@
-// Package lane is one gateway's way to one target: its connections, its share
-// of the target's slots, and what the gateway has seen of its health.
+// Package lane holds a gateway's state of each target: the connections, the gateway's
+// share of the target's slots, and the target's health as seen by the gateway.
 package lane
 
 import (
@@ -12,17 +12,17 @@
 )
 
 const (
-	// ejectAfter is how many failures in a row eject a target.
+	// ejectAfter is the number of consecutive failures that eject a target.
 	ejectAfter = 5
-	// minEjection is the first time out; each further one doubles, up to
-	// maxEjection.
+	// minEjection is the length of the first ejection; each further one doubles,
+	// up to maxEjection.
 	minEjection = time.Second
 	maxEjection = 30 * time.Second
-	// initialQueueLimit is the queue of a lane until a request brings its own rule.
-	initialQueueLimit = 64
+	// queueLimit is the queue limit of every lane; the rules' limit is not applied.
+	queueLimit = 64
 )
 
-// Lane is the way to one target.
+// Lane is the state of one target: connections, slots and failures.
 type Lane struct {
 	Target string
 	Pool   *pool.Pool
@@ -34,15 +34,15 @@
 	ejectedUntil time.Time
 }
 
-// RecordSuccess notes an answer.
+// RecordSuccess records an answered request, and resets the failures.
 func (l *Lane) RecordSuccess() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failures, l.ejections = 0, 0
 }
 
-// RecordFailure notes a request without an answer, and tells whether the target was
-// ejected for it.
+// RecordFailure records a request without an answer, and reports whether the target
+// was ejected for it.
 func (l *Lane) RecordFailure(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,21 +50,21 @@
 	if l.failures < ejectAfter || now.Before(l.ejectedUntil) {
 		return false
 	}
-	out := min(minEjection<<min(l.ejections, 10), maxEjection)
+	length := min(minEjection<<min(l.ejections, 10), maxEjection)
 	l.ejections++
 	l.failures = 0
-	l.ejectedUntil = now.Add(out)
+	l.ejectedUntil = now.Add(length)
 	return true
 }
 
-// Ejected tells whether the target is out at now.
+// Ejected reports whether the target is ejected at now.
 func (l *Lane) Ejected(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return now.Before(l.ejectedUntil)
 }
 
-// Set holds the lanes to all targets.
+// Set holds the lanes of all targets.
 type Set struct {
 	Dial pool.DialFunc
 
@@ -76,14 +76,14 @@
 	lastOverdueAt     time.Time
 }
 
-// commonCauseWindow is how close the overdue answers of two targets lie for a common
-// cause.
+// commonCauseWindow is the time within which overdue answers of two targets count as
+// having a common cause.
 const commonCauseWindow = time.Second
 
-// handleOverdue is told that a target's answer is overdue. One alone speaks for that
-// target. With two at a time something on the way to all of them has probably
-// lost track of the open connections, so all are dropped: each target's first
-// request would otherwise find it out by a timeout of its own.
+// handleOverdue is called when a target's answer is overdue. A single target has a fault
+// of its own. With two at a time something on the path to all of them has probably lost
+// the state of the open connections, so the connections to all targets are dropped;
+// otherwise the first request to each would have to time out.
 func (s *Set) handleOverdue(id string, now time.Time) {
 	s.overdueMu.Lock()
 	common := s.lastOverdueTarget != "" && s.lastOverdueTarget != id && now.Sub(s.lastOverdueAt) < commonCauseWindow
@@ -99,7 +99,7 @@
 	}
 }
 
-// Get returns the lane to a target, opened anew if its address has changed.
+// Get returns the lane of a target, a new one if the target's address has changed.
 func (s *Set) Get(t *assignment.Target) *Lane {
 	s.mu.RLock()
 	l := s.lanes[t.ID]
@@ -128,13 +128,13 @@
 		Pool: &pool.Pool{Address: t.Address, Dial: s.Dial, Overdue: func(now time.Time) {
 			s.handleOverdue(t.ID, now)
 		}},
-		Slots: &slot.Limiter{Slots: t.Slots, QueueLimit: initialQueueLimit},
+		Slots: &slot.Limiter{Slots: t.Slots, QueueLimit: queueLimit},
 	}
 	s.lanes[t.ID] = l
 	return l
 }
 
-// Retain closes the lanes to targets that are not in the list.
+// Retain closes the lanes of targets that are not in the list.
 func (s *Set) Retain(targets map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
