--- a/gateway/evictor/evictor.go
+++ b/gateway/evictor/evictor.go
@@ -133,6 +133,6 @@
 		})
 	}
 	if err := group.Wait(); err != nil {
-		e.Log.Debug("refrain", "seat", zone, "error", err)
+		e.Log.Debug("request refrain", "seat", zone, "error", err)
 	}
 }
--- a/gateway/leader/heartbeat.go
+++ b/gateway/leader/heartbeat.go
@@ -96,7 +96,7 @@
 			ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 			defer cancel()
 			if _, err := l.Peers.Zone(address).Beat(ctx, beat); err != nil {
-				l.Log.Debug("beat", "error", err)
+				l.Log.Debug("send heartbeat", "error", err)
 			}
 			return nil
 		})
--- a/gateway/leader/leader.go
+++ b/gateway/leader/leader.go
@@ -215,7 +215,7 @@
 	l.queueHeartbeat(sent)
 	l.mu.Unlock()
 	if err != nil {
-		l.Log.Error("renew", "error", err)
+		l.Log.Error("prepare seat renewal", "error", err)
 		return false
 	}
 	if l.renewalsSinceRead++; l.renewalsSinceRead >= renewalsPerRead {
@@ -298,7 +298,7 @@
 	tx, err := how(&l.seat, time.Now(), l.NewToken())
 	l.mu.Unlock()
 	if err != nil {
-		l.Log.Error("claim", "error", err)
+		l.Log.Error("prepare seat claim", "error", err)
 		return
 	}
 	l.transact(ctx, tx)
--- a/gateway/leader/outage.go
+++ b/gateway/leader/outage.go
@@ -99,7 +99,7 @@
 		})
 	}
 	if err := group.Wait(); err != nil {
-		l.Log.Debug("extend", "error", err)
+		l.Log.Debug("request seat extension", "error", err)
 	}
 	return extended
 }
--- a/gateway/leader/poll.go
+++ b/gateway/leader/poll.go
@@ -270,6 +270,6 @@
 		})
 	}
 	if err := group.Wait(); err != nil {
-		l.Log.Debug("nudge", "error", err)
+		l.Log.Debug("nudge zone leaders", "error", err)
 	}
 }
--- a/gateway/planner/decide.go
+++ b/gateway/planner/decide.go
@@ -41,13 +41,13 @@
 			continue
 		}
 		if err := b.add(ctx, decision, evicted); err != nil {
-			p.Log.Error("plan", "service", service.Name, "error", err)
+			p.Log.Error("append assignment", "service", service.Name, "error", err)
 			return
 		}
 	}
 	for name := range evicted {
 		if err := b.addEviction(now, p.zoneSeats[name]); err != nil {
-			p.Log.Error("evict", "zone", name, "error", err)
+			p.Log.Error("prepare zone eviction", "zone", name, "error", err)
 			return
 		}
 	}
@@ -277,7 +277,7 @@
 	if err := p.chain.Add(&b.tx, audit.Record{
 		At: time.Now(), Who: p.Instance, What: "assignment", Why: strings.Join(b.causes, "; "),
 	}); err != nil {
-		p.Log.Error("audit", "error", err)
+		p.Log.Error("add audit record of assignment", "error", err)
 		return
 	}
 	b.tx.ReadPrefixes = []string{"head/"}
