--- a/gateway/leader/heartbeat.go
+++ b/gateway/leader/heartbeat.go
@@ -59,7 +59,7 @@
 
 // queueHeartbeat announces a renewal when it is sent, before its outcome is known.
 // Otherwise the other leaders would not receive a renewal that took effect just before
-// this zone was cut off, and would wait a whole seat.Hold longer. The lock is held.
+// this zone was cut off, and would wait a whole seat.Hold longer. Callers hold the lock.
 func (l *Leader) queueHeartbeat(sent time.Time) {
 	if !l.leading(sent) {
 		return
--- a/gateway/leader/poll.go
+++ b/gateway/leader/poll.go
@@ -249,7 +249,7 @@
 // nudgeTimeout bounds one NudgeAll.
 const nudgeTimeout = 300 * time.Millisecond
 
-// NudgeAll asks every zone's leader to read the table at once. A lost nudge only
+// NudgeAll requests every zone's leader to read the table at once. A lost nudge only
 // delays the update until that leader's next read.
 func (l *Leader) NudgeAll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, nudgeTimeout)
--- a/gateway/planner/decide.go
+++ b/gateway/planner/decide.go
@@ -322,7 +322,7 @@
 	}
 }
 
-// nudgeLeaders asks every zone's leader to read the table at once.
+// nudgeLeaders requests every zone's leader to read the table at once.
 func (p *Planner) nudgeLeaders(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, nudgeTimeout)
 	defer cancel()
