--- a/gateway/admin/admin.go
+++ b/gateway/admin/admin.go
@@ -42,7 +42,7 @@
 	Registry *prometheus.Registry
 	Log      *slog.Logger
 	Pprof    bool
-	Gate     operator.Gate
+	Gate     operator.Authorizer
 }
 
 // Handler serves the admin address.
@@ -68,11 +68,11 @@
 	guarded.HandleFunc("POST /v1/config/check", h.check)
 	guarded.HandleFunc("POST /v1/config", h.accept)
 	guarded.HandleFunc("GET /v1/audit", h.audit)
-	h.mux.Handle("/v1/", h.Gate.Guard(guarded))
+	h.mux.Handle("/v1/", h.Gate.Wrap(guarded))
 	if o.Pprof {
 		guarded.HandleFunc("GET /debug/pprof/", pprof.Index)
 		guarded.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
-		h.mux.Handle("/debug/", h.Gate.Guard(guarded))
+		h.mux.Handle("/debug/", h.Gate.Wrap(guarded))
 	}
 	return h
 }
--- a/gateway/evictor/evictor.go
+++ b/gateway/evictor/evictor.go
@@ -58,7 +58,7 @@
 	attempt := e.attemptFor(s.Name)
 	attempt.Begin(version, tableEnd)
 	e.requestRefrain(ctx, attempt, s.Name, others)
-	return attempt.Complete(time.Now(), promise.NeededToEvict(len(others)+1))
+	return attempt.Complete(time.Now(), promise.EvictQuorum(len(others)+1))
 }
 
 func (e *Evictor) attemptFor(name string) *eviction.Eviction {
--- a/gateway/front/attempt.go
+++ b/gateway/front/attempt.go
@@ -77,7 +77,7 @@
 	}
 	p := a.Find(c.key)
 	t := f.Roster.Load().Targets[p.Owner]
-	if p.Owner == "" || t == nil || t.Draining && time.Since(t.Left) > drainUse {
+	if p.Owner == "" || t == nil || t.Draining && time.Since(t.LeavingSince) > drainUse {
 		return "", &refusal{status: http.StatusServiceUnavailable, cause: "noOwner", retryAfter: retryOwner, forOwner: true}
 	}
 	return p.Owner, nil
--- a/gateway/front/budget_test.go
+++ b/gateway/front/budget_test.go
@@ -52,8 +52,8 @@
 		for range int(rate*load/budgetTick + random.Float64()) {
 			came++
 			b := fleet[random.IntN(members)].budget("s")
-			b.Earn()
-			for tries := 0; tries < 3 && random.Float64() < failing && b.Take(); tries++ {
+			b.Deposit()
+			for tries := 0; tries < 3 && random.Float64() < failing && b.TryWithdraw(); tries++ {
 				again++
 			}
 		}
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -20,7 +20,7 @@
 
 // Options are what a Front needs; all must be set.
 type Options struct {
-	Wire   routing.Wire
+	Wire   routing.HeaderNames
 	Broker *broker.Broker
 	Roster *roster.Roster
 	Pools  *Pools
@@ -148,7 +148,7 @@
 // run sends the request until it is answered or given up.
 func (f *Front) run(ctx context.Context, c *call) (*answer, *refusal) {
 	budget := f.budget(c.service)
-	budget.Earn()
+	budget.Deposit()
 	if c.sharded {
 		f.Loads.Add(c.service, c.key, f.latency(c.route.Name))
 	}
@@ -186,7 +186,7 @@
 		// A request that never left costs the targets nothing.
 		return true
 	}
-	if !budget.Take() {
+	if !budget.TryWithdraw() {
 		return false
 	}
 	f.Metrics.repeated.WithLabelValues(c.service).Inc()
--- a/gateway/front/front_test.go
+++ b/gateway/front/front_test.go
@@ -74,7 +74,7 @@
 }
 
 func (b *stage) target(id, address string) {
-	b.targets = append(b.targets, &roster.Target{ID: id, Born: 1, Service: "s", Zone: "z", Slots: 3, Address: address})
+	b.targets = append(b.targets, &roster.Target{ID: id, Started: 1, Service: "s", Zone: "z", Slots: 3, Address: address})
 	b.roster.Replace(time.Now(), b.targets, 1)
 }
 
--- a/gateway/front/owner_test.go
+++ b/gateway/front/owner_test.go
@@ -50,9 +50,9 @@
 func (k *keyed) assign(first, second string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	half := ownership.Keys / 2
+	half := ownership.KeyCount / 2
 	k.assignment = &ownership.Assignment{Service: "s", Pieces: []ownership.Piece{
-		{First: 0, Last: half - 1, Owner: first}, {First: half, Last: ownership.Keys - 1, Owner: second},
+		{First: 0, Last: half - 1, Owner: first}, {First: half, Last: ownership.KeyCount - 1, Owner: second},
 	}}
 	close(k.newer)
 	k.newer = make(chan struct{})
@@ -122,7 +122,7 @@
 	}))
 	t.Cleanup(server.Close)
 	k.roster.Replace(time.Now(), []*roster.Target{{
-		ID: "a", Born: 1, Service: "s", Zone: "z", Slots: 3, Address: strings.TrimPrefix(server.URL, "http://"),
+		ID: "a", Started: 1, Service: "s", Zone: "z", Slots: 3, Address: strings.TrimPrefix(server.URL, "http://"),
 	}}, 1)
 	k.assign("a", "a")
 	assert.Equal(t, k.get(t, 5), http.StatusOK)
--- a/gateway/front/pools.go
+++ b/gateway/front/pools.go
@@ -17,7 +17,7 @@
 	Dial pool.DialFunc
 
 	mu    sync.Mutex
-	pools map[roster.Life]*pool.Pool
+	pools map[roster.Incarnation]*pool.Pool
 }
 
 // To returns the connections to a target.
@@ -25,12 +25,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pools == nil {
-		l.pools = map[roster.Life]*pool.Pool{}
+		l.pools = map[roster.Incarnation]*pool.Pool{}
 	}
-	p := l.pools[t.Life()]
+	p := l.pools[t.Incarnation()]
 	if p == nil {
 		p = &pool.Pool{Address: t.Address, Dial: l.Dial, IdleLimit: idlePerTarget}
-		l.pools[t.Life()] = p
+		l.pools[t.Incarnation()] = p
 	}
 	return p
 }
@@ -38,8 +38,8 @@
 // Drop closes the idle connections to a target.
 func (l *Pools) Drop(t *roster.Target) {
 	l.mu.Lock()
-	p := l.pools[t.Life()]
-	delete(l.pools, t.Life())
+	p := l.pools[t.Incarnation()]
+	delete(l.pools, t.Incarnation())
 	l.mu.Unlock()
 	if p != nil {
 		p.Close()
@@ -51,7 +51,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for life, p := range l.pools {
-		if t := v.Targets[life.ID]; t == nil || t.Born != life.Born {
+		if t := v.Targets[life.ID]; t == nil || t.Started != life.Started {
 			p.Close()
 			delete(l.pools, life)
 		}
--- a/gateway/leader/heads.go
+++ b/gateway/leader/heads.go
@@ -93,7 +93,7 @@
 	switch {
 	case after && l.zoneState == nil:
 		l.zoneState = &zone.Leader{Zone: l.Zone, UnknownUntil: l.seat.UnknownUntil()}
-		l.ledger = &promise.Book{ConfirmFrom: time.Now().Add(lease.Wait(seat.Hold))}
+		l.ledger = &promise.Ledger{ConfirmFrom: time.Now().Add(lease.Wait(seat.Hold))}
 		l.ready = false
 		event.SeatGained.Log(l.Log, "seat", l.Zone, "term", r.Term)
 	case before && !after:
--- a/gateway/leader/leader.go
+++ b/gateway/leader/leader.go
@@ -91,7 +91,7 @@
 	mu         sync.Mutex
 	seat       seat.Seat
 	seats      map[string]*seat.Seat
-	ledger     *promise.Book
+	ledger     *promise.Ledger
 	zoneState  *zone.Leader
 	ready      bool
 	started    time.Time
--- a/gateway/leader/outage.go
+++ b/gateway/leader/outage.go
@@ -66,7 +66,7 @@
 		return nil, nil, 0
 	}
 	others = l.otherSeats()
-	needed, ok := promise.NeededToExtend(len(others) + 1)
+	needed, ok := promise.ExtendQuorum(len(others) + 1)
 	if !ok {
 		return nil, nil, 0
 	}
@@ -118,7 +118,7 @@
 	if s, ok := l.seats[req.GetZone()]; ok {
 		known, version = s.Record()
 	}
-	res.Extended = l.ledger.Extend(now, promise.Request{
+	res.Extended = l.ledger.Extend(now, promise.ExtendRequest{
 		Zone: req.GetZone(), Holder: req.GetHolder(), Incarnation: req.GetIncarnation(), Version: req.GetRowVersion(),
 	}, known, version)
 	return res, nil
