--- a/gateway/coordinator/address_test.go
+++ b/gateway/coordinator/address_test.go
@@ -50,7 +50,7 @@
 	f.runCoordinator("lists")
 	f.waitFor("all hold keys", func() bool {
 		for _, p := range list {
-			if len(p.Epochs()) == 0 {
+			if len(p.AcceptedEpochs()) == 0 {
 				return false
 			}
 		}
@@ -75,7 +75,7 @@
 		Self:     peers.Instance{Name: "one", Incarnation: "a", Cores: 1},
 		Store:    &platform.Store{Address: strings.TrimPrefix(store.URL, "http://"), HTTP: store.Client()},
 		Channels: &channel.Set{Dial: (&net.Dialer{}).DialContext},
-		Releases: &platform.Grants{HTTP: &http.Client{Transport: &http.Transport{}}},
+		Releases: &platform.GrantClient{HTTP: &http.Client{Transport: &http.Transport{}}},
 		Peers:    &peers.Peers{Log: log}, Roster: f.roster, Table: func() *routing.Table { return table },
 		Revisions: func() map[string]uint64 { return nil }, OnLeading: func(int, bool) {}, RestartFeeds: func() {},
 		OnUpdate: func(*peers.AssignmentUpdate) {}, OnOversizedUpdate: func() {}, Log: log, Joined: func() bool { return true },
@@ -173,8 +173,8 @@
 			time.Sleep(pause)
 			second := f.startTarget("newcomer", first.listed.Address)
 			f.checkSingleHolder(2*time.Second, second, targets[1], targets[2])
-			for _, epoch := range second.Epochs() {
-				assert.Assert(t, !first.Took(epoch), "epoch %d was taken by both", epoch)
+			for _, epoch := range second.AcceptedEpochs() {
+				assert.Assert(t, !first.AcceptedEpoch(epoch), "epoch %d was taken by both", epoch)
 			}
 		})
 	}
@@ -245,7 +245,7 @@
 // write renews it. The release must be reported as unsent: otherwise the piece waits for its
 // outcome forever, and its keys have no owner for the rest of the term.
 func TestUnsentReleaseIsReported(t *testing.T) {
-	c := New(Options{Log: slog.New(slog.DiscardHandler), Releases: &platform.Grants{HTTP: http.DefaultClient}})
+	c := New(Options{Log: slog.New(slog.DiscardHandler), Releases: &platform.GrantClient{HTTP: http.DefaultClient}})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l := newLeadership(ctx, cancel, Lease{Term: 1}, 1)
--- a/gateway/coordinator/coordinator.go
+++ b/gateway/coordinator/coordinator.go
@@ -70,7 +70,7 @@
 	// Channels are for grants, each of which belongs to one connection. Releases is for
 	// orders that any target at the address may receive.
 	Channels *channel.Set
-	Releases *platform.Grants
+	Releases *platform.GrantClient
 	Peers    *peers.Peers
 	Roster   *roster.Roster
 	// Table returns the routing table in force, or nil.
@@ -323,7 +323,7 @@
 	c.group.Go(func() error {
 		callCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 		defer cancel()
-		row, err := c.Store.Key(callCtx, LeaseTable, LeaseKey)
+		row, err := c.Store.Get(callCtx, LeaseTable, LeaseKey)
 		c.enqueue(ctx, func() { c.onLeaseRead(ctx, row, err) })
 		return nil
 	})
--- a/gateway/coordinator/lease.go
+++ b/gateway/coordinator/lease.go
@@ -109,8 +109,8 @@
 func (c *Coordinator) writeLease(ctx context.Context, lease *Lease, expected uint64, others []platform.Write) writeResult {
 	started := time.Now()
 	tx := platform.Transaction{
-		If:  []platform.Condition{{Table: LeaseTable, Key: LeaseKey, Revision: expected}},
-		Set: append([]platform.Write{{Table: LeaseTable, Key: LeaseKey, Value: lease.encode()}}, others...),
+		Conditions: []platform.Condition{{Table: LeaseTable, Key: LeaseKey, Revision: expected}},
+		Set:        append([]platform.Write{{Table: LeaseTable, Key: LeaseKey, Value: lease.encode()}}, others...),
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -150,7 +150,7 @@
 
 // storeAnswer is the outcome of one attempt, received at a time.
 type storeAnswer struct {
-	rows platform.Rows
+	rows platform.Response
 	err  error
 	at   time.Time
 }
--- a/gateway/coordinator/lease_test.go
+++ b/gateway/coordinator/lease_test.go
@@ -68,7 +68,7 @@
 // fails; the row's Seq shows that this write succeeded.
 func TestLeaseWriteWithLostAnswerSucceeds(t *testing.T) {
 	store, c := newWithStore(t)
-	store.LoseAnswers(1)
+	store.LoseResponses(1)
 	mine := Lease{Term: 1, Holder: "one", Incarnation: "a", LeaseMs: 2000, Seq: 1}
 	s := c.writeLease(context.Background(), &mine, 0, nil)
 	assert.Assert(t, s.ok)
--- a/gateway/coordinator/orders.go
+++ b/gateway/coordinator/orders.go
@@ -101,7 +101,7 @@
 	ctx, cancel := context.WithTimeout(l.ctx, orderTimeout)
 	defer cancel()
 	sent = time.Now()
-	grants := &platform.Grants{HTTP: ch.Client()}
+	grants := &platform.GrantClient{HTTP: ch.Client()}
 	return sent, grants.Grant(ctx, o.Address, platform.Grant{
 		Target: o.Owner.ID, First: o.First, Last: o.Last, Epoch: o.Epoch, Hold: o.Hold, Handover: o.Handover,
 	})
@@ -128,8 +128,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	health := &platform.Health{HTTP: ch.Client()}
-	id, err := health.Target(ctx, o.Address, path, o.Owner.ID)
+	health := &platform.HealthClient{HTTP: ch.Client()}
+	id, err := health.TargetID(ctx, o.Address, path, o.Owner.ID)
 	if err != nil {
 		return err
 	}
@@ -256,7 +256,7 @@
 		return ownership.Unsent
 	case errors.As(err, &stale):
 		return ownership.Stale
-	case errors.As(err, &refused) && refused.Understood():
+	case errors.As(err, &refused) && refused.NotExecuted():
 		return ownership.Refused
 	case errors.As(err, &op) && op.Op == "dial":
 		return ownership.Unsent
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -133,7 +133,7 @@
 	i.buildMirrors()
 	i.coordinator = coordinator.New(coordinator.Options{
 		Self: i.peers.Self, Store: i.store,
-		Channels: &channel.Set{Dial: targetDialer.DialContext}, Releases: &platform.Grants{HTTP: newHTTPClient(targetDialer)},
+		Channels: &channel.Set{Dial: targetDialer.DialContext}, Releases: &platform.GrantClient{HTTP: newHTTPClient(targetDialer)},
 		RestartFeeds: i.replicator.restartFeeds,
 		Joined:       i.replicator.joined.Load,
 		OnLeading:    i.recordLeading, OnUpdate: i.applyAssignmentUpdate, OnOversizedUpdate: i.assignments.Refresh,
@@ -146,11 +146,11 @@
 	})
 	i.pools = &front.Pools{Dial: targetDialer.DialContext}
 	i.front = front.New(front.Options{
-		Wire: platform.Wire(), Broker: i.broker, Roster: i.state.roster, Pools: i.pools, Table: i.state.routes.Load,
-		Owners: i.state.currentAssignment, Moved: i.state.ownerChangedSince, Loads: i.loads, Metrics: front.NewMetrics(i.registry), Log: log,
-		Retries: func() front.Retries {
+		Headers: platform.HeaderNames(), Broker: i.broker, Roster: i.state.roster, Pools: i.pools, Table: i.state.routes.Load,
+		CurrentAssignment: i.state.currentAssignment, OwnerChangedSince: i.state.ownerChangedSince, Loads: i.loads, Metrics: front.NewMetrics(i.registry), Log: log,
+		RetryLimits: func() front.RetryLimits {
 			now := i.liveSettings.Load()
-			return front.Retries{Ratio: now.RetryRatio, Slack: now.RetrySlack, Members: i.countMembers()}
+			return front.RetryLimits{Ratio: now.RetryRatio, Slack: now.RetrySlack, Instances: i.countMembers()}
 		},
 	})
 	i.registerMetrics(i.registry)
@@ -332,7 +332,7 @@
 	timer := time.NewTimer(outOfRotationDelay - time.Since(began))
 	defer timer.Stop()
 	<-timer.C
-	abandon := time.AfterFunc(i.settings.StopTimeout-abandonMargin-time.Since(began), i.front.End)
+	abandon := time.AfterFunc(i.settings.StopTimeout-abandonMargin-time.Since(began), i.front.Abort)
 	defer abandon.Stop()
 	var group errgroup.Group
 	for _, s := range servers {
--- a/gateway/instance/tasks.go
+++ b/gateway/instance/tasks.go
@@ -106,7 +106,7 @@
 	rounds := 0
 	for ctx.Err() == nil {
 		sleep(ctx, reportInterval)
-		reports := r.loads.Take()
+		reports := r.loads.TakeReports()
 		if len(reports) == 0 {
 			reports = []*peers.Report{{}}
 		}
@@ -238,7 +238,7 @@
 func (h *housekeeper) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		sleep(ctx, housekeepingInterval)
-		h.pools.Keep(h.state.roster.Load())
+		h.pools.Prune(h.state.roster.Load())
 		h.dispatcher.Prune()
 	}
 	return ctx.Err()
