--- a/gateway/coordinator/address_test.go
+++ b/gateway/coordinator/address_test.go
@@ -51,7 +51,7 @@
 	f.lead("lists")
 	f.until("all hold keys", func() bool {
 		for _, p := range list {
-			if len(p.Epochs()) == 0 {
+			if len(p.AcceptedEpochs()) == 0 {
 				return false
 			}
 		}
@@ -76,7 +76,7 @@
 		Self:     peers.Instance{Name: "one", Life: "a", Cores: 1},
 		Store:    &platform.Store{Address: strings.TrimPrefix(store.URL, "http://"), HTTP: store.Client()},
 		Channels: &channel.Set{Dial: (&net.Dialer{}).DialContext},
-		Releases: &platform.Grants{HTTP: &http.Client{Transport: &http.Transport{}}},
+		Releases: &platform.GrantClient{HTTP: &http.Client{Transport: &http.Transport{}}},
 		Peers:    &peers.Peers{Log: log}, Roster: f.roster, Table: func() *routing.Table { return table },
 		Revisions: func() map[string]uint64 { return nil }, Leads: func(int, bool) {}, Refresh: func() {},
 		Took: func(*peers.News) {}, Missed: func() {}, Log: log, Joined: func() bool { return true },
@@ -177,8 +177,8 @@
 			time.Sleep(pause)
 			second := f.start("newcomer", first.listed.Address)
 			f.watch(2*time.Second, second, targets[1], targets[2])
-			for _, epoch := range second.Epochs() {
-				assert.Assert(t, !first.Took(epoch), "epoch %d was taken by both", epoch)
+			for _, epoch := range second.AcceptedEpochs() {
+				assert.Assert(t, !first.AcceptedEpoch(epoch), "epoch %d was taken by both", epoch)
 			}
 		})
 	}
@@ -253,7 +253,7 @@
 // renews it. The piece must not wait for the release's end for ever: nobody
 // would serve its keys for the rest of the term.
 func TestReleaseThatIsNotSentEnds(t *testing.T) {
-	c := New(Options{Log: slog.New(slog.DiscardHandler), Releases: &platform.Grants{HTTP: http.DefaultClient}})
+	c := New(Options{Log: slog.New(slog.DiscardHandler), Releases: &platform.GrantClient{HTTP: http.DefaultClient}})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l := newLeading(ctx, cancel, Lease{Term: 1}, 1)
--- a/gateway/coordinator/coordinator.go
+++ b/gateway/coordinator/coordinator.go
@@ -68,7 +68,7 @@
 	// Channels are for grants, each of which belongs to one connection, and
 	// Releases for what may go to whoever lives at the address.
 	Channels *channel.Set
-	Releases *platform.Grants
+	Releases *platform.GrantClient
 	Peers    *peers.Peers
 	Roster   *roster.Roster
 	// Table returns the routes in force, or nil.
@@ -314,7 +314,7 @@
 	c.group.Go(func() error {
 		callCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 		defer cancel()
-		row, err := c.Store.Key(callCtx, LeaseTable, LeaseKey)
+		row, err := c.Store.Get(callCtx, LeaseTable, LeaseKey)
 		c.post(ctx, func() { c.looked(ctx, row, err) })
 		return nil
 	})
--- a/gateway/coordinator/lease.go
+++ b/gateway/coordinator/lease.go
@@ -105,7 +105,7 @@
 func (c *Coordinator) write(ctx context.Context, mine *Lease, on uint64, more []platform.Write) settled {
 	began := time.Now()
 	tx := platform.Transaction{
-		If:  []platform.Condition{{Table: LeaseTable, Key: LeaseKey, Revision: on}},
+		Conditions:  []platform.Condition{{Table: LeaseTable, Key: LeaseKey, Revision: on}},
 		Set: append([]platform.Write{{Table: LeaseTable, Key: LeaseKey, Value: mine.encode()}}, more...),
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -145,7 +145,7 @@
 }
 
 type answer struct {
-	done platform.Rows
+	done platform.Response
 	err  error
 	at   time.Time
 }
--- a/gateway/coordinator/lease_test.go
+++ b/gateway/coordinator/lease_test.go
@@ -67,7 +67,7 @@
 // condition fails; the row's own number shows that it was this write.
 func TestLostAnswerIsSettled(t *testing.T) {
 	fake, c := withStore(t)
-	fake.LoseAnswers(1)
+	fake.LoseResponses(1)
 	mine := Lease{Term: 1, Holder: "one", Life: "a", LeaseMs: 2000, Seq: 1}
 	s := c.write(context.Background(), &mine, 0, nil)
 	assert.Assert(t, s.ok)
--- a/gateway/coordinator/orders.go
+++ b/gateway/coordinator/orders.go
@@ -101,7 +101,7 @@
 	ctx, cancel := context.WithTimeout(l.ctx, orderTimeout)
 	defer cancel()
 	sent = time.Now()
-	grants := &platform.Grants{HTTP: on.Client()}
+	grants := &platform.GrantClient{HTTP: on.Client()}
 	return sent, grants.Grant(ctx, o.Address, platform.Grant{
 		Target: o.Owner.ID, First: o.First, Last: o.Last, Epoch: o.Epoch, Hold: o.Hold, Handover: o.Handover,
 	})
@@ -127,8 +127,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	health := &platform.Health{HTTP: on.Client()}
-	id, err := health.Target(ctx, o.Address, path, o.Owner.ID)
+	health := &platform.HealthClient{HTTP: on.Client()}
+	id, err := health.TargetID(ctx, o.Address, path, o.Owner.ID)
 	if err != nil {
 		return err
 	}
@@ -251,7 +251,7 @@
 		return ownership.Unsent
 	case errors.As(err, &stale):
 		return ownership.Stale
-	case errors.As(err, &refused) && refused.Understood():
+	case errors.As(err, &refused) && refused.NotExecuted():
 		return ownership.Refused
 	case errors.As(err, &op) && op.Op == "dial":
 		return ownership.Unsent
--- a/gateway/front/attempt.go
+++ b/gateway/front/attempt.go
@@ -16,25 +16,27 @@
 )
 
 const (
-	// drainUse is how long the owner of keys is used after it said that it is
-	// leaving, while its keys go to others. The users allow 2 s.
-	drainUse = 700 * time.Millisecond
-	// bufferLimit is the answer held in memory, so that one cut short is found
-	// out before the caller has seen a byte of it.
+	// drainingOwnerTTL is how long a key's owner still gets requests after it reported
+	// that it is draining, while its keys move to other targets. The users allow 2 s.
+	drainingOwnerTTL = 700 * time.Millisecond
+	// bufferLimit is the size up to which a response body is buffered, so that a
+	// truncated response is detected before any of it is sent to the caller.
 	bufferLimit = 256 << 10
 )
 
-// answer is a target's own.
-type answer struct {
-	response *http.Response
-	body     []byte
-	// rest is what comes after body, for long answers.
-	rest   io.Reader
-	finish func(whole bool)
+// targetResponse is a target's response to a request.
+type targetResponse struct {
+	head *http.Response
+	// body is the body's first bytes, at most bufferLimit.
+	body []byte
+	// rest reads the remainder of a body of bufferLimit bytes or more; nil for others.
+	rest io.Reader
+	// finish closes the body and releases the slot; it is set if rest is.
+	finish func(complete bool)
 }
 
-// attempt sends the request once.
-func (f *Front) attempt(ctx context.Context, c *call) (*answer, *refusal) {
+// attempt reserves a slot at a target and sends the request to it once.
+func (f *Front) attempt(ctx context.Context, c *call) (*targetResponse, *refusal) {
 	request := schedule.Request{Service: c.service, Kind: c.kind(), Excluded: c.excluded, Priority: c.route.Priority}
 	request.Objective = c.arrived.Add(c.route.Objective)
 	request.Deadline = c.deadline
@@ -45,80 +47,81 @@
 		}
 		request.Target = owner
 	}
-	began := time.Now()
+	start := time.Now()
 	reservation, err := f.Broker.Acquire(ctx, request)
-	c.queued += time.Since(began)
+	c.queueTime += time.Since(start)
 	if err != nil {
-		return nil, f.notReserved(c, err)
+		return nil, f.reservationRefused(c, err)
 	}
-	if c.sharded && c.ran == reservation.Target.ID && f.Moved(c.service, c.key, c.ranAt) {
-		// A second run there would look like one with the first, and the key like one
-		// that was given on while it was worked on.
+	if c.sharded && c.lastRunTarget == reservation.Target.ID && f.OwnerChangedSince(c.service, c.key, c.lastRunAt) {
+		// The key had another owner since the first run. Two runs at the same target
+		// would look like one run, during which the key changed its owner.
 		reservation.Release(schedule.Abandoned)
 		return nil, &refusal{status: http.StatusBadGateway, cause: "ranBefore", mayHaveRun: true, final: true}
 	}
 	c.sends++
-	c.target = reservation.Target.ID
+	c.lastTarget = reservation.Target.ID
 	return f.send(ctx, c, reservation)
 }
 
-// noteRun notes that a target may have run the request.
-func (c *call) noteRun(target string) {
+// recordRun records that the target may have run the request.
+func (c *call) recordRun(target string) {
 	c.runs++
-	c.ran, c.ranAt = target, time.Now()
+	c.lastRunTarget, c.lastRunAt = target, time.Now()
 }
 
-// owner returns the target that has the request's key.
+// owner returns the ID of the target that owns the request's key.
 func (f *Front) owner(c *call) (string, *refusal) {
-	a, newer := f.Owners(c.service)
-	c.newer = newer
+	a, newer := f.CurrentAssignment(c.service)
+	c.assignmentChanged = newer
 	if a == nil {
-		return "", &refusal{status: http.StatusServiceUnavailable, cause: "noOwner", retryAfter: retryOwner, forOwner: true}
+		return "", &refusal{status: http.StatusServiceUnavailable, cause: "noOwner", retryAfter: retryAfterNoTarget, awaitOwner: true}
 	}
 	p := a.Find(c.key)
 	t := f.Roster.Load().Targets[p.Owner]
-	if p.Owner == "" || t == nil || t.Draining && time.Since(t.Left) > drainUse {
-		return "", &refusal{status: http.StatusServiceUnavailable, cause: "noOwner", retryAfter: retryOwner, forOwner: true}
+	if p.Owner == "" || t == nil || t.Draining && time.Since(t.Left) > drainingOwnerTTL {
+		return "", &refusal{status: http.StatusServiceUnavailable, cause: "noOwner", retryAfter: retryAfterNoTarget, awaitOwner: true}
 	}
 	return p.Owner, nil
 }
 
-func (f *Front) notReserved(c *call, err error) *refusal {
+// reservationRefused converts an error of the broker into a refusal.
+func (f *Front) reservationRefused(c *call, err error) *refusal {
 	var busy *schedule.BusyError
 	var none *schedule.NoTargetError
 	switch {
 	case errors.As(err, &busy):
-		r := notRun("busy", busy.Wait)
+		r := newNotRun("busy", busy.Wait)
 		r.final = true
-		r.queued = busy.Queued
+		r.queueLength = busy.Queued
 		return r
 	case errors.As(err, &none):
-		r := notRun("noTarget", retryOwner)
-		r.forOwner = c.sharded
+		r := newNotRun("noTarget", retryAfterNoTarget)
+		r.awaitOwner = c.sharded
 		r.final = !c.sharded
 		return r
 	default:
-		r := notRun("deadlinePassed", retryOwner)
+		r := newNotRun("deadlinePassed", retryAfterNoTarget)
 		r.final = true
 		return r
 	}
 }
 
-// send writes the request to the target and reads the answer.
-func (f *Front) send(ctx context.Context, c *call, reservation *broker.Reservation) (*answer, *refusal) {
+// send sends the request to the reserved target and reads the response.
+func (f *Front) send(ctx context.Context, c *call, reservation *broker.Reservation) (*targetResponse, *refusal) {
 	t := reservation.Target
-	began := time.Now()
-	connections := f.Pools.To(t)
+	start := time.Now()
+	connections := f.Pools.Get(t)
 	req := &pool.Request{
 		Method: c.method, Target: c.uri, Host: c.host, Header: c.header,
 		Proved: !c.route.Idempotent,
 		Mine: func(h http.Header) bool {
-			id := h.Get(f.Wire.RequestID)
+			id := h.Get(f.Headers.RequestID)
 			return id == c.id || id == ""
 		},
 		Head: func(now time.Time, h http.Header) {
-			h.Set(f.Wire.TimeLeft, strconv.FormatInt(max(1, c.deadline.Sub(now).Milliseconds()), 10))
-			h.Set(f.Wire.ExpectedTarget, t.ID)
+			h.Set(f.Headers.TimeLeft, strconv.FormatInt(max(1, c.deadline.Sub(now).Milliseconds()), 10))
+			h.Set(f.Headers.ExpectedTarget, t.ID)
 		},
 	}
 	if len(c.body) > 0 {
@@ -130,21 +133,22 @@
 	if err != nil {
 		return nil, f.sendFailed(ctx, c, reservation, err)
 	}
-	a, failed := f.read(ctx, c, reservation, res)
-	if a != nil {
-		f.learn(c.route.Name, time.Since(began))
+	response, failed := f.readResponse(ctx, c, reservation, res)
+	if response != nil {
+		f.recordLatency(c.route.Name, time.Since(start))
 	}
-	return a, failed
+	return response, failed
 }
 
-// sendFailed says what a request without an answer proves.
+// sendFailed returns the refusal for a request without a response: the target may
+// have run it if any of it was written.
 func (f *Front) sendFailed(ctx context.Context, c *call, reservation *broker.Reservation, err error) *refusal {
 	var pe *pool.Error
 	wrote := !errors.As(err, &pe) || pe.Wrote
-	r := notRun("connectFailed", retryTarget)
+	r := newNotRun("connectFailed", retryAfterFailure)
 	if wrote {
-		r = &refusal{status: http.StatusBadGateway, cause: "answerLost", mayHaveRun: true, arrived: true}
-		c.noteRun(reservation.Target.ID)
+		r = &refusal{status: http.StatusBadGateway, cause: "answerLost", mayHaveRun: true, reachedTarget: true}
+		c.recordRun(reservation.Target.ID)
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -158,12 +162,13 @@
 	default:
 		reservation.Release(schedule.Failed)
 	}
-	r.forOwner = c.sharded && !wrote
+	r.awaitOwner = c.sharded && !wrote
 	f.exclude(c, reservation.Target.ID)
 	f.logAttempt(c, r, err)
 	return r
 }
 
+// exclude keeps further attempts away from the target.
 func (f *Front) exclude(c *call, id string) {
 	if c.excluded == nil {
 		c.excluded = map[string]bool{}
@@ -171,22 +176,23 @@
 	c.excluded[id] = true
 }
 
-// read takes the answer's body and tells whether it is one to pass on.
-func (f *Front) read(ctx context.Context, c *call, reservation *broker.Reservation, res *http.Response) (*answer, *refusal) {
-	if res.Header.Get(f.Wire.NotRun) != "" || res.StatusCode == http.StatusMisdirectedRequest {
+// readResponse reads the response's body. It returns a refusal if the response must
+// not be forwarded to the caller.
+func (f *Front) readResponse(ctx context.Context, c *call, reservation *broker.Reservation, res *http.Response) (*targetResponse, *refusal) {
+	if res.Header.Get(f.Headers.NotRun) != "" || res.StatusCode == http.StatusMisdirectedRequest {
 		return nil, f.notExecuted(c, reservation, res)
 	}
 	body, err := io.ReadAll(io.LimitReader(res.Body, bufferLimit))
 	if err == nil && int64(len(body)) == bufferLimit {
-		return &answer{response: res, body: body, rest: res.Body, finish: func(whole bool) {
+		return &targetResponse{head: res, body: body, rest: res.Body, finish: func(complete bool) {
 			_ = res.Body.Close()
-			reservation.Release(resultOf(whole))
+			reservation.Release(resultOf(complete))
 		}}, nil
 	}
 	_ = res.Body.Close()
-	c.noteRun(reservation.Target.ID)
+	c.recordRun(reservation.Target.ID)
 	if err != nil {
-		r := &refusal{status: http.StatusBadGateway, cause: "answerCut", mayHaveRun: true, arrived: true}
+		r := &refusal{status: http.StatusBadGateway, cause: "answerCut", mayHaveRun: true, reachedTarget: true}
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			r.status = http.StatusGatewayTimeout
 		}
@@ -195,11 +201,11 @@
 		f.logAttempt(c, r, err)
 		return nil, r
 	}
-	a := &answer{response: res, body: body}
-	refused := f.unusable(res)
-	if refused == nil && f.mayBeReplaced(c, res) {
-		refused = targetFailed(res)
-		c.failure = a
+	response := &targetResponse{head: res, body: body}
+	refused := f.checkResponse(res)
+	if refused == nil && f.mayRetryFailure(c, res) {
+		refused = newTargetFailed(res)
+		c.failure = response
 	}
 	if refused != nil {
 		reservation.Release(schedule.Failed)
@@ -208,67 +214,70 @@
 		return nil, refused
 	}
 	reservation.Release(schedule.Answered)
-	return a, nil
+	return response, nil
 }
 
-func resultOf(whole bool) schedule.Result {
-	if whole {
+func resultOf(complete bool) schedule.Result {
+	if complete {
 		return schedule.Answered
 	}
 	return schedule.Failed
 }
 
-// unusable tells of answers that are never passed on: successes without the
-// target's signature, and statuses that promise more than is known.
-func (f *Front) unusable(res *http.Response) *refusal {
-	signed := res.Header.Get(f.Wire.Signature) != ""
+// checkResponse returns a refusal for responses that are never forwarded: successes
+// without the target's signature, and statuses that falsely state that the request
+// was not executed.
+func (f *Front) checkResponse(res *http.Response) *refusal {
+	signed := res.Header.Get(f.Headers.Signature) != ""
 	switch {
 	case !signed && res.StatusCode < http.StatusMultipleChoices:
-		return &refusal{status: http.StatusBadGateway, cause: "unsigned", mayHaveRun: true, arrived: true}
+		return &refusal{status: http.StatusBadGateway, cause: "unsigned", mayHaveRun: true, reachedTarget: true}
 	case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests ||
 		res.StatusCode == http.StatusRequestTimeout:
-		// Only the target's explicit word says that it did not run; without it
-		// this status would promise more than is known.
-		return targetFailed(res)
+		// Only the not-executed header proves that the request did not run. Without
+		// it, the caller would wrongly conclude that from this status.
+		return newTargetFailed(res)
 	}
 	return nil
 }
 
-// mayBeReplaced tells of failures of repeatable requests that another target may
-// answer better.
-func (f *Front) mayBeReplaced(c *call, res *http.Response) bool {
+// mayRetryFailure reports whether a target's failure response to an idempotent
+// request may be replaced by another target's response before the deadline.
+func (f *Front) mayRetryFailure(c *call, res *http.Response) bool {
 	return res.StatusCode >= http.StatusInternalServerError && c.route.Idempotent && c.runs < c.route.MaxAttempts &&
 		time.Until(c.deadline) > f.latency(c.route.Name)
 }
 
-func targetFailed(res *http.Response) *refusal {
+// newTargetFailed returns the refusal for a failure response of a target.
+func newTargetFailed(res *http.Response) *refusal {
 	return &refusal{
-		status: http.StatusBadGateway, cause: "targetFailed", mayHaveRun: true, arrived: true, targetStatus: res.StatusCode,
+		status: http.StatusBadGateway, cause: "targetFailed", mayHaveRun: true, reachedTarget: true, targetStatus: res.StatusCode,
 	}
 }
 
-// notExecuted handles a target's own word that the request did not run.
+// notExecuted handles a response that states that the request was not executed.
 func (f *Front) notExecuted(c *call, reservation *broker.Reservation, res *http.Response) *refusal {
 	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, bufferLimit))
 	_ = res.Body.Close()
-	r := notRun("shed", f.latency(c.route.Name))
-	r.arrived = true
+	r := newNotRun("shed", f.latency(c.route.Name))
+	r.reachedTarget = true
 	r.targetStatus = res.StatusCode
 	if res.StatusCode == http.StatusMisdirectedRequest {
 		r.cause = "notOwner"
-		r.forOwner = c.sharded
+		r.awaitOwner = c.sharded
 		result := schedule.Abandoned
-		id := res.Header.Get(f.Wire.AnsweringTarget)
+		id := res.Header.Get(f.Headers.AnsweringTarget)
 		if other := id != "" && id != reservation.Target.ID; other || !c.sharded {
-			// Another one lives at the address. Since it answers at once, the one
-			// meant would look free and draw all requests until its entry goes.
+			// Another target runs at the address. It refuses immediately, so the
+			// expected target would look idle and attract all requests until its
+			// entry is removed.
 			r.cause, result = "otherTarget", schedule.Failed
 			f.Pools.Drop(reservation.Target)
 		}
 		reservation.Release(result)
 	} else {
 		reservation.Release(schedule.Shed)
-		r.forOwner = c.sharded
+		r.awaitOwner = c.sharded
 	}
 	f.exclude(c, reservation.Target.ID)
 	f.logAttempt(c, r, nil)
@@ -276,7 +285,7 @@
 }
 
 func (f *Front) logAttempt(c *call, r *refusal, err error) {
-	event.AttemptFailed.Log(f.Log, "request", c.id, "route", c.route.Name, "target", c.target, "cause", r.cause,
+	event.AttemptFailed.Log(f.Log, "request", c.id, "route", c.route.Name, "target", c.lastTarget, "cause", r.cause,
 		"status", r.targetStatus, "mayHaveRun", r.mayHaveRun, "sends", c.sends, "ageMs", time.Since(c.arrived).Milliseconds(),
 		"leftMs", time.Until(c.deadline).Milliseconds(), "error", err)
 }
--- a/gateway/front/budget_test.go
+++ b/gateway/front/budget_test.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	budgetTick   = 10 // steps a second
-	budgetWindow = 10 * budgetTick
+	ticksPerSecond = 10
+	windowTicks    = 10 * ticksPerSecond
 )
 
-// Targets fail in waves, up to all requests at once, while callers come and go.
-// Every instance knows only its own requests. Over any ten seconds all of them
-// together must not repeat more than the users allow, or targets that fail
-// under load get more of it from each instance.
-func TestRepetitionsOfAllInstancesStayWithinTheLimit(t *testing.T) {
+// Guards against retries that exceed the users' limit over any ten seconds, summed over
+// all instances, each of which sees only its own requests: targets that fail under load
+// would get more load from every instance. The rates of requests and of failures change
+// every two seconds, up to the failure of all requests.
+func TestRetriesOfAllInstancesStayWithinLimit(t *testing.T) {
 	for _, c := range []struct {
-		members int
-		slack   float64
-		rate    float64
+		instances int
+		slack     float64
+		rate      float64
 	}{
 		{1, 62, 300},
 		{12, 64, 150},
@@ -29,45 +29,48 @@
 		{89, 218, 40},
 	} {
 		for seed := range uint64(4) {
-			t.Run(fmt.Sprintf("%d instances at %.0f/s, seed %d", c.members, c.rate, seed), func(t *testing.T) {
-				playBudget(t, c.members, c.slack, c.rate, rand.New(rand.NewPCG(seed, 1)))
+			t.Run(fmt.Sprintf("%d instances at %.0f/s, seed %d", c.instances, c.rate, seed), func(t *testing.T) {
+				simulateBudgets(t, c.instances, c.slack, c.rate, rand.New(rand.NewPCG(seed, 1)))
 			})
 		}
 	}
 }
 
-func playBudget(t *testing.T, members int, slack, rate float64, random *rand.Rand) {
+// simulateBudgets simulates a minute of requests. The retries of each window must stay
+// within the limit given by the requests of that window, or of the window that ended
+// five or ten seconds before it.
+func simulateBudgets(t *testing.T, instances int, slack, rate float64, random *rand.Rand) {
 	const ratio = 0.2
-	fleet := make([]*Front, members)
-	for i := range fleet {
-		fleet[i] = New(Options{Retries: func() Retries { return Retries{Ratio: ratio, Slack: slack, Members: members} }})
+	fronts := make([]*Front, instances)
+	for i := range fronts {
+		fronts[i] = New(Options{RetryLimits: func() RetryLimits { return RetryLimits{Ratio: ratio, Slack: slack, Instances: instances} }})
 	}
-	var requests, repeated []int
+	var requests, retries []int
 	load, failing := 1.0, 0.0
-	for step := range 60 * budgetTick {
-		if step%(2*budgetTick) == 0 {
+	for tick := range 60 * ticksPerSecond {
+		if tick%(2*ticksPerSecond) == 0 {
 			load, failing = []float64{0, 0.2, 1, 2.5}[random.IntN(4)], []float64{0, 0.1, 0.5, 1}[random.IntN(4)]
 		}
-		came, again := 0, 0
-		for range int(rate*load/budgetTick + random.Float64()) {
-			came++
-			b := fleet[random.IntN(members)].budget("s")
-			b.Earn()
-			for tries := 0; tries < 3 && random.Float64() < failing && b.Take(); tries++ {
-				again++
+		tickRequests, tickRetries := 0, 0
+		for range int(rate*load/ticksPerSecond + random.Float64()) {
+			tickRequests++
+			budget := fronts[random.IntN(instances)].budget("s")
+			budget.Earn()
+			for attempts := 0; attempts < 3 && random.Float64() < failing && budget.Take(); attempts++ {
+				tickRetries++
 			}
 		}
-		requests, repeated = append(requests, came), append(repeated, again)
-		counted := max(sum(requests, 0), sum(requests, budgetWindow/2), sum(requests, budgetWindow))
-		most := ratio*float64(counted) + slack
-		assert.Assert(t, float64(sum(repeated, 0)) <= most, "%d repetitions in the ten seconds to step %d, %.0f allowed", sum(repeated, 0), step, most)
+		requests, retries = append(requests, tickRequests), append(retries, tickRetries)
+		counted := max(sum(requests, 0), sum(requests, windowTicks/2), sum(requests, windowTicks))
+		limit := ratio*float64(counted) + slack
+		assert.Assert(t, float64(sum(retries, 0)) <= limit, "%d retries in the ten seconds to tick %d, %.0f allowed", sum(retries, 0), tick, limit)
 	}
 }
 
-// sum adds up the window that ended a number of steps ago.
+// sum adds the counts of the window that ended a number of ticks ago.
 func sum(list []int, ago int) (n int) {
 	end := max(0, len(list)-ago)
-	for _, v := range list[max(0, end-budgetWindow):end] {
+	for _, v := range list[max(0, end-windowTicks):end] {
 		n += v
 	}
 	return n
--- a/gateway/front/call.go
+++ b/gateway/front/call.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// clientMargin is kept for the answer's way back to the caller, so that it
-	// arrives before the caller stops waiting.
-	clientMargin = 12 * time.Millisecond
-	// defaultWait is for callers that do not say how long they wait.
-	defaultWait = 30 * time.Second
-	// defaultBody bounds bodies where the configuration does not.
-	defaultBody = 64 << 20
+	// responseMargin is subtracted from the caller's timeout, so that the response
+	// reaches the caller before it expires.
+	responseMargin = 12 * time.Millisecond
+	// defaultTimeout applies to requests without a timeout in their header.
+	defaultTimeout = 30 * time.Second
+	// defaultBodyLimit limits request bodies if the configuration sets no limit.
+	defaultBodyLimit = 64 << 20
 )
 
-// call is one caller's request.
+// call is a caller's request and the state of its attempts.
 type call struct {
 	id      string
 	method  string
@@ -37,45 +37,52 @@
 	service string
 	sharded bool
 	key     int
+	// arrived is when the request's headers were read.
 	arrived time.Time
-	// deadline is when the answer must be on its way to the caller.
+	// deadline is when the response must be sent to the caller.
 	deadline time.Time
 
-	// runs counts targets that may have run it, sends all it was sent to.
+	// runs counts the attempts that a target may have run, sends all attempts.
 	runs  int
 	sends int
-	// ran is the target that may have run it last, and ranAt when that was known.
-	ran        string
-	ranAt      time.Time
-	doubt      bool
-	excluded   map[string]bool
-	newer      <-chan struct{}
-	ownerTries int
-	target     string
-	queued     time.Duration
-	// failure is a target's own, passed on unless a later attempt is answered.
-	failure *answer
+	// lastRunTarget is the target that may have run the request last, lastRunAt when
+	// that became known.
+	lastRunTarget string
+	lastRunAt     time.Time
+	// mayHaveRun is set once any target may have run the request.
+	mayHaveRun bool
+	// excluded has the IDs of the targets that no further attempt is sent to.
+	excluded map[string]bool
+	// assignmentChanged is closed when the service has a newer assignment.
+	assignmentChanged <-chan struct{}
+	ownerAttempts     int
+	lastTarget        string
+	// queueTime is the time spent waiting for slots, over all attempts.
+	queueTime time.Duration
+	// failure is a target's failure response, forwarded if no later attempt succeeds.
+	failure *targetResponse
 }
 
-// kind numbers the requests of the call's route: their work is alike.
+// kind returns the number of the call's route: requests of a route take similar work.
 func (c *call) kind() uint32 { return uint32(xxhash.Sum64String(c.route.Name)) }
 
 const (
-	// startWait is how long after its start an instance lets requests wait for
-	// the configuration and the targets: what instances that start together
-	// refuse until then comes back together.
-	startWait = 900 * time.Millisecond
-	// startPoll is how often they are looked for.
-	startPoll = 10 * time.Millisecond
+	// startupWait is how long after its start an instance delays requests until it
+	// has the configuration and the targets. Requests that instances starting
+	// together refuse would all be retried at the same moment.
+	startupWait = 900 * time.Millisecond
+	// startupPollInterval is how often the delayed requests check for them.
+	startupPollInterval = 10 * time.Millisecond
 )
 
-// awaitStart waits for the first configuration and the first targets.
-func (f *Front) awaitStart(ctx context.Context) {
-	for until := f.started.Add(startWait); f.Table() == nil || len(f.Roster.Load().Targets) == 0; {
-		if time.Now().After(until) {
+// awaitStartup waits for the first configuration and the first targets, at most
+// until startupWait after the start.
+func (f *Front) awaitStartup(ctx context.Context) {
+	for waitUntil := f.started.Add(startupWait); f.Table() == nil || len(f.Roster.Load().Targets) == 0; {
+		if time.Now().After(waitUntil) {
 			return
 		}
-		timer := time.NewTimer(startPoll)
+		timer := time.NewTimer(startupPollInterval)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -85,15 +92,16 @@
 	}
 }
 
-// accept reads what there is to know of a request before it is sent anywhere.
-func (f *Front) accept(w http.ResponseWriter, r *http.Request) (*call, *refusal) {
+// readCall reads a request, its body included, and finds its route, service, key and
+// deadline. It returns a refusal if the request can't be sent to any target.
+func (f *Front) readCall(w http.ResponseWriter, r *http.Request) (*call, *refusal) {
 	c := &call{
-		id: r.Header.Get(f.Wire.RequestID), method: r.Method, uri: r.RequestURI, host: r.Host, arrived: time.Now(),
+		id: r.Header.Get(f.Headers.RequestID), method: r.Method, uri: r.RequestURI, host: r.Host, arrived: time.Now(),
 	}
-	f.awaitStart(r.Context())
+	f.awaitStartup(r.Context())
 	table := f.Table()
 	if table == nil {
-		return c, notRun("noConfig", retryConfig)
+		return c, newNotRun("noConfig", retryAfterNoConfig)
 	}
 	path, _, _ := strings.Cut(c.uri, "?")
 	if !strings.HasPrefix(path, "/") {
@@ -110,43 +118,45 @@
 	return c, c.readBody(w, r, table.Config.Limits)
 }
 
+// classify sets the call's service, key, deadline and the headers for the target.
 func (f *Front) classify(c *call, table *routing.Table, r *http.Request) *refusal {
 	c.service = f.splitter.Next(c.route)
 	if s := table.Service(c.service); s != nil && s.Sharded {
 		c.sharded = true
-		key, err := strconv.Atoi(r.Header.Get(f.Wire.ShardKey))
+		key, err := strconv.Atoi(r.Header.Get(f.Headers.ShardKey))
 		if err != nil || key < 0 || key >= ownership.Keys {
 			return &refusal{status: http.StatusBadRequest, cause: "badKey", final: true}
 		}
 		c.key = key
 	}
-	wait := defaultWait
-	if text := r.Header.Get(f.Wire.TimeLeft); text != "" {
+	timeout := defaultTimeout
+	if text := r.Header.Get(f.Headers.TimeLeft); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 32)
 		if err != nil || ms <= 0 {
 			return &refusal{status: http.StatusBadRequest, cause: "badTimeLeft", final: true}
 		}
-		wait = time.Duration(ms)*time.Millisecond - clientMargin
+		timeout = time.Duration(ms)*time.Millisecond - responseMargin
 	}
 	if c.route.Timeout > 0 {
-		wait = min(wait, c.route.Timeout)
+		timeout = min(timeout, c.route.Timeout)
 	}
-	c.deadline = c.arrived.Add(wait)
+	c.deadline = c.arrived.Add(timeout)
 	c.header = r.Header.Clone()
 	hop.Remove(c.header)
-	for _, name := range []string{"Expect", "Content-Length", f.Wire.TimeLeft, f.Wire.ExpectedTarget} {
+	for _, name := range []string{"Expect", "Content-Length", f.Headers.TimeLeft, f.Headers.ExpectedTarget} {
 		c.header.Del(name)
 	}
 	return nil
 }
 
+// readBody reads the body up to the limit, and until the call's deadline.
 func (c *call) readBody(w http.ResponseWriter, r *http.Request, limits routing.Limits) *refusal {
 	if limits.HeaderBytes > 0 && headerSize(r) > limits.HeaderBytes {
 		return &refusal{status: http.StatusRequestHeaderFieldsTooLarge, cause: "headerTooLarge", final: true}
 	}
 	limit := limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultBodyLimit
 	}
 	if r.ContentLength > limit {
 		return &refusal{status: http.StatusRequestEntityTooLarge, cause: "bodyTooLarge", final: true}
@@ -165,9 +175,10 @@
 	if errors.As(err, &tooLarge) {
 		return &refusal{status: http.StatusRequestEntityTooLarge, cause: "bodyTooLarge", final: true}
 	}
-	return &refusal{status: http.StatusRequestTimeout, cause: "bodyNotRead", final: true, close: true}
+	return &refusal{status: http.StatusRequestTimeout, cause: "bodyNotRead", final: true, closeConnection: true}
 }
 
+// headerSize returns the approximate size of the request line and headers on the wire.
 func headerSize(r *http.Request) int64 {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + 20
 	for name, values := range r.Header {
--- a/gateway/front/failure_test.go
+++ b/gateway/front/failure_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// failing answers each request with a failure of its own.
+// failing returns a handler that responds to each request with a signed failure.
 func failing(id string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(platform.RequestID, r.Header.Get(platform.RequestID))
@@ -20,27 +20,27 @@
 	})
 }
 
-// Guards against a gateway's own 502 in place of the answer that a target gave,
-// where the request is not sent again after all.
-func TestTargetsFailureIsPassedOn(t *testing.T) {
+// Guards against a gateway's 502 instead of the failure response of a target, if the
+// request is not retried or no retry succeeds.
+func TestTargetFailureIsForwarded(t *testing.T) {
 	for name, targets := range map[string][]string{
 		"no other target":          {"a"},
 		"the others fail as well":  {"a", "b", "c"},
 		"one of them sheds always": {"a", "shed"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newStage(t)
-			b.route(5 * time.Second)
+			f := newFixture(t)
+			f.route(5 * time.Second)
 			for _, id := range targets {
 				if id == "shed" {
-					b.handler(id, http.HandlerFunc(shed))
+					f.handler(id, http.HandlerFunc(shed))
 					continue
 				}
-				b.handler(id, failing(id))
+				f.handler(id, failing(id))
 			}
-			// More than the retry budget allows to send again.
+			// More requests than the retry budget covers.
 			for range 80 {
-				res, body := b.call(t.Context(), http.MethodGet, "/safe/x", "")
+				res, body := f.call(t.Context(), http.MethodGet, "/safe/x", "")
 				if res.StatusCode == http.StatusServiceUnavailable {
 					assert.Equal(t, name, "one of them sheds always")
 					continue
@@ -52,17 +52,18 @@
 	}
 }
 
-// Guards against a failure that is passed on though another target answers.
-func TestFailureIsReplacedByAnotherTargetsAnswer(t *testing.T) {
-	b := newStage(t)
-	b.route(5 * time.Second)
-	b.handler("a", failing("a"))
-	b.handler("b", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// Guards against a failure response that is forwarded although another target can
+// answer the request.
+func TestFailureIsReplacedByAnotherTargetsResponse(t *testing.T) {
+	f := newFixture(t)
+	f.route(5 * time.Second)
+	f.handler("a", failing("a"))
+	f.handler("b", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(platform.RequestID, r.Header.Get(platform.RequestID))
 		w.Header().Set(platform.Signature, "s")
 	}))
 	for range 4 {
-		res, _ := b.call(t.Context(), http.MethodGet, "/safe/x", "")
+		res, _ := f.call(t.Context(), http.MethodGet, "/safe/x", "")
 		assert.Equal(t, res.StatusCode, http.StatusOK)
 	}
 }
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -1,6 +1,7 @@
-// Package front serves callers in the platform's dialect: it finds the route
-// and the target of each request, sends it there, and passes on the target's
-// whole answer or an honest refusal.
+// Package front is the reverse proxy that serves callers: it finds the route and
+// the target of each request, sends it there, and forwards the target's complete
+// response, or a refusal that never states that a request did not run unless that
+// is certain.
 package front
 
 import (
@@ -18,88 +19,93 @@
 	"basilcross.example/gateway/broker"
 )
 
-// Options are what a Front needs; all must be set.
+// Options configure a Front. All fields must be set.
 type Options struct {
-	Wire   routing.Wire
+	// Headers are the platform's names of the headers.
+	Headers routing.Wire
+	// Broker reserves slots at targets.
 	Broker *broker.Broker
 	Roster *roster.Roster
 	Pools  *Pools
-	// Table returns the routes in force, or nil.
+	// Table returns the routing table in force; nil before the first configuration.
 	Table func() *routing.Table
-	// Owners returns a service's assignment, or nil, and a channel that is
-	// closed when there is a newer one.
-	Owners func(service string) (*ownership.Assignment, <-chan struct{})
-	// Moved tells whether a key got another owner after a time.
-	Moved func(service string, key int, since time.Time) bool
-	// Loads is told of each key's work.
+	// CurrentAssignment returns a service's assignment, nil if there is none, and a
+	// channel that is closed when there is a newer assignment.
+	CurrentAssignment func(service string) (*ownership.Assignment, <-chan struct{})
+	// OwnerChangedSince reports whether a key's owner changed after a time.
+	OwnerChangedSince func(service string, key int, since time.Time) bool
+	// Loads records the work on each key.
 	Loads *Loads
-	// Retries limits repetitions over all instances.
-	Retries func() Retries
-	Metrics *Metrics
-	Log     *slog.Logger
+	// RetryLimits returns the limits of retries in force.
+	RetryLimits func() RetryLimits
+	Metrics     *Metrics
+	Log         *slog.Logger
 }
 
-// Retries is how many repetitions all instances may send together.
-type Retries struct {
-	// Ratio of the requests, and Slack on top of it in each window.
+// RetryLimits limit the retries that all instances together may send.
+type RetryLimits struct {
+	// Ratio is the allowed share of retries to requests.
 	Ratio float64
+	// Slack is the number of retries allowed in each window on top of Ratio.
 	Slack float64
-	// Members is how many instances share the slack.
-	Members int
+	// Instances is the number of instances that share Slack.
+	Instances int
 }
 
-// Front is the handler of callers' requests. Create it with New.
+// Front is the HTTP handler of callers' requests. Create it with New.
 type Front struct {
 	Options
 
-	splitter routing.Splitter
-	started  time.Time
-	closing  atomic.Bool
-	ending   context.Context
-	end      context.CancelFunc
-	mu       sync.Mutex
-	budgets  map[string]*retry.Budget
-	usual    map[string]time.Duration
+	splitter          routing.Splitter
+	started           time.Time
+	keepAliveDisabled atomic.Bool
+	abortContext      context.Context
+	abort             context.CancelFunc
+	mu                sync.Mutex
+	budgets           map[string]*retry.Budget
+	// latencies are the smoothed response times by route.
+	latencies map[string]time.Duration
 }
 
-// New returns a handler.
-func New(o Options) *Front {
-	f := &Front{Options: o, started: time.Now(), budgets: map[string]*retry.Budget{}, usual: map[string]time.Duration{}}
-	f.ending, f.end = context.WithCancel(context.Background())
+// New returns a Front with the options.
+func New(options Options) *Front {
+	f := &Front{Options: options, started: time.Now(), budgets: map[string]*retry.Budget{}, latencies: map[string]time.Duration{}}
+	f.abortContext, f.abort = context.WithCancel(context.Background())
 	return f
 }
 
-// End gives up every request that is still without an answer: the process is
-// about to end, and an answer that says so is better than a closed connection.
-func (f *Front) End() { f.end() }
+// Abort cancels every request without a response and answers it with a refusal. It is
+// called shortly before the process exits: a refusal is better than a closed connection.
+func (f *Front) Abort() { f.abort() }
 
-// Close makes every answer the last one of its connection.
-func (f *Front) Close() { f.closing.Store(true) }
+// Close makes every further response close its connection.
+func (f *Front) Close() { f.keepAliveDisabled.Store(true) }
 
 // ServeHTTP serves a caller's request.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c, refused := f.accept(w, r)
+	c, refused := f.readCall(w, r)
 	if refused == nil {
 		ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 		defer cancel()
-		stop := context.AfterFunc(f.ending, cancel) //nolint:contextcheck // the process's end, not the request's
+		stop := context.AfterFunc(f.abortContext, cancel) //nolint:contextcheck // canceled at the process's exit, not by the request
 		defer stop()
-		var a *answer
-		a, refused = f.run(ctx, c)
-		if a != nil {
-			f.pass(w, c, a)
+		var response *targetResponse
+		response, refused = f.sendWithRetries(ctx, c)
+		if response != nil {
+			f.writeResponse(w, c, response)
 			return
 		}
 	}
 	if r.Context().Err() != nil {
-		f.Metrics.gone(c)
+		f.Metrics.callerGone(c)
 		f.logRefused(c, refused, "callerGone")
 		panic(http.ErrAbortHandler)
 	}
-	f.refuse(w, c, refused)
+	f.writeRefusal(w, c, refused)
 }
 
-// budget returns the retry budget of a service, with this instance's share.
+// budget returns the retry budget of a service, set to this instance's share of the
+// limits in force.
 func (f *Front) budget(service string) *retry.Budget {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -108,118 +114,126 @@
 		b = &retry.Budget{}
 		f.budgets[service] = b
 	}
-	r := f.Retries()
-	b.Set(r.Ratio*safeShare, max(1, r.Slack*safeShare/float64(max(1, r.Members))))
+	limits := f.RetryLimits()
+	b.Set(limits.Ratio*retryBudgetShare, max(1, limits.Slack*retryBudgetShare/float64(max(1, limits.Instances))))
 	return b
 }
 
 const (
-	// startLatency is taken for a route that was not used yet.
-	startLatency = 200 * time.Millisecond
-	// latencyShare is the weight of the newest answer, as a divisor.
-	latencyShare = 16
+	// initialLatency is the estimate for a route without responses yet.
+	initialLatency = 200 * time.Millisecond
+	// latencySmoothing is the divisor of the newest response time's weight in the
+	// moving average.
+	latencySmoothing = 16
 )
 
-// latency returns the usual time of an answer to a route's requests. Those of one
-// service may differ many times in work.
+// latency returns the average response time of a route. It is kept by route, since the
+// work of requests to one service may differ by a large factor.
 func (f *Front) latency(route string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if usual := f.usual[route]; usual > 0 {
-		return usual
+	if average := f.latencies[route]; average > 0 {
+		return average
 	}
-	return startLatency
+	return initialLatency
 }
 
-func (f *Front) learn(route string, took time.Duration) {
+// recordLatency updates the average response time of a route.
+func (f *Front) recordLatency(route string, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	usual := f.usual[route]
-	if usual == 0 {
-		usual = startLatency
+	average := f.latencies[route]
+	if average == 0 {
+		average = initialLatency
 	}
-	f.usual[route] = usual + (took-usual)/latencyShare
+	f.latencies[route] = average + (took-average)/latencySmoothing
 }
 
-// safeShare is the part of the fleet's limit that is spent: members come and
-// go, and two windows of requests are not alike.
-const safeShare = 0.75
+// retryBudgetShare is the share of the limits that the instances use. The margin covers
+// changes of the number of instances, and of the request rate from window to window.
+const retryBudgetShare = 0.75
 
-// run sends the request until it is answered or given up.
-func (f *Front) run(ctx context.Context, c *call) (*answer, *refusal) {
+// sendWithRetries sends the request until there is a response to forward or no retry is
+// allowed. In the latter case it returns a target's failure response, if there was one.
+func (f *Front) sendWithRetries(ctx context.Context, c *call) (*targetResponse, *refusal) {
 	budget := f.budget(c.service)
 	budget.Earn()
 	if c.sharded {
 		f.Loads.Add(c.service, c.key, f.latency(c.route.Name))
 	}
 	for {
-		a, failed := f.attempt(ctx, c)
-		if a != nil {
-			return a, nil
+		response, failed := f.attempt(ctx, c)
+		if response != nil {
+			return response, nil
 		}
-		c.doubt = c.doubt || failed.mayHaveRun
-		if c.doubt {
+		c.mayHaveRun = c.mayHaveRun || failed.mayHaveRun
+		if c.mayHaveRun {
 			failed.mayHaveRun = true
 		}
-		if ctx.Err() != nil || !f.again(ctx, c, failed, budget) {
+		if ctx.Err() != nil || !f.prepareRetry(ctx, c, failed, budget) {
 			return c.failure, failed
 		}
 	}
 }
 
-// again decides whether a failed request is sent once more, and waits until
-// that is worth while.
-func (f *Front) again(ctx context.Context, c *call, failed *refusal, budget *retry.Budget) bool {
+// prepareRetry reports whether a failed request may be retried. If its key's owner has
+// to change first, it waits for that.
+func (f *Front) prepareRetry(ctx context.Context, c *call, failed *refusal, budget *retry.Budget) bool {
 	if failed.final || failed.mayHaveRun && !c.route.Idempotent {
 		return false
 	}
 	if c.runs >= c.route.MaxAttempts || c.sends >= maxSends {
 		return false
 	}
-	if failed.forOwner {
+	if failed.awaitOwner {
 		if !f.awaitOwner(ctx, c) {
 			return false
 		}
 		c.excluded = nil
 	}
-	if !failed.arrived {
-		// A request that never left costs the targets nothing.
+	if !failed.reachedTarget {
+		// A request that no target received costs the targets nothing, so it needs no
+		// retry budget.
 		return true
 	}
 	if !budget.Take() {
 		return false
 	}
-	f.Metrics.repeated.WithLabelValues(c.service).Inc()
+	f.Metrics.retries.WithLabelValues(c.service).Inc()
 	return true
 }
 
 const (
-	// maxSends bounds the tries that did not run, such as refused connections.
+	// maxSends limits all attempts, those that did not run included, such as refused
+	// connections.
 	maxSends = 8
-	// ownerShare of the objective is how long a request waits for its key's
-	// next owner, at most ownerWait: then its caller is told to come back.
-	ownerShare = 0.7
-	ownerWait  = 1200 * time.Millisecond
-	// grantPause is the first wait before the same owner is asked again: its grant
-	// may be on its way. After that it is more likely to have given the key back, and
-	// each try takes from the budget: the next waits are ownerPause, doubled each time.
-	grantPause = 30 * time.Millisecond
-	ownerPause = 240 * time.Millisecond
+	// ownerWaitShare is the share of the route's objective for which a request waits
+	// for its key's next owner, at most maxOwnerWait. Then it is refused, and its
+	// caller may retry.
+	ownerWaitShare = 0.7
+	maxOwnerWait   = 1200 * time.Millisecond
+	// grantRetryDelay is the delay before the first retry at the same owner, whose
+	// grant may not have arrived yet. After that, the owner has more probably released
+	// the key, and each retry is taken from the budget: the further delays start at
+	// ownerRetryDelay and double each time.
+	grantRetryDelay = 30 * time.Millisecond
+	ownerRetryDelay = 240 * time.Millisecond
 )
 
-// awaitOwner waits until the key has another owner, or a little for the present one.
+// awaitOwner waits until the key has another owner, or until the next retry at the
+// current owner is due. It reports whether the request may be sent again.
 func (f *Front) awaitOwner(ctx context.Context, c *call) bool {
-	until := c.arrived.Add(min(ownerWait, time.Duration(float64(c.route.Objective)*ownerShare)))
-	pause := grantPause
-	if c.ownerTries > 0 {
-		pause = ownerPause << min(c.ownerTries-1, 4)
-	}
-	pause = min(pause, time.Until(until))
-	c.ownerTries++
-	if pause <= 0 {
+	waitUntil := c.arrived.Add(min(maxOwnerWait, time.Duration(float64(c.route.Objective)*ownerWaitShare)))
+	delay := grantRetryDelay
+	if c.ownerAttempts > 0 {
+		delay = ownerRetryDelay << min(c.ownerAttempts-1, 4)
+	}
+	delay = min(delay, time.Until(waitUntil))
+	c.ownerAttempts++
+	if delay <= 0 {
 		return false
 	}
-	timer := time.NewTimer(pause)
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	for {
 		select {
@@ -227,7 +241,7 @@
 			return false
 		case <-timer.C:
 			return true
-		case <-c.newer:
+		case <-c.assignmentChanged:
 			if f.ownerChanged(c) {
 				return true
 			}
@@ -235,14 +249,14 @@
 	}
 }
 
-// ownerChanged tells whether the key has another owner than the target that the
-// request was last sent to.
+// ownerChanged reports whether the key's owner differs from the target that the request
+// was last sent to.
 func (f *Front) ownerChanged(c *call) bool {
-	a, newer := f.Owners(c.service)
-	c.newer = newer
+	a, newer := f.CurrentAssignment(c.service)
+	c.assignmentChanged = newer
 	if a == nil {
 		return false
 	}
 	owner := a.Find(c.key).Owner
-	return owner != "" && owner != c.target
+	return owner != "" && owner != c.lastTarget
 }
--- a/gateway/front/front_test.go
+++ b/gateway/front/front_test.go
@@ -28,43 +28,44 @@
 	"gotest.tools/v3/assert"
 )
 
-// stage is a front with the targets of one service.
-type stage struct {
+// fixture is a Front with a server for callers and the targets of one service.
+type fixture struct {
 	t       *testing.T
 	front   *front.Front
 	server  *httptest.Server
 	roster  *roster.Roster
 	table   atomic.Pointer[routing.Table]
 	targets []*roster.Target
-	sent    int
+	// sent is the number of requests sent by call, and the last request's ID.
+	sent int
 }
 
-func newStage(t *testing.T) *stage {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	b := &stage{t: t, roster: &roster.Roster{}}
+	f := &fixture{t: t, roster: &roster.Roster{}}
 	log := slog.New(slog.DiscardHandler)
 	p := &peers.Peers{Self: peers.Instance{Name: "one", Zone: "z"}, Log: log}
-	b.front = front.New(front.Options{
-		Wire: platform.Wire(),
+	f.front = front.New(front.Options{
+		Headers: platform.HeaderNames(),
 		Broker: broker.New(broker.Options{
-			Self: p.Self, Peers: p, Dispatcher: &dispatch.Dispatcher{Roster: b.roster}, Roster: b.roster, Log: log,
+			Self: p.Self, Peers: p, Dispatcher: &dispatch.Dispatcher{Roster: f.roster}, Roster: f.roster, Log: log,
 		}),
-		Roster: b.roster, Pools: &front.Pools{}, Table: b.table.Load,
-		Owners:  func(string) (*ownership.Assignment, <-chan struct{}) { return nil, nil },
-		Moved:   func(string, int, time.Time) bool { return false },
-		Loads:   &front.Loads{},
-		Retries: func() front.Retries { return front.Retries{Ratio: 0.2, Slack: 60, Members: 1} },
-		Metrics: front.NewMetrics(prometheus.NewRegistry()), Log: log,
+		Roster: f.roster, Pools: &front.Pools{}, Table: f.table.Load,
+		CurrentAssignment: func(string) (*ownership.Assignment, <-chan struct{}) { return nil, nil },
+		OwnerChangedSince: func(string, int, time.Time) bool { return false },
+		Loads:             &front.Loads{},
+		RetryLimits:       func() front.RetryLimits { return front.RetryLimits{Ratio: 0.2, Slack: 60, Instances: 1} },
+		Metrics:           front.NewMetrics(prometheus.NewRegistry()), Log: log,
 	})
-	b.server = httptest.NewServer(b.front)
-	t.Cleanup(b.server.Close)
-	return b
+	f.server = httptest.NewServer(f.front)
+	t.Cleanup(f.server.Close)
+	return f
 }
 
-// route puts a route in force: /safe/ is idempotent, /book/ is not.
-func (b *stage) route(timeout time.Duration) {
+// route puts two routes in force: /safe/ is idempotent, /book/ is not.
+func (f *fixture) route(timeout time.Duration) {
 	share := []routing.Share{{Service: "s", Weight: 1}}
-	b.table.Store(routing.New(&routing.Config{
+	f.table.Store(routing.New(&routing.Config{
 		Version: 1, Services: []routing.Service{{Name: "s"}}, Limits: routing.Limits{BodyBytes: 1000},
 		Routes: []routing.Route{
 			{Name: "safe", Host: "cakes.example", Prefix: "/safe/", Idempotent: true, Timeout: timeout, Objective: timeout, MaxAttempts: 2, Split: share},
@@ -73,22 +74,24 @@
 	}))
 }
 
-func (b *stage) target(id, address string) {
-	b.targets = append(b.targets, &roster.Target{ID: id, Born: 1, Service: "s", Zone: "z", Slots: 3, Address: address})
-	b.roster.Replace(time.Now(), b.targets, 1)
+// target adds a target to the roster.
+func (f *fixture) target(id, address string) {
+	f.targets = append(f.targets, &roster.Target{ID: id, Born: 1, Service: "s", Zone: "z", Slots: 3, Address: address})
+	f.roster.Replace(time.Now(), f.targets, 1)
 }
 
-func (b *stage) handler(id string, h http.Handler) {
+// handler starts a server with the handler and adds it as a target.
+func (f *fixture) handler(id string, h http.Handler) {
 	server := httptest.NewServer(h)
-	b.t.Cleanup(server.Close)
-	b.target(id, strings.TrimPrefix(server.URL, "http://"))
+	f.t.Cleanup(server.Close)
+	f.target(id, strings.TrimPrefix(server.URL, "http://"))
 }
 
-// raw is a target that answers each request with fixed bytes.
-func (b *stage) raw(id string, answer func(request string) string) {
+// raw adds a target that writes the bytes that answer returns for the request's ID.
+func (f *fixture) raw(id string, answer func(requestID string) string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(b.t, err)
-	b.t.Cleanup(func() { _ = l.Close() })
+	assert.NilError(f.t, err)
+	f.t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -105,17 +108,19 @@
 			}()
 		}
 	}()
-	b.target(id, l.Addr().String())
+	f.target(id, l.Addr().String())
 }
 
-func (b *stage) call(ctx context.Context, method, path, body string) (*http.Response, string) {
-	b.sent++
-	req, err := http.NewRequestWithContext(ctx, method, b.server.URL+path, strings.NewReader(body))
-	assert.NilError(b.t, err)
+// call sends a request with the next request ID. If it fails, the response is nil and
+// the text is the error's.
+func (f *fixture) call(ctx context.Context, method, path, body string) (*http.Response, string) {
+	f.sent++
+	req, err := http.NewRequestWithContext(ctx, method, f.server.URL+path, strings.NewReader(body))
+	assert.NilError(f.t, err)
 	req.Host = "cakes.example"
-	req.Header.Set(platform.RequestID, fmt.Sprintf("id%d", b.sent))
+	req.Header.Set(platform.RequestID, fmt.Sprintf("id%d", f.sent))
 	req.Header.Set(platform.TimeLeft, "5000")
-	res, err := b.server.Client().Do(req)
+	res, err := f.server.Client().Do(req)
 	if err != nil {
 		return nil, err.Error()
 	}
@@ -127,95 +132,99 @@
 	return res, string(text)
 }
 
+// shed responds that the request was not executed.
 func shed(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(platform.RequestID, r.Header.Get(platform.RequestID))
 	w.Header().Set(platform.NotRun, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// A process that knows no configuration cannot know what has no route: a 404
-// would be believed.
-func TestNoConfigurationIsNotARefusalForGood(t *testing.T) {
-	b := newStage(t)
-	res, _ := b.call(t.Context(), http.MethodGet, "/safe/x", "")
+// Guards against a 404 from an instance without a configuration, which can't determine
+// that a path has no route: callers would take the 404 as final.
+func TestMissingConfigurationIsTemporary(t *testing.T) {
+	f := newFixture(t)
+	res, _ := f.call(t.Context(), http.MethodGet, "/safe/x", "")
 	assert.Equal(t, res.StatusCode, http.StatusServiceUnavailable)
 	assert.Assert(t, res.Header.Get("Retry-After") != "")
-	b.route(time.Second)
-	res, _ = b.call(t.Context(), http.MethodGet, "/elsewhere", "")
+	f.route(time.Second)
+	res, _ = f.call(t.Context(), http.MethodGet, "/elsewhere", "")
 	assert.Equal(t, res.StatusCode, http.StatusNotFound)
 }
 
-func TestAnswerIsPassedOnWhole(t *testing.T) {
-	b := newStage(t)
-	b.route(5 * time.Second)
-	b.handler("t1", &standin.Target{ID: "t1"})
-	res, body := b.call(t.Context(), http.MethodPost, "/book/a%2Fb/../c?x=1", "hello")
+// Guards against a request URI or a response that changes on its way.
+func TestResponseIsForwardedUnchanged(t *testing.T) {
+	f := newFixture(t)
+	f.route(5 * time.Second)
+	f.handler("t1", &standin.Target{ID: "t1"})
+	res, body := f.call(t.Context(), http.MethodPost, "/book/a%2Fb/../c?x=1", "hello")
 	assert.Equal(t, res.StatusCode, http.StatusOK)
 	assert.Equal(t, body, "t1 POST /book/a%2Fb/../c?x=1 5")
 	assert.Equal(t, res.Header.Get(platform.Signature), "signed-by-t1")
 }
 
-func TestBodyOverTheLimit(t *testing.T) {
-	b := newStage(t)
-	b.route(time.Second)
-	res, _ := b.call(t.Context(), http.MethodPost, "/book/x", strings.Repeat("x", 1001))
+func TestBodyOverLimitIsRefused(t *testing.T) {
+	f := newFixture(t)
+	f.route(time.Second)
+	res, _ := f.call(t.Context(), http.MethodPost, "/book/x", strings.Repeat("x", 1001))
 	assert.Equal(t, res.StatusCode, http.StatusRequestEntityTooLarge)
 }
 
-// The first target says that it did not run the request; the next one runs it.
+// Guards against the refusal of a request that one target shed and another can run.
 func TestShedRequestGoesToAnotherTarget(t *testing.T) {
-	b := newStage(t)
-	b.route(5 * time.Second)
-	b.handler("a", http.HandlerFunc(shed))
+	f := newFixture(t)
+	f.route(5 * time.Second)
+	f.handler("a", http.HandlerFunc(shed))
 	next := &standin.Target{ID: "b"}
-	b.handler("b", next)
-	res, _ := b.call(t.Context(), http.MethodPost, "/book/x", "")
+	f.handler("b", next)
+	res, _ := f.call(t.Context(), http.MethodPost, "/book/x", "")
 	assert.Equal(t, res.StatusCode, http.StatusOK)
-	assert.Equal(t, next.Ran("id1"), 1)
+	assert.Equal(t, next.RunCount("id1"), 1)
 }
 
-// A target takes a booking and breaks the connection off. It may have run, so
-// nobody else may get it, and no status may promise that it did not run.
-func TestBookingInDoubtIsNotSentAgain(t *testing.T) {
-	b := newStage(t)
-	b.route(5 * time.Second)
-	b.handler("a", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
+// Guards against a second run of a non-idempotent request. The target closes the
+// connection after it received the request, which may have run: no other target may
+// get it, and the status must not state that it did not run.
+func TestNonIdempotentRequestInDoubtIsNotRetried(t *testing.T) {
+	f := newFixture(t)
+	f.route(5 * time.Second)
+	f.handler("a", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	next := &standin.Target{ID: "b"}
-	b.handler("b", next)
+	f.handler("b", next)
 	for range 4 {
-		res, _ := b.call(t.Context(), http.MethodPost, "/book/x", "")
+		res, _ := f.call(t.Context(), http.MethodPost, "/book/x", "")
 		if res.StatusCode != http.StatusOK {
 			assert.Equal(t, res.StatusCode, http.StatusBadGateway)
-			assert.Equal(t, next.Ran(fmt.Sprintf("id%d", b.sent)), 0)
+			assert.Equal(t, next.RunCount(fmt.Sprintf("id%d", f.sent)), 0)
 			return
 		}
 	}
-	t.Fatal("the broken target was never used")
+	t.Fatal("the failing target was never used")
 }
 
-func TestReadsInDoubtAreSentAgain(t *testing.T) {
-	b := newStage(t)
-	b.route(5 * time.Second)
-	b.handler("a", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
-	b.handler("b", &standin.Target{ID: "b"})
+func TestIdempotentRequestInDoubtIsRetried(t *testing.T) {
+	f := newFixture(t)
+	f.route(5 * time.Second)
+	f.handler("a", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
+	f.handler("b", &standin.Target{ID: "b"})
 	for range 4 {
-		res, _ := b.call(t.Context(), http.MethodGet, "/safe/x", "")
+		res, _ := f.call(t.Context(), http.MethodGet, "/safe/x", "")
 		assert.Equal(t, res.StatusCode, http.StatusOK)
 	}
 }
 
-// A plain 503 does not say that the request was not run. Passed on, it would.
-func TestPlain503IsNoPromise(t *testing.T) {
-	b := newStage(t)
-	b.route(5 * time.Second)
-	b.raw("a", func(id string) string {
+// Guards against a forwarded 503 without the not-executed header: the request may have
+// run, but callers would conclude that it did not.
+func TestPlain503IsNotForwarded(t *testing.T) {
+	f := newFixture(t)
+	f.route(5 * time.Second)
+	f.raw("a", func(id string) string {
 		return "HTTP/1.1 503 Service Unavailable\r\n" + platform.RequestID + ": " + id + "\r\nContent-Length: 0\r\n\r\n"
 	})
-	res, _ := b.call(t.Context(), http.MethodPost, "/book/x", "")
+	res, _ := f.call(t.Context(), http.MethodPost, "/book/x", "")
 	assert.Equal(t, res.StatusCode, http.StatusBadGateway)
 }
 
-func TestUnusableAnswers(t *testing.T) {
+func TestUnusableResponsesBecome502(t *testing.T) {
 	for name, answer := range map[string]string{
 		"unsigned":  "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 2\r\n\r\nok",
 		"cut":       "HTTP/1.1 200 OK\r\n%s: %s\r\n" + platform.Signature + ": s\r\nContent-Length: 20\r\n\r\nok",
@@ -223,48 +232,48 @@
 		"cut chunk": "HTTP/1.1 200 OK\r\n%s: %s\r\n" + platform.Signature + ": s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel",
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newStage(t)
-			b.route(5 * time.Second)
-			b.raw("a", func(id string) string { return fmt.Sprintf(answer, platform.RequestID, id) })
-			res, body := b.call(t.Context(), http.MethodPost, "/book/x", "")
+			f := newFixture(t)
+			f.route(5 * time.Second)
+			f.raw("a", func(id string) string { return fmt.Sprintf(answer, platform.RequestID, id) })
+			res, body := f.call(t.Context(), http.MethodPost, "/book/x", "")
 			assert.Equal(t, res.StatusCode, http.StatusBadGateway, body)
 		})
 	}
 }
 
-// A target sends a second answer to an earlier request before this one's. The
-// caller must get its own.
-func TestForeignAnswerIsDropped(t *testing.T) {
-	b := newStage(t)
-	b.route(5 * time.Second)
-	b.raw("a", func(id string) string {
+// Guards against a response to an earlier request that the target sends on the connection
+// before this request's own response.
+func TestResponseToAnotherRequestIsDropped(t *testing.T) {
+	f := newFixture(t)
+	f.route(5 * time.Second)
+	f.raw("a", func(id string) string {
 		one := "HTTP/1.1 200 OK\r\n" + platform.RequestID + ": %s\r\n" + platform.Signature + ": s\r\nContent-Length: 4\r\n\r\n%s"
 		return fmt.Sprintf(one, "another", "him!") + fmt.Sprintf(one, id, "mine")
 	})
-	res, body := b.call(t.Context(), http.MethodPost, "/book/x", "")
+	res, body := f.call(t.Context(), http.MethodPost, "/book/x", "")
 	assert.Equal(t, res.StatusCode, http.StatusOK)
 	assert.Equal(t, body, "mine")
 }
 
-func TestTimeoutEndsTheWait(t *testing.T) {
-	b := newStage(t)
-	b.route(50 * time.Millisecond)
+func TestRouteTimeoutCancelsRequest(t *testing.T) {
+	f := newFixture(t)
+	f.route(50 * time.Millisecond)
 	left := make(chan struct{})
-	b.handler("a", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	f.handler("a", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		close(left)
 	}))
-	res, _ := b.call(t.Context(), http.MethodPost, "/book/x", "")
+	res, _ := f.call(t.Context(), http.MethodPost, "/book/x", "")
 	assert.Equal(t, res.StatusCode, http.StatusGatewayTimeout)
 	<-left
 }
 
-// The caller goes away. The target must learn of it, or it works for nobody.
-func TestCallersEndReachesTheTarget(t *testing.T) {
-	b := newStage(t)
-	b.route(time.Minute)
+// Guards against targets that keep working on requests whose callers disconnected.
+func TestCallerDisconnectCancelsRequestAtTarget(t *testing.T) {
+	f := newFixture(t)
+	f.route(time.Minute)
 	arrived, left := make(chan struct{}), make(chan struct{})
-	b.handler("a", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	f.handler("a", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(arrived)
 		<-r.Context().Done()
 		close(left)
@@ -274,92 +283,92 @@
 		<-arrived
 		cancel()
 	}()
-	b.call(ctx, http.MethodGet, "/safe/x", "")
+	f.call(ctx, http.MethodGet, "/safe/x", "")
 	<-left
 }
 
-// The process is about to end while a target still works. The caller gets an
-// answer that promises nothing instead of a closed connection.
-func TestEndAnswersWhatIsOpen(t *testing.T) {
-	b := newStage(t)
-	b.route(time.Minute)
+// Guards against a closed connection, instead of a 502, for requests that targets still
+// work on when the process exits.
+func TestAbortAnswersOpenRequests(t *testing.T) {
+	f := newFixture(t)
+	f.route(time.Minute)
 	arrived := make(chan struct{})
-	b.handler("a", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	f.handler("a", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(arrived)
 		<-r.Context().Done()
 	}))
 	go func() {
 		<-arrived
-		b.front.Close()
-		b.front.End()
+		f.front.Close()
+		f.front.Abort()
 	}()
-	res, _ := b.call(t.Context(), http.MethodPost, "/book/x", "")
+	res, _ := f.call(t.Context(), http.MethodPost, "/book/x", "")
 	assert.Equal(t, res.StatusCode, http.StatusBadGateway)
 	assert.Assert(t, res.Close)
 }
 
-// An address was given to another target. That one says so and the request has
-// not run.
-func TestAnotherTargetAtTheAddress(t *testing.T) {
-	b := newStage(t)
-	b.route(5 * time.Second)
-	b.handler("old", &standin.Target{ID: "new"})
-	res, _ := b.call(t.Context(), http.MethodPost, "/book/x", "")
+// The address belongs to another target now, which responds with 421 and its own ID:
+// the request has not run.
+func TestAddressReusedByAnotherTarget(t *testing.T) {
+	f := newFixture(t)
+	f.route(5 * time.Second)
+	f.handler("old", &standin.Target{ID: "new"})
+	res, _ := f.call(t.Context(), http.MethodPost, "/book/x", "")
 	assert.Equal(t, res.StatusCode, http.StatusServiceUnavailable)
 }
 
-// A target has ended, and another one lives at its address; the platform has not
-// said so yet. It answers at once that the request is not for it, so the dead
-// one looked free and, having been fast, the best: every request went there
-// first, until the retries were used up and callers were refused.
-func TestNewcomerAtAnAddressDoesNotDrawRequests(t *testing.T) {
-	for name, id := range map[string]string{"it tells its name": "new", "it does not": ""} {
+// Guards against requests that all go to an address at which another target replaced the
+// expected one, before the platform lists the change. The new target refuses them
+// immediately, so the old one looks idle and, having been fast, the best: every request
+// goes there first, until the retry budget is exhausted and callers are refused.
+func TestReplacedTargetDoesNotAttractRequests(t *testing.T) {
+	for name, id := range map[string]string{"with an ID": "new", "without an ID": ""} {
 		t.Run(name, func(t *testing.T) {
-			b := newStage(t)
-			b.route(5 * time.Second)
-			var dead atomic.Bool
-			arrived := 0
+			f := newFixture(t)
+			f.route(5 * time.Second)
+			var replaced atomic.Bool
+			misdirected := 0
 			fast := &standin.Target{ID: "a"}
-			b.handler("a", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if !dead.Load() {
+			f.handler("a", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				if !replaced.Load() {
 					fast.ServeHTTP(w, r)
 					return
 				}
-				arrived++
+				misdirected++
 				if id != "" {
 					w.Header().Set(platform.AnsweringTarget, id)
 				}
 				w.WriteHeader(http.StatusMisdirectedRequest)
 			}))
 			slow := func(*http.Request) { time.Sleep(20 * time.Millisecond) }
-			b.handler("b", &standin.Target{ID: "b", Run: slow})
-			b.handler("c", &standin.Target{ID: "c", Run: slow})
+			f.handler("b", &standin.Target{ID: "b", OnRun: slow})
+			f.handler("c", &standin.Target{ID: "c", OnRun: slow})
 			for range 30 {
-				res, _ := b.call(t.Context(), http.MethodGet, "/safe/x", "")
+				res, _ := f.call(t.Context(), http.MethodGet, "/safe/x", "")
 				assert.Equal(t, res.StatusCode, http.StatusOK)
 			}
-			dead.Store(true)
+			replaced.Store(true)
 			for range 100 {
-				res, _ := b.call(t.Context(), http.MethodGet, "/safe/x", "")
+				res, _ := f.call(t.Context(), http.MethodGet, "/safe/x", "")
 				assert.Equal(t, res.StatusCode, http.StatusOK)
 			}
-			assert.Assert(t, arrived <= 10, "%d of 100 requests went to the dead target first", arrived)
+			assert.Assert(t, misdirected <= 10, "%d of 100 requests went to the replaced target first", misdirected)
 		})
 	}
 }
 
-// All instances of a zone have just started, and callers are there at once. The
-// configuration and the targets come a moment later: refused until then, each
-// request would come back half a second later, all together.
-func TestRequestsWaitForTheStart(t *testing.T) {
-	b := newStage(t)
+// Guards against refusals right after the start, before the first configuration and the
+// first targets arrive: if all instances of a zone start together, the refused requests
+// are all retried half a second later, at the same moment.
+func TestRequestsWaitForConfigurationAtStartup(t *testing.T) {
+	f := newFixture(t)
 	var group sync.WaitGroup
 	group.Go(func() {
 		time.Sleep(60 * time.Millisecond)
-		b.route(time.Second)
-		b.handler("t1", &standin.Target{ID: "t1"})
+		f.route(time.Second)
+		f.handler("t1", &standin.Target{ID: "t1"})
 	})
-	res, _ := b.call(t.Context(), http.MethodGet, "/safe/x", "")
+	res, _ := f.call(t.Context(), http.MethodGet, "/safe/x", "")
 	group.Wait()
 	assert.Equal(t, res.StatusCode, http.StatusOK)
 }
--- a/gateway/front/pools.go
+++ b/gateway/front/pools.go
@@ -7,53 +7,53 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// idlePerTarget is how many idle connections to a target are kept: a few more
-// than its slots.
-const idlePerTarget = 6
+// maxIdlePerTarget limits the idle connections to a target: a few more than its slots.
+const maxIdlePerTarget = 6
 
-// Pools holds the connections to all targets, by lifetime: another lifetime at
-// the same address is another target.
+// Pools holds a connection pool for each incarnation of a target, since another
+// incarnation at the same address is another target.
 type Pools struct {
+	// Dial opens the connections.
 	Dial pool.DialFunc
 
 	mu    sync.Mutex
 	pools map[roster.Life]*pool.Pool
 }
 
-// To returns the connections to a target.
-func (l *Pools) To(t *roster.Target) *pool.Pool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.pools == nil {
-		l.pools = map[roster.Life]*pool.Pool{}
+// Get returns the target's pool; it creates the pool on first use.
+func (ps *Pools) Get(t *roster.Target) *pool.Pool {
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
+	if ps.pools == nil {
+		ps.pools = map[roster.Life]*pool.Pool{}
 	}
-	p := l.pools[t.Life()]
+	p := ps.pools[t.Life()]
 	if p == nil {
-		p = &pool.Pool{Address: t.Address, Dial: l.Dial, IdleLimit: idlePerTarget}
-		l.pools[t.Life()] = p
+		p = &pool.Pool{Address: t.Address, Dial: ps.Dial, IdleLimit: maxIdlePerTarget}
+		ps.pools[t.Life()] = p
 	}
 	return p
 }
 
-// Drop closes the idle connections to a target.
-func (l *Pools) Drop(t *roster.Target) {
-	l.mu.Lock()
-	p := l.pools[t.Life()]
-	delete(l.pools, t.Life())
-	l.mu.Unlock()
+// Drop closes the target's idle connections and removes its pool.
+func (ps *Pools) Drop(t *roster.Target) {
+	ps.mu.Lock()
+	p := ps.pools[t.Life()]
+	delete(ps.pools, t.Life())
+	ps.mu.Unlock()
 	if p != nil {
 		p.Close()
 	}
 }
 
-// Keep closes the connections to targets that are not in the view.
-func (l *Pools) Keep(v *roster.View) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for life, p := range l.pools {
-		if t := v.Targets[life.ID]; t == nil || t.Born != life.Born {
+// Prune closes the pools of incarnations that are not in the view.
+func (ps *Pools) Prune(v *roster.View) {
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
+	for incarnation, p := range ps.pools {
+		if t := v.Targets[incarnation.ID]; t == nil || t.Born != incarnation.Born {
 			p.Close()
-			delete(l.pools, life)
+			delete(ps.pools, incarnation)
 		}
 	}
 }
--- a/gateway/front/reply.go
+++ b/gateway/front/reply.go
@@ -11,38 +11,41 @@
 	"basilcross.example/gateway/hop"
 )
 
-// The times after which callers are told to come back.
+// The retry delays that callers get in the Retry-After header.
 const (
-	retryConfig = 500 * time.Millisecond
-	retryOwner  = 400 * time.Millisecond
-	retryTarget = 200 * time.Millisecond
+	retryAfterNoConfig = 500 * time.Millisecond
+	retryAfterNoTarget = 400 * time.Millisecond
+	retryAfterFailure  = 200 * time.Millisecond
 )
 
-// refusal is why a request, or an attempt, was not answered.
+// refusal describes why a request, or one attempt, has no response to forward.
 type refusal struct {
 	status int
 	cause  string
-	// mayHaveRun is set unless it is certain that no target ran it or will.
+	// mayHaveRun is set unless it is certain that no target ran the request or will.
 	mayHaveRun bool
-	// arrived is set if a target got it.
-	arrived bool
-	// forOwner waits for the key's owner before the next attempt.
-	forOwner   bool
-	final      bool
-	close      bool
-	retryAfter time.Duration
-	// targetStatus and queued are what the decision was made from.
+	// reachedTarget is set if a target received at least a part of the request.
+	reachedTarget bool
+	// awaitOwner makes the next attempt wait for the key's next owner.
+	awaitOwner bool
+	// final forbids a retry.
+	final           bool
+	closeConnection bool
+	retryAfter      time.Duration
+	// targetStatus and queueLength are logged: the target's status, and the number of
+	// queued requests at a refusal by the scheduler.
 	targetStatus int
-	queued       int
+	queueLength  int
 }
 
-// notRun is a refusal that promises that the request did not run.
-func notRun(cause string, retryAfter time.Duration) *refusal {
+// newNotRun returns a refusal for a request that certainly did not run.
+func newNotRun(cause string, retryAfter time.Duration) *refusal {
 	return &refusal{status: http.StatusServiceUnavailable, cause: cause, retryAfter: retryAfter}
 }
 
-// honest returns the status to answer with: none that promises too much.
-func (r *refusal) honest() int {
+// responseStatus returns the status for the caller. A status that would state that the
+// request did not run is replaced by 502 if it may have run.
+func (r *refusal) responseStatus() int {
 	if !r.mayHaveRun {
 		return r.status
 	}
@@ -53,15 +56,15 @@
 	return r.status
 }
 
-// refuse answers with a status of our own.
-func (f *Front) refuse(w http.ResponseWriter, c *call, r *refusal) {
-	status := r.honest()
+// writeRefusal responds to the caller with a refusal.
+func (f *Front) writeRefusal(w http.ResponseWriter, c *call, r *refusal) {
+	status := r.responseStatus()
 	h := w.Header()
-	if f.closing.Load() || r.close {
+	if f.keepAliveDisabled.Load() || r.closeConnection {
 		h.Set("Connection", "close")
 	}
 	if c.id != "" {
-		h.Set(f.Wire.RequestID, c.id)
+		h.Set(f.Headers.RequestID, c.id)
 	}
 	if status == http.StatusServiceUnavailable {
 		h.Set("Retry-After", strconv.FormatFloat(max(0.05, r.retryAfter.Seconds()), 'f', 2, 64))
@@ -70,67 +73,67 @@
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	// A failed write means that the caller has gone; nobody to tell.
+	// A failed write means that the caller has disconnected.
 	_, _ = io.WriteString(w, body)
 	f.Metrics.refused(c, r, status)
 	f.logRefused(c, r, strconv.Itoa(status))
 }
 
 func (f *Front) logRefused(c *call, r *refusal, outcome string) {
-	route, left := "", int64(0)
+	route, leftMs := "", int64(0)
 	if c.route != nil {
 		route = c.route.Name
-		left = time.Until(c.deadline).Milliseconds()
+		leftMs = time.Until(c.deadline).Milliseconds()
 	}
 	event.RequestRefused.Log(f.Log, "request", c.id, "route", route, "service", c.service, "key", c.key, "outcome", outcome,
-		"cause", r.cause, "mayHaveRun", r.mayHaveRun, "sends", c.sends, "target", c.target, "queued", r.queued,
-		"waitedMs", c.queued.Milliseconds(), "ageMs", time.Since(c.arrived).Milliseconds(), "leftMs", left,
+		"cause", r.cause, "mayHaveRun", r.mayHaveRun, "sends", c.sends, "target", c.lastTarget, "queued", r.queueLength,
+		"waitedMs", c.queueTime.Milliseconds(), "ageMs", time.Since(c.arrived).Milliseconds(), "leftMs", leftMs,
 		"retryAfterMs", r.retryAfter.Milliseconds())
 }
 
-// pass gives the target's answer to the caller.
-func (f *Front) pass(w http.ResponseWriter, c *call, a *answer) {
+// writeResponse forwards the target's response to the caller.
+func (f *Front) writeResponse(w http.ResponseWriter, c *call, response *targetResponse) {
 	h := w.Header()
-	for name, values := range a.response.Header {
+	for name, values := range response.head.Header {
 		h[name] = values
 	}
 	hop.Remove(h)
-	if f.closing.Load() {
+	if f.keepAliveDisabled.Load() {
 		h.Set("Connection", "close")
 	}
 	if len(h["Content-Type"]) == 0 {
-		// Without this the library would guess one.
+		// A nil value keeps net/http from adding a detected Content-Type.
 		h["Content-Type"] = nil
 	}
-	if a.rest == nil {
-		if c.method != http.MethodHead && a.response.StatusCode != http.StatusNoContent && a.response.StatusCode != http.StatusNotModified {
-			h.Set("Content-Length", strconv.Itoa(len(a.body)))
+	if response.rest == nil {
+		if c.method != http.MethodHead && response.head.StatusCode != http.StatusNoContent && response.head.StatusCode != http.StatusNotModified {
+			h.Set("Content-Length", strconv.Itoa(len(response.body)))
 		}
-		w.WriteHeader(a.response.StatusCode)
-		_, _ = w.Write(a.body)
+		w.WriteHeader(response.head.StatusCode)
+		_, _ = w.Write(response.body)
 	} else {
-		f.stream(w, c, a)
+		f.stream(w, c, response)
 	}
-	f.Metrics.answered(c, a.response.StatusCode)
-	event.RequestAnswered.Log(f.Log, "request", c.id, "route", c.route.Name, "service", c.service, "key", c.key, "target", c.target,
-		"status", a.response.StatusCode, "sends", c.sends, "waitedMs", c.queued.Milliseconds(), "tookMs", time.Since(c.arrived).Milliseconds())
+	f.Metrics.answered(c, response.head.StatusCode)
+	event.RequestAnswered.Log(f.Log, "request", c.id, "route", c.route.Name, "service", c.service, "key", c.key, "target", c.lastTarget,
+		"status", response.head.StatusCode, "sends", c.sends, "waitedMs", c.queueTime.Milliseconds(), "tookMs", time.Since(c.arrived).Milliseconds())
 }
 
-// stream passes on a long answer. If it is cut short, the caller's connection
-// is broken off: ended properly, the part would look whole.
-func (f *Front) stream(w http.ResponseWriter, c *call, a *answer) {
-	if n := a.response.ContentLength; n >= 0 {
+// stream forwards a response that is not buffered completely. If it is truncated, the caller's
+// connection is aborted: closed properly, the response would look complete.
+func (f *Front) stream(w http.ResponseWriter, c *call, response *targetResponse) {
+	if n := response.head.ContentLength; n >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
 	}
-	w.WriteHeader(a.response.StatusCode)
-	_, err := w.Write(a.body)
+	w.WriteHeader(response.head.StatusCode)
+	_, err := w.Write(response.body)
 	if err == nil {
-		_, err = io.Copy(w, a.rest)
+		_, err = io.Copy(w, response.rest)
 	}
-	a.finish(err == nil)
+	response.finish(err == nil)
 	if err == nil || errors.Is(err, io.EOF) {
 		return
 	}
-	event.AnswerCut.Log(f.Log, "request", c.id, "target", c.target, "error", err)
+	event.AnswerCut.Log(f.Log, "request", c.id, "target", c.lastTarget, "error", err)
 	panic(http.ErrAbortHandler)
 }
--- a/gateway/instance/duties.go
+++ b/gateway/instance/duties.go
@@ -101,7 +101,7 @@
 	rounds := 0
 	for ctx.Err() == nil {
 		sleep(ctx, reportEvery)
-		reports := r.loads.Take()
+		reports := r.loads.TakeReports()
 		if len(reports) == 0 {
 			reports = []*peers.Report{{}}
 		}
@@ -228,7 +228,7 @@
 func (h *rowCollector) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		sleep(ctx, housekeepEvery)
-		h.pools.Keep(h.state.roster.Load())
+		h.pools.Prune(h.state.roster.Load())
 		h.dispatcher.Forget()
 	}
 	return ctx.Err()
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -129,7 +129,7 @@
 	i.buildMirrors()
 	i.coordinator = coordinator.New(coordinator.Options{
 		Self: i.peers.Self, Store: i.store,
-		Channels: &channel.Set{Dial: targetDialer.DialContext}, Releases: &platform.Grants{HTTP: newClient(targetDialer)},
+		Channels: &channel.Set{Dial: targetDialer.DialContext}, Releases: &platform.GrantClient{HTTP: newClient(targetDialer)},
 		Refresh: i.replicator.refresh,
 		Joined:  i.replicator.joined.Load,
 		Leads:   i.leads, Took: i.takeNews, Missed: i.assignments.Again,
@@ -142,11 +142,11 @@
 	})
 	i.pools = &front.Pools{Dial: targetDialer.DialContext}
 	i.front = front.New(front.Options{
-		Wire: platform.Wire(), Broker: i.broker, Roster: i.state.roster, Pools: i.pools, Table: i.state.table.Load,
-		Owners: i.state.owners, Moved: i.state.movedSince, Loads: i.loads, Metrics: front.NewMetrics(i.registry), Log: log,
-		Retries: func() front.Retries {
+		Headers: platform.HeaderNames(), Broker: i.broker, Roster: i.state.roster, Pools: i.pools, Table: i.state.table.Load,
+		CurrentAssignment: i.state.owners, OwnerChangedSince: i.state.movedSince, Loads: i.loads, Metrics: front.NewMetrics(i.registry), Log: log,
+		RetryLimits: func() front.RetryLimits {
 			now := i.tunable.Load()
-			return front.Retries{Ratio: now.RetryRatio, Slack: now.RetrySlack, Members: i.countMembers()}
+			return front.RetryLimits{Ratio: now.RetryRatio, Slack: now.RetrySlack, Instances: i.countMembers()}
 		},
 	})
 	i.registerMetrics(i.registry)
@@ -322,7 +322,7 @@
 	timer := time.NewTimer(outOfRotation - time.Since(began))
 	defer timer.Stop()
 	<-timer.C
-	giveUp := time.AfterFunc(i.settings.StopTimeout-giveUpMargin-time.Since(began), i.front.End)
+	giveUp := time.AfterFunc(i.settings.StopTimeout-giveUpMargin-time.Since(began), i.front.Abort)
 	defer giveUp.Stop()
 	var group errgroup.Group
 	for _, s := range servers {
--- a/gateway/instance/reader_test.go
+++ b/gateway/instance/reader_test.go
@@ -53,15 +53,15 @@
 	one.awaitReady(t)
 	f.answered(one, "/lists/x", 5, "l1")
 	eventually(t, func() bool { return f.store.Row(coordinator.InstanceTable, "one").Revision > 0 })
-	op, targets := f.store.Reads(platform.OperatorTable), f.store.Reads(platform.TargetTable)
+	op, targets := f.store.RangeCount(platform.OperatorTable), f.store.RangeCount(platform.TargetTable)
 	for _, name := range []string{"two", "three", "four"} {
 		r, _ := f.startBehind(name, 0.1)
 		r.awaitReady(t)
 		f.answered(r, "/menus/x", 0, "m1")
 		f.answered(r, "/lists/x", 5, "l1")
 	}
-	assert.Equal(t, f.store.Reads(platform.OperatorTable), op)
-	assert.Equal(t, f.store.Reads(platform.TargetTable), targets)
+	assert.Equal(t, f.store.RangeCount(platform.OperatorTable), op)
+	assert.Equal(t, f.store.RangeCount(platform.TargetTable), targets)
 }
 
 // Guards against a zone that does not hear of a configuration since the store
