--- a/gateway/checksettings.go
+++ b/gateway/checksettings.go
@@ -7,9 +7,10 @@
 	"github.com/spf13/pflag"
 )
 
-const usageCheckSettings = `Read the settings as serve would, and print what is in force or every fault.
+const usageCheckSettings = `Read the settings as serve does, and print the values in force or all errors.
 
-Nothing is started and nobody is called. The exit status is 1 if there is a fault.
+Nothing is started and no connection is opened. The exit status is 1 if a setting
+is invalid.
 
 Examples:
   basilcross-gateway check-settings --settings /etc/basilcross/settings.conf
--- a/gateway/checksettings_test.go
+++ b/gateway/checksettings_test.go
@@ -9,7 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// runCheckSettings runs the command and returns what it prints.
+// runCheckSettings runs the command with a settings file of the lines, and returns its
+// output.
 func runCheckSettings(t *testing.T, lines string, args ...string) (string, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "settings.conf")
@@ -22,6 +23,7 @@
 	return out.String(), err
 }
 
+// Guards against settings that are printed with other values than serve would use.
 func TestCheckSettingsPrintsSettingsInForce(t *testing.T) {
 	out, err := runCheckSettings(t, "BASILCROSS_ZONE=graz\nBASILCROSS_CORES=0.32\nBASILCROSS_SEEDS=10.0.0.1:1,10.0.0.2:1\nUNKNOWN=7\n", "--region=ost")
 	assert.NilError(t, err)
@@ -30,6 +32,7 @@
 	}
 }
 
+// Guards against a report of the first error only.
 func TestCheckSettingsReportsEveryError(t *testing.T) {
 	_, err := runCheckSettings(t, "BASILCROSS_STORE=nowhere\nBASILCROSS_CORES=-1\n", "--retry-ratio=3")
 	for _, field := range []string{"--store", "--cores", "--retry-ratio"} {
--- a/gateway/main.go
+++ b/gateway/main.go
@@ -1,4 +1,4 @@
-// Command basilcross-gateway is the daemon that stands between callers and
+// Command basilcross-gateway is the reverse proxy that routes callers' requests to
 // targets.
 package main
 
@@ -18,10 +18,10 @@
 const usageRun = `Start a gateway.
 
 Every flag can also be set by an environment variable: --callers-listen is
-BASILCROSS_CALLERS_LISTEN. Flags go before the environment.
+BASILCROSS_CALLERS_LISTEN. Flags take precedence over the environment.
 
-Without --platform the gateway keeps its table in memory, which is good for a
-trial with one instance only.
+Without --platform the gateway keeps its table in memory, which suits trials with
+a single instance only.
 
 Examples:
   basilcross-gateway --target menus/t1=127.0.0.1:9001
@@ -71,7 +71,7 @@
 
 func logger(s settings.Settings) *slog.Logger {
 	var level slog.Level
-	// Validate has checked the level's name.
+	// Validate has already checked the level's name.
 	_ = level.UnmarshalText([]byte(s.LogLevel))
 	options := &slog.HandlerOptions{Level: level}
 	if s.LogFormat == "text" {
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -20,9 +20,9 @@
 
 const usageServe = `Start a gateway on the users' platform.
 
-Settings come from flags, from environment variables (--callers-listen is
+Settings are read from flags, from environment variables (--callers-listen is
 BASILCROSS_CALLERS_LISTEN), and from a file with lines NAME=value of the same
-names, in this order.
+names, in this order of precedence.
 
 Examples:
   basilcross-gateway serve --settings /etc/basilcross/settings.conf
@@ -30,10 +30,11 @@
       --callers-listen 10.0.1.1:8080 --ready-listen 10.0.1.1:8083`
 
 const (
-	// gcPercent is the growth of the heap in percent at which it is collected.
+	// gcPercent is the heap growth, in percent, that starts a garbage collection.
 	gcPercent = 200
-	// memoryLimitShare of the instance's memory is where the collector works harder: the
-	// rest is for what is not on the heap, and for data that come at once.
+	// memoryLimitShare is the runtime's soft memory limit as a share of the instance's
+	// memory; close to it, the garbage collector runs more often. The rest is reserved
+	// for memory outside the heap and for bursts of data.
 	memoryLimitShare = 0.55
 )
 
@@ -57,33 +58,36 @@
 	return c
 }
 
-// bindSettings adds the flags of all settings, and of the file with further ones.
+// bindSettings adds the flags of all settings, and that of the settings file, whose value
+// it returns.
 func bindSettings(c *cobra.Command) (file *string) {
 	s := instance.Defaults()
 	s.Bind(c.Flags())
 	return c.Flags().String("settings", os.Getenv(instance.EnvPrefix+"SETTINGS"), "file with further settings")
 }
 
-// readSettings reads all settings anew; flags given stay as they are.
+// readSettings reads all settings from their sources; given are the command's flags, of
+// which those set on the command line take precedence.
 func readSettings(given *pflag.FlagSet, file string) (instance.Settings, error) {
 	s := instance.Defaults()
 	flags := pflag.NewFlagSet("settings", pflag.ContinueOnError)
 	s.Bind(flags)
-	var faults []error
+	var errs []error
 	given.Visit(func(f *pflag.Flag) {
 		if flags.Lookup(f.Name) != nil {
-			// Lists print with brackets and are set without.
-			faults = append(faults, flags.Set(f.Name, strings.Trim(f.Value.String(), "[]")))
+			// The value of a list is printed with brackets and set without.
+			errs = append(errs, flags.Set(f.Name, strings.Trim(f.Value.String(), "[]")))
 		}
 	})
-	faults = append(faults, instance.Load(flags, file, os.LookupEnv))
-	if err := errors.Join(faults...); err != nil {
+	errs = append(errs, instance.Load(flags, file, os.LookupEnv))
+	if err := errors.Join(errs...); err != nil {
 		return s, err
 	}
 	return s, s.Validate()
 }
 
-// instanceMemory returns the bytes of memory that an instance has; 0 if nothing tells.
+// instanceMemory returns the memory of the instance in bytes: the setting, or else the
+// machine's total. It is 0 if neither is available.
 func instanceMemory(s instance.Settings) int64 {
 	if s.MemoryMB > 0 {
 		return int64(s.MemoryMB) << 20
@@ -106,12 +110,13 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	// The reloader takes this signal; until it runs, it must not end the process.
-	early := make(chan os.Signal, 1)
-	signal.Notify(early, syscall.SIGHUP)
-	defer signal.Stop(early)
+	// SIGHUP is handled by the reloader. Before that has started, the signal must not
+	// terminate the process.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
 	var level slog.Level
-	// Validate has checked the level's name.
+	// Validate has already checked the level's name.
 	_ = level.UnmarshalText([]byte(s.LogLevel))
 	sink := logsink.New(os.Stdout)
 	lines := slog.NewJSONHandler(sink, &slog.HandlerOptions{Level: level})
--- a/gateway/serve_test.go
+++ b/gateway/serve_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a limit for the heap that is made for another class of machines:
-// those of 184 MB would be killed before the collector works harder.
-func TestInstanceMemoryIsDetected(t *testing.T) {
+// Guards against a heap limit computed from the machine's memory instead of the setting:
+// instances with 184 MB would be killed before the garbage collector runs more often.
+func TestConfiguredMemoryTakesPrecedence(t *testing.T) {
 	assert.Equal(t, instanceMemory(instance.Settings{MemoryMB: 184}), int64(184<<20))
-	assert.Assert(t, instanceMemory(instance.Settings{}) > 0, "the machine tells its own")
+	assert.Assert(t, instanceMemory(instance.Settings{}) > 0, "without the setting, the machine's memory")
 }
