--- a/ctl/command/fleetowner.go
+++ b/ctl/command/fleetowner.go
@@ -35,7 +35,7 @@
 		Use: "owner KEY", Short: "Show the owner of a key", Long: usageFleetOwner, Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			key, err := strconv.Atoi(args[0])
-			if err != nil || key < 0 || key >= ownership.Keys {
+			if err != nil || key < 0 || key >= ownership.KeyCount {
 				return &ExitError{Code: ExitUsage, Cause: errors.New("KEY " + args[0] + ": want a number from 0 to 65535")}
 			}
 			a, revision, err := f.assignment(c.Context(), service)
@@ -47,7 +47,7 @@
 			if err != nil {
 				return err
 			}
-			if at := view.Addresses[o.Piece.Address]; at != nil {
+			if at := view.ByAddress[o.Piece.Address]; at != nil {
 				resident := newFleetTarget(at, view)
 				o.Resident = &resident
 			}
@@ -74,7 +74,7 @@
 	switch {
 	case r == nil:
 		return o.Piece.Address + " has nobody who is named"
-	case r.ID != o.Piece.Owner || r.Born != o.Piece.Born:
+	case r.ID != o.Piece.Owner || r.Born != o.Piece.Started:
 		return fmt.Sprintf("%s has %s of service %s, started %s: not the owner on record", o.Piece.Address, r.ID, r.Service, started(r.Born))
 	default:
 		return fmt.Sprintf("%s has it, started %s", o.Piece.Address, started(r.Born))
--- a/ctl/command/fleettargets.go
+++ b/ctl/command/fleettargets.go
@@ -56,8 +56,8 @@
 }
 
 func newFleetTarget(t *roster.Target, view *roster.View) fleetTarget {
-	f := fleetTarget{ID: t.ID, Service: t.Service, Zone: t.Zone, Address: t.Address, Slots: t.Slots, Born: t.Born, Draining: t.Draining}
-	if at := view.Addresses[t.Address]; at.Born > t.Born {
+	f := fleetTarget{ID: t.ID, Service: t.Service, Zone: t.Zone, Address: t.Address, Slots: t.Slots, Born: t.Started, Draining: t.Draining}
+	if at := view.ByAddress[t.Address]; at.Started > t.Started {
 		f.ReplacedBy = at.ID
 	}
 	return f
--- a/gateway/admin/admin.go
+++ b/gateway/admin/admin.go
@@ -35,14 +35,14 @@
 	Zone     string
 	View     *view.View
 	Table    table.Client
-	Leader   *leader.Duty
+	Leader   *leader.Leader
 	Ready    func() bool
 	// Planning tells whether this instance is the planner.
 	Planning func(now time.Time) bool
 	Registry *prometheus.Registry
 	Log      *slog.Logger
 	Pprof    bool
-	Gate     operator.Gate
+	Gate     operator.Authorizer
 }
 
 // Handler serves the admin address.
@@ -68,11 +68,11 @@
 	guarded.HandleFunc("POST /v1/config/check", h.check)
 	guarded.HandleFunc("POST /v1/config", h.accept)
 	guarded.HandleFunc("GET /v1/audit", h.audit)
-	h.mux.Handle("/v1/", h.Gate.Guard(guarded))
+	h.mux.Handle("/v1/", h.Gate.Wrap(guarded))
 	if o.Pprof {
 		guarded.HandleFunc("GET /debug/pprof/", pprof.Index)
 		guarded.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
-		h.mux.Handle("/debug/", h.Gate.Guard(guarded))
+		h.mux.Handle("/debug/", h.Gate.Wrap(guarded))
 	}
 	return h
 }
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -69,10 +69,10 @@
 	log      *slog.Logger
 	view     *view.View
 	lanes    *lane.Set
-	leader   *leader.Duty
-	planner  *planner.Duty
-	follower *follower.Duty
-	renewer  *renewer.Duty
+	leader   *leader.Leader
+	planner  *planner.Planner
+	follower *follower.Follower
+	renewer  *renewer.Renewer
 	front    http.Handler
 	admin    http.Handler
 	control  http.Handler
@@ -93,9 +93,9 @@
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	d.lanes = &lane.Set{Dial: dialer.DialContext}
-	cell := &authority.Cell{}
-	sum := &heat.Sum{}
-	d.keys = &keys.Files{Certificate: s.TLSCert, Key: s.TLSKey, Authority: s.TLSAuthority}
+	cell := &authority.Authority{}
+	sum := &heat.Collector{}
+	d.keys = &keys.Files{Certificate: s.TLSCertFile, Key: s.TLSKeyFile, Authority: s.TLSAuthorityFile}
 	if err := d.keys.Check(); err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 	d.admin = admin.New(admin.Options{
 		Instance: s.Instance, Zone: s.Zone, View: d.view, Table: d.table, Leader: d.leader,
 		Ready: d.Ready, Planning: d.planner.Planning, Registry: registry, Log: log, Pprof: s.Pprof,
-		Gate: operator.Gate{ReadFile: s.ReadToken, ChangeFile: s.ChangeToken},
+		Gate: operator.Authorizer{ReadFile: s.ReadTokenFile, ChangeFile: s.ChangeTokenFile},
 	})
 	mux := http.NewServeMux()
 	mux.Handle(control.ZonePathPrefix, control.NewZoneServer(d.leader))
@@ -117,38 +117,38 @@
 	return d, nil
 }
 
-func (d *Daemon) buildDuties(b *backend, outside *http.Client, peers *peer.Caller, cell *authority.Cell, sum *heat.Sum) {
+func (d *Daemon) buildDuties(b *backend, outside *http.Client, peers *peer.Caller, cell *authority.Authority, sum *heat.Collector) {
 	s := d.settings
 	incarnation := rand.Text()
 	d.renewer = renewer.New(renewer.Options{
 		Instance: s.Instance, View: d.view, Authority: cell,
 		Caller: &renewer.HTTPCaller{Client: outside}, Log: d.log,
 	})
-	d.follower = &follower.Duty{
-		Instance: s.Instance, Incarnation: incarnation, Address: s.Address(), Zone: s.Zone, Peers: s.Peers,
-		View: d.view, Authority: cell, Renewer: d.renewer, Loads: sum, Calls: peers, Log: d.log,
-		Hint: func(now time.Time, term, renewals uint64, left time.Duration) {
+	d.follower = &follower.Follower{
+		Instance: s.Instance, Incarnation: incarnation, Address: s.AdvertisedAddress(), Zone: s.Zone, PeerAddresses: s.Peers,
+		View: d.view, Authority: cell, Renewer: d.renewer, Loads: sum, Caller: peers, Log: d.log,
+		OnRenewal: func(now time.Time, term, renewals uint64, left time.Duration) {
 			d.leader.Hint(now, term, renewals, left)
 		},
 	}
 	second := &relay.Client{
-		Direct: b.table, Calls: peers, Log: d.log,
+		Direct: b.table, Caller: peers, Log: d.log,
 		Peers: func() []string { return d.leader.OtherLeaders() },
 	}
-	evictions := &evictor.Evictor{Instance: s.Instance, Table: second, Peers: peers, Token: rand.Text, Log: d.log}
+	evictions := &evictor.Evictor{Instance: s.Instance, Table: second, Peers: peers, NewToken: rand.Text, Log: d.log}
 	d.table = second
 	d.planner = planner.New(planner.Options{
-		Instance: s.Instance, Incarnation: incarnation, Address: s.Address(),
-		Table: second, Objects: b.objects, View: d.view, Peers: peers, Log: d.log, Token: rand.Text,
-		Evictor:   evictions,
-		Instances: b.instances,
-		Leading:   func(now time.Time) bool { return d.leader.Leading(now) },
-		Unheard:   func() bool { return d.leader.PlannerSilent() },
+		Instance: s.Instance, Incarnation: incarnation, Address: s.AdvertisedAddress(),
+		Table: second, Objects: b.objects, View: d.view, Peers: peers, Log: d.log, NewToken: rand.Text,
+		Evictor:             evictions,
+		Instances:           b.instances,
+		Leading:             func(now time.Time) bool { return d.leader.Leading(now) },
+		PlannerUnresponsive: func() bool { return d.leader.PlannerUnresponsive() },
 	})
 	d.leader = leader.New(leader.Options{
-		Instance: s.Instance, Incarnation: incarnation, Address: s.Address(), Zone: s.Zone,
+		Instance: s.Instance, Incarnation: incarnation, Address: s.AdvertisedAddress(), Zone: s.Zone,
 		Table: second, Direct: b.table, Evictor: evictions, Objects: b.objects, View: d.view, Follower: d.follower, Authority: cell,
-		Planner: d.planner, Peers: peers, Log: d.log, Token: rand.Text,
+		Planner: d.planner, Peers: peers, Log: d.log, NewToken: rand.Text,
 	})
 }
 
@@ -187,11 +187,11 @@
 }
 
 func newBackend(s settings.Settings, client *http.Client, log *slog.Logger) (*backend, error) {
-	if s.Platform != "" {
-		c := &platform.Client{Base: s.Platform, HTTP: client}
+	if s.PlatformURL != "" {
+		c := &platform.Client{Base: s.PlatformURL, HTTP: client}
 		return &backend{table: c, objects: c, instances: c.Instances}, nil
 	}
-	listed, err := s.ListedTargets()
+	listed, err := s.ParseTargets()
 	if err != nil {
 		return nil, err
 	}
@@ -251,7 +251,7 @@
 	root.Add(d.leader)
 	root.Add(&leader.Extender{Leader: d.leader})
 	root.Add(&leader.Reporter{Leader: d.leader})
-	root.Add(&leader.Beater{Leader: d.leader})
+	root.Add(&leader.HeartbeatSender{Leader: d.leader})
 	root.Add(d.planner)
 	root.Add(d.follower)
 	root.Add(d.renewer)
@@ -358,7 +358,7 @@
 					known[id] = true
 				}
 			}
-			h.lanes.Keep(known)
+			h.lanes.Retain(known)
 		}
 	}
 }
--- a/gateway/entry/attempt.go
+++ b/gateway/entry/attempt.go
@@ -56,8 +56,8 @@
 }
 
 func queueFailure(err error) *failed {
-	var full *slot.FullError
-	var late *slot.LateError
+	var full *slot.QueueFullError
+	var late *slot.WaitTooLongError
 	if errors.As(err, &full) || errors.As(err, &late) {
 		e := refusal.New(refusal.QueueFull, "too many requests wait for the target")
 		e.RetryAfter = time.Second
@@ -87,7 +87,7 @@
 		// waits until all have.
 		return nil, waitForOwner(refusal.OwnerMoving, "the key is moving to another target")
 	}
-	return &route{lane: f.Lanes.To(target), target: target, epoch: sh.Epoch, seen: s}, nil
+	return &route{lane: f.Lanes.Get(target), target: target, epoch: sh.Epoch, seen: s}, nil
 }
 
 func waitForOwner(cause refusal.Cause, detail string) *failed {
@@ -129,7 +129,7 @@
 		_ = res.Body.Close()
 		cancel()
 		if whole {
-			r.lane.Succeeded()
+			r.lane.RecordSuccess()
 			release(slot.Answered)
 			return
 		}
@@ -192,8 +192,8 @@
 	out.done(err == nil)
 	if err != nil {
 		event.AnswerCut.Log(f.Log, "target", r.target.ID, "error", err)
-		r.lane.Failed(time.Now())
-		return &failed{refusal: refusal.Doubt(refusal.AnswerCut, "the target's answer ended early"), wait: c.ifRepeatable()}
+		r.lane.RecordFailure(time.Now())
+		return &failed{refusal: refusal.NewUnknown(refusal.AnswerCut, "the target's answer ended early"), wait: c.ifRepeatable()}
 	}
 	out.body, out.buffered = body, true
 	return out
@@ -211,7 +211,7 @@
 	release(slot.Failed)
 	var pe *pool.Error
 	if !errors.As(err, &pe) {
-		return &failed{refusal: refusal.Doubt(refusal.TargetSilent, err.Error())}
+		return &failed{refusal: refusal.NewUnknown(refusal.TargetSilent, err.Error())}
 	}
 	if errors.Is(err, errNoAuthority) {
 		return waitForOwner(refusal.NoAuthority, errNoAuthority.Error())
@@ -228,9 +228,9 @@
 	case !pe.Wrote:
 		return &failed{refusal: refusal.New(refusal.ConnectFailed, "the connection broke before anything was sent"), wait: c.ifRepeatable()}
 	case isDeadline(pe.Cause):
-		return &failed{refusal: refusal.Doubt(refusal.TargetSilent, "the target gave no answer in time"), wait: c.ifRepeatable()}
+		return &failed{refusal: refusal.NewUnknown(refusal.TargetSilent, "the target gave no answer in time"), wait: c.ifRepeatable()}
 	default:
-		return &failed{refusal: refusal.Doubt(refusal.AnswerCut, "the connection broke before the answer"), wait: c.ifRepeatable()}
+		return &failed{refusal: refusal.NewUnknown(refusal.AnswerCut, "the connection broke before the answer"), wait: c.ifRepeatable()}
 	}
 }
 
@@ -249,7 +249,7 @@
 		event.TargetSilent.Log(f.Log, "target", r.target.ID)
 		r.lane.Pool.Suspect(now)
 	}
-	if r.lane.Failed(now) {
+	if r.lane.RecordFailure(now) {
 		event.TargetEjected.Log(f.Log, "target", r.target.ID)
 	}
 }
--- a/gateway/entry/choose.go
+++ b/gateway/entry/choose.go
@@ -40,7 +40,7 @@
 }
 
 func (f *Front) routeTo(s *view.Snapshot, t *assignment.Target) *route {
-	return &route{lane: f.Lanes.To(t), target: t, seen: s}
+	return &route{lane: f.Lanes.Get(t), target: t, seen: s}
 }
 
 // tiers groups targets by nearness.
@@ -86,7 +86,7 @@
 	start := rand.IntN(len(tier))
 	for i := range tier {
 		t := tier[(start+i)%len(tier)]
-		if l := f.Lanes.To(t); !l.Ejected(now) {
+		if l := f.Lanes.Get(t); !l.Ejected(now) {
 			return t, l
 		}
 	}
--- a/gateway/entry/entry.go
+++ b/gateway/entry/entry.go
@@ -23,9 +23,9 @@
 	Zone      string
 	Region    string
 	View      *view.View
-	Authority *authority.Cell
+	Authority *authority.Authority
 	Lanes     *lane.Set
-	Heat      *heat.Sum
+	Heat      *heat.Collector
 	Metrics   *Metrics
 	Log       *slog.Logger
 }
@@ -104,7 +104,7 @@
 		out := f.attempt(ctx, c)
 		last, isFailed := out.(*failed)
 		if !isFailed {
-			f.budget(c.service).Earn()
+			f.budget(c.service).Deposit()
 			return out
 		}
 		doubt = doubt || last.refusal.Outcome == refusal.Unknown
@@ -140,7 +140,7 @@
 		}
 	case atOnce:
 	}
-	return attempt < *c.kind.Rules.Retries && f.budget(c.service).Take()
+	return attempt < *c.kind.Rules.Retries && f.budget(c.service).TryWithdraw()
 }
 
 // awaitOwner waits for a newer assignment than the one that misled.
--- a/gateway/entry/entry_test.go
+++ b/gateway/entry/entry_test.go
@@ -32,7 +32,7 @@
 type bench struct {
 	t    testing.TB
 	view view.View
-	cell authority.Cell
+	cell authority.Authority
 	url  string
 }
 
@@ -40,7 +40,7 @@
 	t.Helper()
 	b := &bench{t: t, view: view.View{Zone: "graz"}}
 	front := entry.New(entry.Options{
-		Zone: "graz", Region: "ost", View: &b.view, Authority: &b.cell, Lanes: &lane.Set{}, Heat: &heat.Sum{},
+		Zone: "graz", Region: "ost", View: &b.view, Authority: &b.cell, Lanes: &lane.Set{}, Heat: &heat.Collector{},
 		Metrics: entry.NewMetrics(prometheus.NewRegistry()), Log: slog.New(slog.DiscardHandler),
 	})
 	s := httptest.NewServer(front)
--- a/gateway/front/attempt.go
+++ b/gateway/front/attempt.go
@@ -79,7 +79,7 @@
 	}
 	p := a.Find(c.key)
 	t := f.Roster.Load().Targets[p.Owner]
-	if p.Owner == "" || t == nil || t.Draining && time.Since(t.Left) > drainingOwnerTTL {
+	if p.Owner == "" || t == nil || t.Draining && time.Since(t.LeavingSince) > drainingOwnerTTL {
 		return "", &refusal{status: http.StatusServiceUnavailable, cause: "noOwner", retryAfter: retryAfterNoTarget, awaitOwner: true}
 	}
 	return p.Owner, nil
--- a/gateway/front/budget_test.go
+++ b/gateway/front/budget_test.go
@@ -55,8 +55,8 @@
 		for range int(rate*load/ticksPerSecond + random.Float64()) {
 			tickRequests++
 			budget := fronts[random.IntN(instances)].budget("s")
-			budget.Earn()
-			for attempts := 0; attempts < 3 && random.Float64() < failing && budget.Take(); attempts++ {
+			budget.Deposit()
+			for attempts := 0; attempts < 3 && random.Float64() < failing && budget.TryWithdraw(); attempts++ {
 				tickRetries++
 			}
 		}
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -22,7 +22,7 @@
 // Options configure a Front. All fields must be set.
 type Options struct {
 	// Headers are the platform's names of the headers.
-	Headers routing.Wire
+	Headers routing.HeaderNames
 	// Broker reserves slots at targets.
 	Broker *broker.Broker
 	Roster *roster.Roster
@@ -157,7 +157,7 @@
 // allowed. In the latter case it returns a target's failure response, if there was one.
 func (f *Front) sendWithRetries(ctx context.Context, c *call) (*targetResponse, *refusal) {
 	budget := f.budget(c.service)
-	budget.Earn()
+	budget.Deposit()
 	if c.sharded {
 		f.Loads.Add(c.service, c.key, f.latency(c.route.Name))
 	}
@@ -196,7 +196,7 @@
 		// retry budget.
 		return true
 	}
-	if !budget.Take() {
+	if !budget.TryWithdraw() {
 		return false
 	}
 	f.Metrics.retries.WithLabelValues(c.service).Inc()
--- a/gateway/front/front_test.go
+++ b/gateway/front/front_test.go
@@ -76,7 +76,7 @@
 
 // target adds a target to the roster.
 func (f *fixture) target(id, address string) {
-	f.targets = append(f.targets, &roster.Target{ID: id, Born: 1, Service: "s", Zone: "z", Slots: 3, Address: address})
+	f.targets = append(f.targets, &roster.Target{ID: id, Started: 1, Service: "s", Zone: "z", Slots: 3, Address: address})
 	f.roster.Replace(time.Now(), f.targets, 1)
 }
 
--- a/gateway/front/owner_test.go
+++ b/gateway/front/owner_test.go
@@ -50,9 +50,9 @@
 func (f *shardedFixture) assign(first, second string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	half := ownership.Keys / 2
+	half := ownership.KeyCount / 2
 	f.assignment = &ownership.Assignment{Service: "s", Pieces: []ownership.Piece{
-		{First: 0, Last: half - 1, Owner: first}, {First: half, Last: ownership.Keys - 1, Owner: second},
+		{First: 0, Last: half - 1, Owner: first}, {First: half, Last: ownership.KeyCount - 1, Owner: second},
 	}}
 	close(f.newer)
 	f.newer = make(chan struct{})
@@ -123,7 +123,7 @@
 	}))
 	t.Cleanup(server.Close)
 	f.roster.Replace(time.Now(), []*roster.Target{{
-		ID: "a", Born: 1, Service: "s", Zone: "z", Slots: 3, Address: strings.TrimPrefix(server.URL, "http://"),
+		ID: "a", Started: 1, Service: "s", Zone: "z", Slots: 3, Address: strings.TrimPrefix(server.URL, "http://"),
 	}}, 1)
 	f.assign("a", "a")
 	assert.Equal(t, f.get(t, 5), http.StatusOK)
--- a/gateway/front/pools.go
+++ b/gateway/front/pools.go
@@ -17,7 +17,7 @@
 	Dial pool.DialFunc
 
 	mu    sync.Mutex
-	pools map[roster.Life]*pool.Pool
+	pools map[roster.Incarnation]*pool.Pool
 }
 
 // Get returns the target's pool; it creates the pool on first use.
@@ -25,12 +25,12 @@
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	if ps.pools == nil {
-		ps.pools = map[roster.Life]*pool.Pool{}
+		ps.pools = map[roster.Incarnation]*pool.Pool{}
 	}
-	p := ps.pools[t.Life()]
+	p := ps.pools[t.Incarnation()]
 	if p == nil {
 		p = &pool.Pool{Address: t.Address, Dial: ps.Dial, IdleLimit: maxIdlePerTarget}
-		ps.pools[t.Life()] = p
+		ps.pools[t.Incarnation()] = p
 	}
 	return p
 }
@@ -38,8 +38,8 @@
 // Drop closes the target's idle connections and removes its pool.
 func (ps *Pools) Drop(t *roster.Target) {
 	ps.mu.Lock()
-	p := ps.pools[t.Life()]
-	delete(ps.pools, t.Life())
+	p := ps.pools[t.Incarnation()]
+	delete(ps.pools, t.Incarnation())
 	ps.mu.Unlock()
 	if p != nil {
 		p.Close()
@@ -51,7 +51,7 @@
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	for incarnation, p := range ps.pools {
-		if t := v.Targets[incarnation.ID]; t == nil || t.Born != incarnation.Born {
+		if t := v.Targets[incarnation.ID]; t == nil || t.Started != incarnation.Started {
 			p.Close()
 			delete(ps.pools, incarnation)
 		}
