--- a/gateway/front/attempt.go
+++ b/gateway/front/attempt.go
@@ -16,24 +16,26 @@
 )
 
 const (
-	// drainingOwnerTTL is how long the owner of keys is used after it said that it is
-	// leaving, while its keys go to others. The users allow 2 s.
+	// drainingOwnerTTL is how long a key's owner still gets requests after it reported
+	// that it is draining, while its keys move to other targets. The users allow 2 s.
 	drainingOwnerTTL = 700 * time.Millisecond
-	// bufferLimit is the answer held in memory, so that one cut short is found
-	// out before the caller has seen a byte of it.
+	// bufferLimit is the size up to which a response body is buffered, so that a
+	// truncated response is detected before any of it is sent to the caller.
 	bufferLimit = 256 << 10
 )
 
-// targetResponse is a target's own.
+// targetResponse is a target's response to a request.
 type targetResponse struct {
 	head *http.Response
+	// body is the body's first bytes, at most bufferLimit.
 	body []byte
-	// rest is what comes after body, for long answers.
-	rest   io.Reader
-	finish func(whole bool)
+	// rest reads the remainder of a body of bufferLimit bytes or more; nil for others.
+	rest io.Reader
+	// finish closes the body and releases the slot; it is set if rest is.
+	finish func(complete bool)
 }
 
-// attempt sends the request once.
+// attempt reserves a slot at a target and sends the request to it once.
 func (f *Front) attempt(ctx context.Context, c *call) (*targetResponse, *refusal) {
 	request := schedule.Request{Service: c.service, Kind: c.kind(), Excluded: c.excluded, Priority: c.route.Priority}
 	request.Objective = c.arrived.Add(c.route.Objective)
@@ -45,15 +47,15 @@
 		}
 		request.Target = owner
 	}
-	began := time.Now()
+	start := time.Now()
 	reservation, err := f.Broker.Acquire(ctx, request)
-	c.queueTime += time.Since(began)
+	c.queueTime += time.Since(start)
 	if err != nil {
 		return nil, f.reservationRefused(c, err)
 	}
 	if c.sharded && c.lastRunTarget == reservation.Target.ID && f.OwnerChangedSince(c.service, c.key, c.lastRunAt) {
-		// A second run there would look like one with the first, and the key like one
-		// that was given on while it was worked on.
+		// The key had another owner since the first run. Two runs at the same target
+		// would look like one run, during which the key changed its owner.
 		reservation.Release(schedule.Abandoned)
 		return nil, &refusal{status: http.StatusBadGateway, cause: "ranBefore", mayHaveRun: true, final: true}
 	}
@@ -62,13 +64,13 @@
 	return f.send(ctx, c, reservation)
 }
 
-// recordRun notes that a target may have run the request.
+// recordRun records that the target may have run the request.
 func (c *call) recordRun(target string) {
 	c.runs++
 	c.lastRunTarget, c.lastRunAt = target, time.Now()
 }
 
-// owner returns the target that has the request's key.
+// owner returns the ID of the target that owns the request's key.
 func (f *Front) owner(c *call) (string, *refusal) {
 	a, newer := f.CurrentAssignment(c.service)
 	c.assignmentChanged = newer
@@ -83,6 +85,7 @@
 	return p.Owner, nil
 }
 
+// reservationRefused converts an error of the broker into a refusal.
 func (f *Front) reservationRefused(c *call, err error) *refusal {
 	var busy *schedule.BusyError
 	var none *schedule.NoTargetError
@@ -104,10 +107,10 @@
 	}
 }
 
-// send writes the request to the target and reads the answer.
+// send sends the request to the reserved target and reads the response.
 func (f *Front) send(ctx context.Context, c *call, reservation *broker.Reservation) (*targetResponse, *refusal) {
 	t := reservation.Target
-	began := time.Now()
+	start := time.Now()
 	connections := f.Pools.Get(t)
 	req := &pool.Request{
 		Method: c.method, Target: c.uri, Host: c.host, Header: c.header,
@@ -130,14 +133,15 @@
 	if err != nil {
 		return nil, f.sendFailed(ctx, c, reservation, err)
 	}
-	a, failed := f.readResponse(ctx, c, reservation, res)
-	if a != nil {
-		f.recordLatency(c.route.Name, time.Since(began))
+	response, failed := f.readResponse(ctx, c, reservation, res)
+	if response != nil {
+		f.recordLatency(c.route.Name, time.Since(start))
 	}
-	return a, failed
+	return response, failed
 }
 
-// sendFailed says what a request without an answer proves.
+// sendFailed returns the refusal for a request without a response: the target may
+// have run it if any of it was written.
 func (f *Front) sendFailed(ctx context.Context, c *call, reservation *broker.Reservation, err error) *refusal {
 	var pe *pool.Error
 	wrote := !errors.As(err, &pe) || pe.Wrote
@@ -164,6 +168,7 @@
 	return r
 }
 
+// exclude keeps further attempts away from the target.
 func (f *Front) exclude(c *call, id string) {
 	if c.excluded == nil {
 		c.excluded = map[string]bool{}
@@ -171,16 +176,17 @@
 	c.excluded[id] = true
 }
 
-// readResponse takes the answer's body and tells whether it is one to pass on.
+// readResponse reads the response's body. It returns a refusal if the response must
+// not be forwarded to the caller.
 func (f *Front) readResponse(ctx context.Context, c *call, reservation *broker.Reservation, res *http.Response) (*targetResponse, *refusal) {
 	if res.Header.Get(f.Headers.NotRun) != "" || res.StatusCode == http.StatusMisdirectedRequest {
 		return nil, f.notExecuted(c, reservation, res)
 	}
 	body, err := io.ReadAll(io.LimitReader(res.Body, bufferLimit))
 	if err == nil && int64(len(body)) == bufferLimit {
-		return &targetResponse{head: res, body: body, rest: res.Body, finish: func(whole bool) {
+		return &targetResponse{head: res, body: body, rest: res.Body, finish: func(complete bool) {
 			_ = res.Body.Close()
-			reservation.Release(resultOf(whole))
+			reservation.Release(resultOf(complete))
 		}}, nil
 	}
 	_ = res.Body.Close()
@@ -195,11 +201,11 @@
 		f.logAttempt(c, r, err)
 		return nil, r
 	}
-	a := &targetResponse{head: res, body: body}
+	response := &targetResponse{head: res, body: body}
 	refused := f.checkResponse(res)
 	if refused == nil && f.mayRetryFailure(c, res) {
 		refused = newTargetFailed(res)
-		c.failure = a
+		c.failure = response
 	}
 	if refused != nil {
 		reservation.Release(schedule.Failed)
@@ -208,18 +214,19 @@
 		return nil, refused
 	}
 	reservation.Release(schedule.Answered)
-	return a, nil
+	return response, nil
 }
 
-func resultOf(whole bool) schedule.Result {
-	if whole {
+func resultOf(complete bool) schedule.Result {
+	if complete {
 		return schedule.Answered
 	}
 	return schedule.Failed
 }
 
-// checkResponse tells of answers that are never passed on: successes without the
-// target's signature, and statuses that promise more than is known.
+// checkResponse returns a refusal for responses that are never forwarded: successes
+// without the target's signature, and statuses that falsely state that the request
+// was not executed.
 func (f *Front) checkResponse(res *http.Response) *refusal {
 	signed := res.Header.Get(f.Headers.Signature) != ""
 	switch {
@@ -227,27 +234,28 @@
 		return &refusal{status: http.StatusBadGateway, cause: "unsigned", mayHaveRun: true, reachedTarget: true}
 	case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests ||
 		res.StatusCode == http.StatusRequestTimeout:
-		// Only the target's explicit word says that it did not run; without it
-		// this status would promise more than is known.
+		// Only the not-executed header proves that the request did not run. Without
+		// it, the caller would wrongly conclude that from this status.
 		return newTargetFailed(res)
 	}
 	return nil
 }
 
-// mayRetryFailure tells of failures of repeatable requests that another target may
-// answer better.
+// mayRetryFailure reports whether a target's failure response to an idempotent
+// request may be replaced by another target's response before the deadline.
 func (f *Front) mayRetryFailure(c *call, res *http.Response) bool {
 	return res.StatusCode >= http.StatusInternalServerError && c.route.Idempotent && c.runs < c.route.MaxAttempts &&
 		time.Until(c.deadline) > f.latency(c.route.Name)
 }
 
+// newTargetFailed returns the refusal for a failure response of a target.
 func newTargetFailed(res *http.Response) *refusal {
 	return &refusal{
 		status: http.StatusBadGateway, cause: "targetFailed", mayHaveRun: true, reachedTarget: true, targetStatus: res.StatusCode,
 	}
 }
 
-// notExecuted handles a target's own word that the request did not run.
+// notExecuted handles a response that states that the request was not executed.
 func (f *Front) notExecuted(c *call, reservation *broker.Reservation, res *http.Response) *refusal {
 	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, bufferLimit))
 	_ = res.Body.Close()
@@ -260,8 +268,9 @@
 		result := schedule.Abandoned
 		id := res.Header.Get(f.Headers.AnsweringTarget)
 		if other := id != "" && id != reservation.Target.ID; other || !c.sharded {
-			// Another one lives at the address. Since it answers at once, the one
-			// meant would look free and draw all requests until its entry goes.
+			// Another target runs at the address. It refuses immediately, so the
+			// expected target would look idle and attract all requests until its
+			// entry is removed.
 			r.cause, result = "otherTarget", schedule.Failed
 			f.Pools.Drop(reservation.Target)
 		}
--- a/gateway/front/call.go
+++ b/gateway/front/call.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// responseMargin is kept for the answer's way back to the caller, so that it
-	// arrives before the caller stops waiting.
+	// responseMargin is subtracted from the caller's timeout, so that the response
+	// reaches the caller before it expires.
 	responseMargin = 12 * time.Millisecond
-	// defaultTimeout is for callers that do not say how long they wait.
+	// defaultTimeout applies to requests without a timeout in their header.
 	defaultTimeout = 30 * time.Second
-	// defaultBodyLimit bounds bodies where the configuration does not.
+	// defaultBodyLimit limits request bodies if the configuration sets no limit.
 	defaultBodyLimit = 64 << 20
 )
 
-// call is one caller's request.
+// call is a caller's request and the state of its attempts.
 type call struct {
 	id      string
 	method  string
@@ -37,42 +37,49 @@
 	service string
 	sharded bool
 	key     int
+	// arrived is when the request's headers were read.
 	arrived time.Time
-	// deadline is when the answer must be on its way to the caller.
+	// deadline is when the response must be sent to the caller.
 	deadline time.Time
 
-	// runs counts targets that may have run it, sends all it was sent to.
+	// runs counts the attempts that a target may have run, sends all attempts.
 	runs  int
 	sends int
-	// lastRunTarget is the target that may have run it last, and ranAt when that was known.
-	lastRunTarget     string
-	lastRunAt         time.Time
-	mayHaveRun        bool
-	excluded          map[string]bool
+	// lastRunTarget is the target that may have run the request last, lastRunAt when
+	// that became known.
+	lastRunTarget string
+	lastRunAt     time.Time
+	// mayHaveRun is set once any target may have run the request.
+	mayHaveRun bool
+	// excluded has the IDs of the targets that no further attempt is sent to.
+	excluded map[string]bool
+	// assignmentChanged is closed when the service has a newer assignment.
 	assignmentChanged <-chan struct{}
 	ownerAttempts     int
 	lastTarget        string
-	queueTime         time.Duration
-	// failure is a target's own, passed on unless a later attempt is answered.
+	// queueTime is the time spent waiting for slots, over all attempts.
+	queueTime time.Duration
+	// failure is a target's failure response, forwarded if no later attempt succeeds.
 	failure *targetResponse
 }
 
-// kind numbers the requests of the call's route: their work is alike.
+// kind returns the number of the call's route: requests of a route take similar work.
 func (c *call) kind() uint32 { return uint32(xxhash.Sum64String(c.route.Name)) }
 
 const (
-	// startupWait is how long after its start an instance lets requests wait for
-	// the configuration and the targets: what instances that start together
-	// refuse until then comes back together.
+	// startupWait is how long after its start an instance delays requests until it
+	// has the configuration and the targets. Requests that instances starting
+	// together refuse would all be retried at the same moment.
 	startupWait = 900 * time.Millisecond
-	// startupPollInterval is how often they are looked for.
+	// startupPollInterval is how often the delayed requests check for them.
 	startupPollInterval = 10 * time.Millisecond
 )
 
-// awaitStartup waits for the first configuration and the first targets.
+// awaitStartup waits for the first configuration and the first targets, at most
+// until startupWait after the start.
 func (f *Front) awaitStartup(ctx context.Context) {
-	for until := f.started.Add(startupWait); f.Table() == nil || len(f.Roster.Load().Targets) == 0; {
-		if time.Now().After(until) {
+	for waitUntil := f.started.Add(startupWait); f.Table() == nil || len(f.Roster.Load().Targets) == 0; {
+		if time.Now().After(waitUntil) {
 			return
 		}
 		timer := time.NewTimer(startupPollInterval)
@@ -85,7 +92,8 @@
 	}
 }
 
-// readCall reads what there is to know of a request before it is sent anywhere.
+// readCall reads a request, its body included, and finds its route, service, key and
+// deadline. It returns a refusal if the request can't be sent to any target.
 func (f *Front) readCall(w http.ResponseWriter, r *http.Request) (*call, *refusal) {
 	c := &call{
 		id: r.Header.Get(f.Headers.RequestID), method: r.Method, uri: r.RequestURI, host: r.Host, arrived: time.Now(),
@@ -110,6 +118,7 @@
 	return c, c.readBody(w, r, table.Config.Limits)
 }
 
+// classify sets the call's service, key, deadline and the headers for the target.
 func (f *Front) classify(c *call, table *routing.Table, r *http.Request) *refusal {
 	c.service = f.splitter.Next(c.route)
 	if s := table.Service(c.service); s != nil && s.Sharded {
@@ -120,18 +129,18 @@
 		}
 		c.key = key
 	}
-	wait := defaultTimeout
+	timeout := defaultTimeout
 	if text := r.Header.Get(f.Headers.TimeLeft); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 32)
 		if err != nil || ms <= 0 {
 			return &refusal{status: http.StatusBadRequest, cause: "badTimeLeft", final: true}
 		}
-		wait = time.Duration(ms)*time.Millisecond - responseMargin
+		timeout = time.Duration(ms)*time.Millisecond - responseMargin
 	}
 	if c.route.Timeout > 0 {
-		wait = min(wait, c.route.Timeout)
+		timeout = min(timeout, c.route.Timeout)
 	}
-	c.deadline = c.arrived.Add(wait)
+	c.deadline = c.arrived.Add(timeout)
 	c.header = r.Header.Clone()
 	hop.Remove(c.header)
 	for _, name := range []string{"Expect", "Content-Length", f.Headers.TimeLeft, f.Headers.ExpectedTarget} {
@@ -140,6 +149,7 @@
 	return nil
 }
 
+// readBody reads the body up to the limit, and until the call's deadline.
 func (c *call) readBody(w http.ResponseWriter, r *http.Request, limits routing.Limits) *refusal {
 	if limits.HeaderBytes > 0 && headerSize(r) > limits.HeaderBytes {
 		return &refusal{status: http.StatusRequestHeaderFieldsTooLarge, cause: "headerTooLarge", final: true}
@@ -168,6 +178,7 @@
 	return &refusal{status: http.StatusRequestTimeout, cause: "bodyNotRead", final: true, closeConnection: true}
 }
 
+// headerSize returns the approximate size of the request line and headers on the wire.
 func headerSize(r *http.Request) int64 {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + 20
 	for name, values := range r.Header {
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -1,6 +1,7 @@
-// Package front serves callers in the platform's dialect: it finds the route
-// and the target of each request, sends it there, and passes on the target's
-// whole answer or an honest refusal.
+// Package front is the reverse proxy that serves callers: it finds the route and
+// the target of each request, sends it there, and forwards the target's complete
+// response, or a refusal that never states that a request did not run unless that
+// is certain.
 package front
 
 import (
@@ -18,37 +19,40 @@
 	"basilcross.example/gateway/broker"
 )
 
-// Options are what a Front needs; all must be set.
+// Options configure a Front. All fields must be set.
 type Options struct {
+	// Headers are the platform's names of the headers.
 	Headers routing.HeaderNames
-	Broker  *broker.Broker
-	Roster  *roster.Roster
-	Pools   *Pools
-	// Table returns the routes in force, or nil.
+	// Broker reserves slots at targets.
+	Broker *broker.Broker
+	Roster *roster.Roster
+	Pools  *Pools
+	// Table returns the routing table in force; nil before the first configuration.
 	Table func() *routing.Table
-	// CurrentAssignment returns a service's assignment, or nil, and a channel that is
-	// closed when there is a newer one.
+	// CurrentAssignment returns a service's assignment, nil if there is none, and a
+	// channel that is closed when there is a newer assignment.
 	CurrentAssignment func(service string) (*ownership.Assignment, <-chan struct{})
-	// OwnerChangedSince tells whether a key got another owner after a time.
+	// OwnerChangedSince reports whether a key's owner changed after a time.
 	OwnerChangedSince func(service string, key int, since time.Time) bool
-	// Loads is told of each key's work.
+	// Loads records the work on each key.
 	Loads *Loads
-	// RetryLimits limits repetitions over all instances.
+	// RetryLimits returns the limits of retries in force.
 	RetryLimits func() RetryLimits
 	Metrics     *Metrics
 	Log         *slog.Logger
 }
 
-// RetryLimits is how many repetitions all instances may send together.
+// RetryLimits limit the retries that all instances together may send.
 type RetryLimits struct {
-	// Ratio of the requests, and Slack on top of it in each window.
+	// Ratio is the allowed share of retries to requests.
 	Ratio float64
+	// Slack is the number of retries allowed in each window on top of Ratio.
 	Slack float64
-	// Instances is how many instances share the slack.
+	// Instances is the number of instances that share Slack.
 	Instances int
 }
 
-// Front is the handler of callers' requests. Create it with New.
+// Front is the HTTP handler of callers' requests. Create it with New.
 type Front struct {
 	Options
 
@@ -59,21 +63,22 @@
 	abort             context.CancelFunc
 	mu                sync.Mutex
 	budgets           map[string]*retry.Budget
-	latencies         map[string]time.Duration
+	// latencies are the smoothed response times by route.
+	latencies map[string]time.Duration
 }
 
-// New returns a handler.
-func New(o Options) *Front {
-	f := &Front{Options: o, started: time.Now(), budgets: map[string]*retry.Budget{}, latencies: map[string]time.Duration{}}
+// New returns a Front with the options.
+func New(options Options) *Front {
+	f := &Front{Options: options, started: time.Now(), budgets: map[string]*retry.Budget{}, latencies: map[string]time.Duration{}}
 	f.abortContext, f.abort = context.WithCancel(context.Background())
 	return f
 }
 
-// Abort gives up every request that is still without an answer: the process is
-// about to end, and an answer that says so is better than a closed connection.
+// Abort cancels every request without a response and answers it with a refusal. It is
+// called shortly before the process exits: a refusal is better than a closed connection.
 func (f *Front) Abort() { f.abort() }
 
-// Close makes every answer the last one of its connection.
+// Close makes every further response close its connection.
 func (f *Front) Close() { f.keepAliveDisabled.Store(true) }
 
 // ServeHTTP serves a caller's request.
@@ -82,12 +87,12 @@
 	if refused == nil {
 		ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 		defer cancel()
-		stop := context.AfterFunc(f.abortContext, cancel) //nolint:contextcheck // the process's end, not the request's
+		stop := context.AfterFunc(f.abortContext, cancel) //nolint:contextcheck // canceled at the process's exit, not by the request
 		defer stop()
-		var a *targetResponse
-		a, refused = f.sendWithRetries(ctx, c)
-		if a != nil {
-			f.writeResponse(w, c, a)
+		var response *targetResponse
+		response, refused = f.sendWithRetries(ctx, c)
+		if response != nil {
+			f.writeResponse(w, c, response)
 			return
 		}
 	}
@@ -99,7 +104,8 @@
 	f.writeRefusal(w, c, refused)
 }
 
-// budget returns the retry budget of a service, with this instance's share.
+// budget returns the retry budget of a service, set to this instance's share of the
+// limits in force.
 func (f *Front) budget(service string) *retry.Budget {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -108,44 +114,47 @@
 		b = &retry.Budget{}
 		f.budgets[service] = b
 	}
-	r := f.RetryLimits()
-	b.Set(r.Ratio*retryBudgetShare, max(1, r.Slack*retryBudgetShare/float64(max(1, r.Instances))))
+	limits := f.RetryLimits()
+	b.Set(limits.Ratio*retryBudgetShare, max(1, limits.Slack*retryBudgetShare/float64(max(1, limits.Instances))))
 	return b
 }
 
 const (
-	// initialLatency is taken for a route that was not used yet.
+	// initialLatency is the estimate for a route without responses yet.
 	initialLatency = 200 * time.Millisecond
-	// latencySmoothing is the weight of the newest answer, as a divisor.
+	// latencySmoothing is the divisor of the newest response time's weight in the
+	// moving average.
 	latencySmoothing = 16
 )
 
-// latency returns the usual time of an answer to a route's requests. Those of one
-// service may differ many times in work.
+// latency returns the average response time of a route. It is kept by route, since the
+// work of requests to one service may differ by a large factor.
 func (f *Front) latency(route string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if usual := f.latencies[route]; usual > 0 {
-		return usual
+	if average := f.latencies[route]; average > 0 {
+		return average
 	}
 	return initialLatency
 }
 
+// recordLatency updates the average response time of a route.
 func (f *Front) recordLatency(route string, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	usual := f.latencies[route]
-	if usual == 0 {
-		usual = initialLatency
+	average := f.latencies[route]
+	if average == 0 {
+		average = initialLatency
 	}
-	f.latencies[route] = usual + (took-usual)/latencySmoothing
+	f.latencies[route] = average + (took-average)/latencySmoothing
 }
 
-// retryBudgetShare is the part of the fleet's limit that is spent: members come and
-// go, and two windows of requests are not alike.
+// retryBudgetShare is the share of the limits that the instances use. The margin covers
+// changes of the number of instances, and of the request rate from window to window.
 const retryBudgetShare = 0.75
 
-// sendWithRetries sends the request until it is answered or given up.
+// sendWithRetries sends the request until there is a response to forward or no retry is
+// allowed. In the latter case it returns a target's failure response, if there was one.
 func (f *Front) sendWithRetries(ctx context.Context, c *call) (*targetResponse, *refusal) {
 	budget := f.budget(c.service)
 	budget.Deposit()
@@ -153,9 +162,9 @@
 		f.Loads.Add(c.service, c.key, f.latency(c.route.Name))
 	}
 	for {
-		a, failed := f.attempt(ctx, c)
-		if a != nil {
-			return a, nil
+		response, failed := f.attempt(ctx, c)
+		if response != nil {
+			return response, nil
 		}
 		c.mayHaveRun = c.mayHaveRun || failed.mayHaveRun
 		if c.mayHaveRun {
@@ -167,8 +176,8 @@
 	}
 }
 
-// prepareRetry decides whether a failed request is sent once more, and waits until
-// that is worth while.
+// prepareRetry reports whether a failed request may be retried. If its key's owner has
+// to change first, it waits for that.
 func (f *Front) prepareRetry(ctx context.Context, c *call, failed *refusal, budget *retry.Budget) bool {
 	if failed.final || failed.mayHaveRun && !c.route.Idempotent {
 		return false
@@ -183,7 +192,8 @@
 		c.excluded = nil
 	}
 	if !failed.reachedTarget {
-		// A request that never left costs the targets nothing.
+		// A request that no target received costs the targets nothing, so it needs no
+		// retry budget.
 		return true
 	}
 	if !budget.TryWithdraw() {
@@ -194,32 +204,36 @@
 }
 
 const (
-	// maxSends bounds the tries that did not run, such as refused connections.
+	// maxSends limits all attempts, those that did not run included, such as refused
+	// connections.
 	maxSends = 8
-	// ownerWaitShare of the objective is how long a request waits for its key's
-	// next owner, at most ownerWait: then its caller is told to come back.
+	// ownerWaitShare is the share of the route's objective for which a request waits
+	// for its key's next owner, at most maxOwnerWait. Then it is refused, and its
+	// caller may retry.
 	ownerWaitShare = 0.7
 	maxOwnerWait   = 1200 * time.Millisecond
-	// grantRetryDelay is the first wait before the same owner is asked again: its grant
-	// may be on its way. After that it is more likely to have given the key back, and
-	// each try takes from the budget: the next waits are ownerPause, doubled each time.
+	// grantRetryDelay is the delay before the first retry at the same owner, whose
+	// grant may not have arrived yet. After that, the owner has more probably released
+	// the key, and each retry is taken from the budget: the further delays start at
+	// ownerRetryDelay and double each time.
 	grantRetryDelay = 30 * time.Millisecond
 	ownerRetryDelay = 240 * time.Millisecond
 )
 
-// awaitOwner waits until the key has another owner, or a little for the present one.
+// awaitOwner waits until the key has another owner, or until the next retry at the
+// current owner is due. It reports whether the request may be sent again.
 func (f *Front) awaitOwner(ctx context.Context, c *call) bool {
-	until := c.arrived.Add(min(maxOwnerWait, time.Duration(float64(c.route.Objective)*ownerWaitShare)))
-	pause := grantRetryDelay
+	waitUntil := c.arrived.Add(min(maxOwnerWait, time.Duration(float64(c.route.Objective)*ownerWaitShare)))
+	delay := grantRetryDelay
 	if c.ownerAttempts > 0 {
-		pause = ownerRetryDelay << min(c.ownerAttempts-1, 4)
+		delay = ownerRetryDelay << min(c.ownerAttempts-1, 4)
 	}
-	pause = min(pause, time.Until(until))
+	delay = min(delay, time.Until(waitUntil))
 	c.ownerAttempts++
-	if pause <= 0 {
+	if delay <= 0 {
 		return false
 	}
-	timer := time.NewTimer(pause)
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	for {
 		select {
@@ -235,8 +249,8 @@
 	}
 }
 
-// ownerChanged tells whether the key has another owner than the target that the
-// request was last sent to.
+// ownerChanged reports whether the key's owner differs from the target that the request
+// was last sent to.
 func (f *Front) ownerChanged(c *call) bool {
 	a, newer := f.CurrentAssignment(c.service)
 	c.assignmentChanged = newer
--- a/gateway/front/loads.go
+++ b/gateway/front/loads.go
@@ -7,7 +7,7 @@
 	"basilcross.example/gateway/peers"
 )
 
-// Loads sums up the work on keys between two reports.
+// Loads sums the work on each key between two reports.
 type Loads struct {
 	mu   sync.Mutex
 	keys map[serviceKey]time.Duration
@@ -18,7 +18,7 @@
 	key     int
 }
 
-// Add notes work on a key.
+// Add records work on a key.
 func (l *Loads) Add(service string, key int, work time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -28,10 +28,11 @@
 	l.keys[serviceKey{service, key}] += work
 }
 
-// maxKeysPerReport bounds the keys in one report, to fit into a datagram.
+// maxKeysPerReport limits the keys in one report, so that it fits into a datagram.
 const maxKeysPerReport = 24
 
-// TakeReports returns what was noted since the last call, in reports.
+// TakeReports removes the work recorded since the last call and returns it in reports of
+// at most maxKeysPerReport keys.
 func (l *Loads) TakeReports() []*peers.Report {
 	l.mu.Lock()
 	keys := l.keys
--- a/gateway/front/metrics.go
+++ b/gateway/front/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics counts requests.
+// Metrics are the metrics of callers' requests.
 type Metrics struct {
 	requests   *prometheus.CounterVec
 	durations  *prometheus.HistogramVec
@@ -15,7 +15,7 @@
 	retries    *prometheus.CounterVec
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics creates the metrics and registers them.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/gateway/front/metrics_test.go
+++ b/gateway/front/metrics_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Every metric of the package stands in docs/METRICS.md.
+// Guards against a metric of the package that docs/METRICS.md doesn't describe.
 func TestMetricsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/METRICS.md")
 	assert.NilError(t, err)
@@ -22,7 +22,7 @@
 	}
 }
 
-// metricNames registers nothing and notes what is registered.
+// metricNames is a prometheus.Registerer that only records the metrics' names.
 type metricNames struct{ found []string }
 
 func (n *metricNames) Register(c prometheus.Collector) error {
