--- a/gateway/follower/follower.go
+++ b/gateway/follower/follower.go
@@ -281,7 +281,7 @@
 func (f *Follower) setConfig(doc *config.Document) error {
 	if err := f.View.SetConfig(doc); err != nil {
 		var stale *view.StaleError
-		if errors.As(err, &stale) && stale.Offer == stale.InForce {
+		if errors.As(err, &stale) && stale.Offered == stale.InForce {
 			return nil
 		}
 		return err
--- a/gateway/leader/heads.go
+++ b/gateway/leader/heads.go
@@ -72,7 +72,7 @@
 
 // applyZoneSeat records a zone's seat as last read.
 func (l *Leader) applyZoneSeat(now time.Time, row table.Row) {
-	name, ok := seat.NameOf(row.Key)
+	name, ok := seat.NameFromRowKey(row.Key)
 	if !ok || name == planner.SeatName {
 		return
 	}
@@ -92,8 +92,8 @@
 	r, _ := l.seat.Record()
 	switch {
 	case after && l.zoneState == nil:
-		l.zoneState = &zone.Leader{Zone: l.Zone, UnknownUntil: l.seat.UnknownUntil()}
-		l.ledger = &promise.Ledger{ConfirmFrom: time.Now().Add(lease.Wait(seat.Hold))}
+		l.zoneState = &zone.Leader{Zone: l.Zone, PriorLeasesEnd: l.seat.PriorLeasesEnd()}
+		l.ledger = &promise.Ledger{ConfirmFrom: time.Now().Add(lease.Wait(seat.LeaseDuration))}
 		l.ready = false
 		event.SeatGained.Log(l.Log, "seat", l.Zone, "term", r.Term)
 	case before && !after:
@@ -107,16 +107,16 @@
 	if row.Key == config.HeadKey {
 		return l.applyConfig(ctx, row)
 	}
-	service, ok := deltalog.ServiceOf(row.Key)
+	service, ok := deltalog.ServiceFromHeadKey(row.Key)
 	if !ok {
 		return nil
 	}
 	deltaLog, ok := l.deltaLogs[service]
 	if !ok {
-		deltaLog = &deltalog.Log{Service: service, Table: l.Table, Objects: l.Objects, Damaged: l.logDamagedSnapshot}
+		deltaLog = &deltalog.Log{Service: service, Table: l.Table, Objects: l.Objects, OnDamagedSnapshot: l.logDamagedSnapshot}
 		l.deltaLogs[service] = deltaLog
 	}
-	if row.Version <= deltaLog.HeadVersion() {
+	if row.Version <= deltaLog.HeadRowVersion() {
 		return nil
 	}
 	callCtx, cancel := context.WithTimeout(ctx, tableTimeout)
@@ -175,8 +175,8 @@
 // applyAssignments passes the assignments in force to the zone's state.
 func (l *Leader) applyAssignments() {
 	for name, s := range l.View.Load().Services {
-		l.zoneState.Assign(s.Assignment)
-		l.zoneState.Forget(name, oldestRelevantVersion(s))
+		l.zoneState.ApplyAssignment(s.Assignment)
+		l.zoneState.DropDrains(name, oldestRelevantVersion(s))
 	}
 }
 
@@ -185,7 +185,7 @@
 	oldest := s.Assignment.Version
 	for _, sh := range s.Assignment.Shards {
 		if sh.MovingTo != "" {
-			oldest = min(oldest, sh.Since)
+			oldest = min(oldest, sh.OwnerSince)
 		}
 	}
 	return oldest
--- a/gateway/leader/heartbeat.go
+++ b/gateway/leader/heartbeat.go
@@ -66,8 +66,8 @@
 	}
 	record, _ := l.seat.Record()
 	beat := &control.BeatRequest{
-		Zone: l.Zone, Term: record.Term, Renewals: l.seat.Tried(),
-		TableLeftUs: uint32(lease.New(sent, seat.Hold).Left(time.Now()).Microseconds()),
+		Zone: l.Zone, Term: record.Term, Renewals: l.seat.RenewalNumber(),
+		TableLeftUs: uint32(lease.New(sent, seat.LeaseDuration).Left(time.Now()).Microseconds()),
 	}
 	select {
 	case l.heartbeats <- beat:
--- a/gateway/leader/leader.go
+++ b/gateway/leader/leader.go
@@ -239,7 +239,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.seat.Committed(time.Now(), tx.Token, res.Revision)
+	l.seat.ConfirmRenewal(time.Now(), tx.Token, res.Revision)
 	l.broadcast()
 	return true
 }
@@ -289,7 +289,7 @@
 	case free:
 		l.claim(ctx, (*seat.Seat).Claim)
 	case l.advanceEviction(ctx):
-		l.claim(ctx, (*seat.Seat).Take)
+		l.claim(ctx, (*seat.Seat).ClaimAfterEviction)
 	}
 }
 
@@ -308,7 +308,7 @@
 // it is complete. Candidates of lower rank begin later.
 func (l *Leader) advanceEviction(ctx context.Context) bool {
 	l.mu.Lock()
-	unchanged := l.seat.Silence(time.Now())
+	unchanged := l.seat.UnchangedFor(time.Now())
 	mayBegin := unchanged > evictor.SuspectAfter+l.rank()*rankDelay
 	seats := l.otherSeats()
 	l.mu.Unlock()
@@ -360,7 +360,7 @@
 func (l *Leader) Hint(now time.Time, term, renewals uint64, left time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.seat.Hint(now, term, renewals, left)
+	l.seat.AddHint(now, term, renewals, left)
 }
 
 // broadcast wakes all polls that wait for a change. It is called with the lock held.
--- a/gateway/leader/poll.go
+++ b/gateway/leader/poll.go
@@ -59,7 +59,7 @@
 		return false
 	}
 	before := l.zoneState.Version()
-	l.zoneState.Poll(now, l.decodeReport(req))
+	l.zoneState.ApplyReport(now, l.decodeReport(req))
 	l.loads.add(req.GetLoads(), req.GetHot())
 	if l.zoneState.Version() != before {
 		l.broadcast()
@@ -160,7 +160,7 @@
 func (l *Leader) buildResponse(now time.Time, req *control.PollRequest) *control.PollResponse {
 	record, _ := l.seat.Record()
 	left := l.seat.Authority().Left(now)
-	l.zoneState.Grant(now, req.GetInstance(), left)
+	l.zoneState.RecordAuthority(now, req.GetInstance(), left)
 	res := &control.PollResponse{
 		Leading:     true,
 		Term:        record.Term,
@@ -189,7 +189,7 @@
 
 // tableLeft returns the authority left from the table, in microseconds.
 func (l *Leader) tableLeft(now time.Time) uint32 {
-	return uint32(lease.New(l.seat.Renewed(), seat.Hold).Left(now).Microseconds())
+	return uint32(lease.New(l.seat.RenewedAt(), seat.LeaseDuration).Left(now).Microseconds())
 }
 
 // missingUpdates returns the configuration and the deltas that the instance lacks.
@@ -201,7 +201,7 @@
 		updates = append(updates, l.encodeUpdate(view.ConfigName, 0, s.Config.Version, s.Config))
 	}
 	for name := range s.Services {
-		for _, delta := range l.View.Since(name, has[name]) {
+		for _, delta := range l.View.DeltasSince(name, has[name]) {
 			updates = append(updates, l.encodeUpdate(name, delta.From, delta.To, delta))
 		}
 	}
--- a/gateway/leader/report.go
+++ b/gateway/leader/report.go
@@ -102,7 +102,7 @@
 		})
 	}
 	for name := range l.View.Load().Versions() {
-		req.Reached = append(req.Reached, &control.Known{Name: name, Version: l.zoneState.Reached(now, name)})
+		req.Reached = append(req.Reached, &control.Known{Name: name, Version: l.zoneState.ReachedVersion(now, name)})
 	}
 	sortKnown(req.Reached)
 	return req
--- a/gateway/planner/decide.go
+++ b/gateway/planner/decide.go
@@ -64,12 +64,12 @@
 	for name, z := range p.zoneSeats {
 		r, _ := z.Record()
 		p.applyHints(name, z)
-		suspect := z.Hinted() || z.Silence(time.Now()) >= evictor.SuspectAfter
+		suspect := z.HasHint() || z.UnchangedFor(time.Now()) >= evictor.SuspectAfter
 		if r.Holder == "" || !suspect || p.leaderAlive(name) {
 			continue
 		}
 		complete := p.Evictor.Step(ctx, &unused, z, p.otherSeats(name))
-		if complete && time.Since(z.TableEnd()) > zoneEvictionDelay {
+		if complete && time.Since(z.TableLeaseEnd()) > zoneEvictionDelay {
 			lost[name] = true
 		}
 	}
@@ -107,22 +107,22 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	in := plan.Input{
-		Divided:  service.Divided,
-		Shards:   service.InitialShards(),
-		Complete: true,
-		Draining: map[string]bool{},
-		Evicted:  evicted,
-		Led:      map[string]bool{},
-		Settled:  now.Sub(p.planningSince) > startupDelay,
-		Loads:    p.loads.ratesOf(service.Name, now),
-		Window:   loadWindow.Seconds(),
-		Hot:      p.hot.top(service.Name),
+		Sharded:       service.Sharded,
+		InitialShards: service.InitialShards(),
+		ListComplete:  true,
+		Draining:      map[string]bool{},
+		EvictedZones:  evicted,
+		LedZones:      map[string]bool{},
+		StartupDone:   now.Sub(p.planningSince) > startupDelay,
+		Loads:         p.loads.ratesOf(service.Name, now),
+		LoadWindow:    loadWindow.Seconds(),
+		HotKeys:       p.hot.top(service.Name),
 	}
 	for _, i := range p.instances {
 		if i.Role != platform.TargetRole || i.Service != service.Name {
 			continue
 		}
-		in.Listed = append(in.Listed, plan.Listing{Target: listedTarget(i), Leaving: i.Leaving})
+		in.Listed = append(in.Listed, plan.ListedTarget{Target: listedTarget(i), Leaving: i.Leaving})
 		rules := doc.Resolve(config.Scope{Service: i.Service, Zone: i.Zone, Target: i.ID}, now)
 		in.Draining[i.ID] = *rules.Drain
 	}
@@ -131,13 +131,13 @@
 		if now.Sub(r.receivedAt) > maxReportAge || evicted[name] {
 			continue
 		}
-		in.Led[name] = true
+		in.LedZones[name] = true
 		in.Released = append(in.Released, decodeReleases(r.req.GetReleased())...)
 		in.Returned = append(in.Returned, decodeReleases(r.req.GetReturned())...)
 		in.Drained = append(in.Drained, decodeDrains(r.req.GetDrained())...)
 		reached = min(reached, knownVersion(r.req.GetReached(), service.Name))
 	}
-	in.Quiet = p.quietVersionOf(now, service.Name, p.reachedByAllZones(in.Led, reached), doc)
+	in.QuietVersion = p.quietVersionOf(now, service.Name, p.reachedByAllZones(in.LedZones, reached), doc)
 	return in
 }
 
@@ -211,7 +211,7 @@
 
 func (b *batch) add(ctx context.Context, decision plan.Decision, evicted map[string]bool) error {
 	service := decision.Next.Service
-	tx, err := b.planner.deltaLog(service).Append(ctx, decision.Next, b.tx.Token)
+	tx, err := b.planner.deltaLog(service).PrepareAppend(ctx, decision.Next, b.tx.Token)
 	if err != nil {
 		return err
 	}
@@ -274,8 +274,8 @@
 	p := b.planner
 	callCtx, cancel := context.WithTimeout(ctx, 2*tableTimeout)
 	defer cancel()
-	if err := p.chain.Add(&b.tx, audit.Record{
-		At: time.Now(), Who: p.Instance, What: "assignment", Why: strings.Join(b.causes, "; "),
+	if err := p.chain.PrepareAppend(&b.tx, audit.Record{
+		At: time.Now(), Actor: p.Instance, Subject: "assignment", Reason: strings.Join(b.causes, "; "),
 	}); err != nil {
 		p.Log.Error("add audit record of assignment", "error", err)
 		return
@@ -292,10 +292,10 @@
 		p.applyHeads(ctx, res)
 		return
 	}
-	p.chain.Accept(res.Revision)
+	p.chain.ConfirmAppend(res.Revision)
 	b.applySplitsAndMerges()
 	for _, service := range b.services {
-		delta := p.deltaLog(service).Accept(res.Revision)
+		delta := p.deltaLog(service).ConfirmAppend(res.Revision)
 		if err := p.View.ApplyDelta(delta); err != nil {
 			p.Log.Debug("apply own assignment delta", "error", err)
 		}
--- a/gateway/planner/load.go
+++ b/gateway/planner/load.go
@@ -63,8 +63,8 @@
 // merge adds a shard's load to that of the shard it was merged into.
 func (l *loadAverage) merge(service string, m plan.Merge) {
 	if rates := l.rates[service]; rates != nil {
-		rates[m.First] += rates[m.Gone]
-		delete(rates, m.Gone)
+		rates[m.First] += rates[m.Removed]
+		delete(rates, m.Removed)
 	}
 }
 
--- a/gateway/planner/planner.go
+++ b/gateway/planner/planner.go
@@ -165,7 +165,7 @@
 // called with the lock held.
 func (p *Planner) lastHeartbeat(zone string) time.Time {
 	if h := p.hints[zone]; h != nil {
-		return h.At()
+		return h.ReceivedAt()
 	}
 	return time.Time{}
 }
@@ -245,7 +245,7 @@
 	case p.stopping:
 	case p.seat.Holding():
 		tx, err = p.seat.Renew(now, p.NewToken())
-	case p.seat.Free() || p.seat.Lapsed(now) || p.plannerLost(now):
+	case p.seat.Free() || p.seat.Expired(now) || p.plannerLost(now):
 		// Two planners at a time are harmless, since every decision is one
 		// conditional write; so the old one's authority need not expire first.
 		tx, err = p.seat.Claim(now, p.NewToken())
@@ -294,7 +294,7 @@
 // plannerLost reports whether the planner accepts no reports and its row is unchanged.
 // One of the two alone may only mean a slow table or a broken connection.
 func (p *Planner) plannerLost(now time.Time) bool {
-	return p.PlannerUnresponsive() && p.seat.Known() && p.seat.Silence(now) > plannerTimeout
+	return p.PlannerUnresponsive() && p.seat.Observed() && p.seat.UnchangedFor(now) > plannerTimeout
 }
 
 func (p *Planner) anyLeaderUnresponsive(now time.Time) bool {
@@ -321,11 +321,11 @@
 		}
 	}
 	for _, row := range res.Rows {
-		if name, ok := seat.NameOf(row.Key); ok {
+		if name, ok := seat.NameFromRowKey(row.Key); ok {
 			p.applySeat(now, name, row)
 			continue
 		}
-		if service, ok := deltalog.ServiceOf(row.Key); ok {
+		if service, ok := deltalog.ServiceFromHeadKey(row.Key); ok {
 			p.applyAssignment(ctx, service, row)
 		}
 	}
@@ -350,7 +350,7 @@
 	l, ok := p.deltaLogs[service]
 	if !ok {
 		l = &deltalog.Log{Service: service, Table: p.Table, Objects: p.Objects}
-		l.Damaged = func(name string, err error) {
+		l.OnDamagedSnapshot = func(name string, err error) {
 			event.SnapshotDamaged.Log(p.Log, "object", name, "error", err)
 		}
 		p.deltaLogs[service] = l
--- a/gateway/renewer/renewer.go
+++ b/gateway/renewer/renewer.go
@@ -247,7 +247,7 @@
 	order := grant.Order{
 		Incarnation: state.status.Incarnation,
 		Stamp:       state.status.Stamp,
-		Version:     target.Grants,
+		Version:     target.GrantsVersion,
 	}
 	order.Lease = r.leaseLength(target, state, now)
 	if order.Lease > 0 && state.status.Version != order.Version {
