--- a/gateway/entry/choose.go
+++ b/gateway/entry/choose.go
@@ -10,17 +10,17 @@
 	"basilcross.example/gateway/view"
 )
 
-// choose picks a target of an undivided service: in this zone if one has room,
-// else in this region, else across the link.
-func (f *Front) choose(s *view.Snapshot, service *view.Service) (*route, *failed) {
+// chooseTarget picks a target of an unsharded service: one with a free slot in
+// this zone, else in this region, else in another region.
+func (f *Front) chooseTarget(s *view.Snapshot, service *view.Service) (*route, *failed) {
 	now := time.Now()
 	var best *route
-	for _, tier := range f.tiers(service.Active) {
-		r, room := f.lighter(now, s, tier)
+	for _, tier := range f.groupByDistance(service.Active) {
+		r, free := f.pickLessLoaded(now, s, tier)
 		if r == nil {
 			continue
 		}
-		if room {
+		if free {
 			return r, nil
 		}
 		if best == nil {
@@ -33,18 +33,18 @@
 	if len(service.Active) == 0 {
 		e := refusal.New(refusal.NoTarget, "no target of the service is in use")
 		e.RetryAfter = time.Second
-		return nil, &failed{refusal: e, wait: forOwner}
+		return nil, &failed{refusal: e, retryWhen: retryOnNewOwner}
 	}
-	// Every target is ejected: trying one is better than refusing all.
+	// Every target is ejected: trying one is better than refusing all requests.
 	return f.routeTo(s, service.Active[rand.IntN(len(service.Active))]), nil
 }
 
 func (f *Front) routeTo(s *view.Snapshot, t *assignment.Target) *route {
-	return &route{lane: f.Lanes.To(t), target: t, seen: s}
+	return &route{lane: f.Lanes.To(t), target: t, snapshot: s}
 }
 
-// tiers groups targets by nearness.
-func (f *Front) tiers(targets []*assignment.Target) [3][]*assignment.Target {
+// groupByDistance groups targets by this zone, this region and other regions.
+func (f *Front) groupByDistance(targets []*assignment.Target) [3][]*assignment.Target {
 	var tiers [3][]*assignment.Target
 	for _, t := range targets {
 		switch {
@@ -59,27 +59,29 @@
 	return tiers
 }
 
-// lighter returns the less loaded of two random targets that are not ejected,
-// and whether it has room now.
-func (f *Front) lighter(now time.Time, s *view.Snapshot, tier []*assignment.Target) (r *route, room bool) {
+// pickLessLoaded returns the less loaded of two random targets that are not
+// ejected, and whether it has a free slot now.
+func (f *Front) pickLessLoaded(now time.Time, s *view.Snapshot, tier []*assignment.Target) (r *route, free bool) {
 	least := 0.0
 	for range 2 {
-		t, l := f.sample(now, tier)
+		t, l := f.randomAvailable(now, tier)
 		if t == nil {
-			return r, room
+			return r, free
 		}
 		state := l.Slots.State()
 		load := float64(state.InFlight+state.Waiting+1) / max(state.Limit, 0.01)
 		if r == nil || load < least {
-			r = &route{lane: l, target: t, seen: s}
-			room = load <= 1 || state.InFlight == 0
+			r = &route{lane: l, target: t, snapshot: s}
+			free = load <= 1 || state.InFlight == 0
 			least = load
 		}
 	}
-	return r, room
+	return r, free
 }
 
-func (f *Front) sample(now time.Time, tier []*assignment.Target) (*assignment.Target, *lane.Lane) {
+// randomAvailable returns the first target that is not ejected, from a random
+// start; nil if there is none.
+func (f *Front) randomAvailable(now time.Time, tier []*assignment.Target) (*assignment.Target, *lane.Lane) {
 	if len(tier) == 0 {
 		return nil, nil
 	}
--- a/gateway/entry/entry.go
+++ b/gateway/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry serves callers: it finds the target of each request, sends it
-// there within the limits, and passes on the whole answer or an honest refusal.
+// Package entry is the reverse proxy for callers' requests: it routes each
+// request to a target, retries within limits, and forwards the complete
+// response or a refusal that states whether the request may have run.
 package entry
 
 import (
@@ -18,7 +19,7 @@
 	"basilcross.example/gateway/view"
 )
 
-// Options are what a Front needs; all fields must be set.
+// Options configure a Front; all fields must be set.
 type Options struct {
 	Zone      string
 	Region    string
@@ -30,55 +31,55 @@
 	Log       *slog.Logger
 }
 
-// Front is the handler for callers' requests.
+// Front is the HTTP handler for callers' requests.
 type Front struct {
 	Options
 
-	mux     *http.ServeMux
-	mu      sync.Mutex
-	budgets map[string]*retry.Budget
-	running map[string]*shared
+	mux      *http.ServeMux
+	mu       sync.Mutex
+	budgets  map[string]*retry.Budget
+	inFlight map[string]*sharedRun
 }
 
-// New returns a handler.
+// New returns a Front that serves /{service}/{kind}/{key}.
 func New(o Options) *Front {
-	f := &Front{Options: o, mux: http.NewServeMux(), budgets: map[string]*retry.Budget{}, running: map[string]*shared{}}
+	f := &Front{Options: o, mux: http.NewServeMux(), budgets: map[string]*retry.Budget{}, inFlight: map[string]*sharedRun{}}
 	f.mux.HandleFunc("/{service}/{kind}/{key...}", f.serve)
 	return f
 }
 
-// ServeHTTP serves /{service}/{kind}/{key}.
+// ServeHTTP forwards the request to a target of the service in its path.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mux.ServeHTTP(w, r)
 }
 
 func (f *Front) serve(w http.ResponseWriter, r *http.Request) {
-	began := time.Now()
-	c, refused := f.accept(r)
+	start := time.Now()
+	c, refused := f.readCall(r)
 	if refused != nil {
-		f.refuse(w, c, refused, began)
+		f.writeRefusal(w, c, refused, start)
 		return
 	}
-	switch out := f.once(r, c).(type) {
+	switch out := f.runDeduplicated(r, c).(type) {
 	case *answered:
-		f.pass(w, c, out, began)
+		f.writeResponse(w, c, out, start)
 	case *failed:
-		f.refuse(w, c, f.final(r, out), began)
+		f.writeRefusal(w, c, f.finalRefusal(r, out), start)
 	}
 	c.cancel()
 }
 
-// final turns the last failure into the caller's refusal. A caller that has
-// gone away gets a cause of its own, for the metrics.
-func (f *Front) final(r *http.Request, out *failed) *refusal.Error {
+// finalRefusal returns the refusal for the last failed attempt. A caller that
+// disconnected is counted under its own cause in the metrics.
+func (f *Front) finalRefusal(r *http.Request, out *failed) *refusal.Error {
 	if r.Context().Err() != nil {
 		return &refusal.Error{Cause: refusal.CallerGone, Outcome: out.refusal.Outcome, Detail: "the caller has gone away"}
 	}
 	return out.refusal
 }
 
-func (f *Front) refuse(w http.ResponseWriter, c *call, refused *refusal.Error, began time.Time) {
-	f.Metrics.refused(c, refused, began)
+func (f *Front) writeRefusal(w http.ResponseWriter, c *call, refused *refusal.Error, start time.Time) {
+	f.Metrics.refused(c, refused, start)
 	refused.Write(w)
 }
 
@@ -94,12 +95,11 @@
 	return b
 }
 
-// run sends the request until it is answered or given up.
-//
-// An attempt that may have run makes the whole request one that may have run,
-// whatever later attempts prove about themselves.
-func (f *Front) run(ctx context.Context, c *call) outcome {
-	doubt := false
+// sendWithRetries sends the request until it is answered or no retry is
+// allowed. Once the outcome of one attempt is unknown, so is that of the whole
+// request, even if later attempts certainly did not run.
+func (f *Front) sendWithRetries(ctx context.Context, c *call) outcome {
+	unknown := false
 	for attempt := 0; ; attempt++ {
 		out := f.attempt(ctx, c)
 		last, isFailed := out.(*failed)
@@ -107,52 +107,53 @@
 			f.budget(c.service).Earn()
 			return out
 		}
-		doubt = doubt || last.refusal.Outcome == refusal.Unknown
-		if doubt {
+		unknown = unknown || last.refusal.Outcome == refusal.Unknown
+		if unknown {
 			last.refusal.Outcome = refusal.Unknown
 		}
-		if !f.again(ctx, c, last, attempt) {
+		if !f.prepareRetry(ctx, c, last, attempt) {
 			return last
 		}
 		f.Metrics.retried(c, last.refusal.Cause)
 	}
 }
 
-// again decides whether a failed request is sent once more, and waits until
-// that is worth while.
-func (f *Front) again(ctx context.Context, c *call, last *failed, attempt int) bool {
+// prepareRetry reports whether a failed request may be retried, after waiting
+// until a retry can succeed.
+func (f *Front) prepareRetry(ctx context.Context, c *call, last *failed, attempt int) bool {
 	if ctx.Err() != nil {
 		return false
 	}
 	if last.refusal.Outcome != refusal.DidNotRun && !c.kind.Idempotent {
 		return false
 	}
-	switch last.wait {
-	case notAgain:
+	switch last.retryWhen {
+	case noRetry:
 		return false
-	case forOwner:
-		// Costs the targets nothing, so it is bounded by time and not by
-		// the budget.
-		return f.awaitOwner(ctx, c, last.seen)
-	case forSlot:
-		if !c.shedWait(ctx) {
+	case retryOnNewOwner:
+		// Waiting puts no load on targets, so it is limited by time and
+		// not by the retry budget.
+		return f.awaitOwner(ctx, c, last.snapshot)
+	case retryOnFreeSlot:
+		if !c.backOffAfterShed(ctx) {
 			return false
 		}
-	case atOnce:
+	case retryNow:
 	}
 	return attempt < *c.kind.Rules.Retries && f.budget(c.service).Take()
 }
 
-// awaitOwner waits for a newer assignment than the one that misled.
-func (f *Front) awaitOwner(ctx context.Context, c *call, seen *view.Snapshot) bool {
-	left := time.Until(c.ownerUntil)
+// awaitOwner waits for a newer snapshot than the one of the failed attempt, or
+// for the next poll of the owner; false if the wait or ctx is over.
+func (f *Front) awaitOwner(ctx context.Context, c *call, snapshot *view.Snapshot) bool {
+	left := time.Until(c.ownerWaitEnd)
 	if left <= 0 {
 		return false
 	}
-	timer := time.NewTimer(min(left, ownerPoll))
+	timer := time.NewTimer(min(left, ownerPollInterval))
 	defer timer.Stop()
 	select {
-	case <-seen.Changed:
+	case <-snapshot.Changed:
 	case <-timer.C:
 	case <-ctx.Done():
 		return false
@@ -160,36 +161,37 @@
 	return true
 }
 
-// outcome is how one attempt ended: answered or failed.
+// outcome is the result of one attempt: answered or failed.
 type outcome interface{ isOutcome() }
 
-// answered is a target's answer whose head has arrived, and whose body too if
-// it is short.
+// answered is a target's response. Its header has been read, and its body too
+// if buffered is set.
 type answered struct {
 	response *http.Response
 	body     []byte
 	buffered bool
-	done     func(whole bool)
+	// done closes the body and frees the slot.
+	done func(complete bool)
 }
 
-// failed is an attempt without an answer for the caller.
+// failed is an attempt without a response for the caller.
 type failed struct {
-	refusal *refusal.Error
-	wait    waitFor
-	seen    *view.Snapshot
+	refusal   *refusal.Error
+	retryWhen retryCondition
+	snapshot  *view.Snapshot
 }
 
 func (*answered) isOutcome() {}
 func (*failed) isOutcome()   {}
 
-// waitFor says what has to happen before another attempt makes sense.
-type waitFor int
+// retryCondition is what a retry has to wait for.
+type retryCondition int
 
 const (
-	notAgain waitFor = iota
-	atOnce
-	forOwner
-	forSlot
+	noRetry retryCondition = iota
+	retryNow
+	retryOnNewOwner
+	retryOnFreeSlot
 )
 
-func isDeadline(err error) bool { return errors.Is(err, context.DeadlineExceeded) }
+func isDeadlineExceeded(err error) bool { return errors.Is(err, context.DeadlineExceeded) }
--- a/gateway/entry/entry_benchmark_test.go
+++ b/gateway/entry/entry_benchmark_test.go
@@ -11,9 +11,8 @@
 	"basilcross.example/basilcross/shard"
 )
 
-// naive forwards through an ordinary client, as a first attempt would. It is
-// the baseline.
-func naive(target string) http.Handler {
+// naiveProxy forwards each request with a plain http.Client, as a baseline.
+func naiveProxy(target string) http.Handler {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		content, err := io.ReadAll(r.Body)
@@ -21,7 +20,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		req, _ := http.NewRequestWithContext(r.Context(), r.Method, target+r.URL.RequestURI(), newReader(content))
+		req, _ := http.NewRequestWithContext(r.Context(), r.Method, target+r.URL.RequestURI(), newByteReader(content))
 		req.Header = r.Header.Clone()
 		res, err := client.Do(req)
 		if err != nil {
@@ -37,13 +36,13 @@
 	})
 }
 
-type reader struct {
+type byteReader struct {
 	content []byte
 }
 
-func newReader(content []byte) io.Reader { return &reader{content} }
+func newByteReader(content []byte) io.Reader { return &byteReader{content} }
 
-func (r *reader) Read(p []byte) (int, error) {
+func (r *byteReader) Read(p []byte) (int, error) {
 	if len(r.content) == 0 {
 		return 0, io.EOF
 	}
@@ -52,40 +51,40 @@
 	return n, nil
 }
 
-// BenchmarkForward compares a direct call, a naive forwarder and the gateway,
-// and reports the median and the 99th percentile of each.
+// BenchmarkForward compares a direct call, a naive proxy and the gateway, and
+// reports the median and the 99th percentile of each.
 func BenchmarkForward(b *testing.B) {
 	target := httptest.NewServer(http.HandlerFunc(echo))
 	defer target.Close()
-	middle := httptest.NewServer(naive(target.URL))
-	defer middle.Close()
-	bench := newBench(b)
-	bench.configure()
-	bench.assign(echo, true)
-	for _, way := range []struct{ name, url string }{
-		{"direct", target.URL}, {"naive", middle.URL}, {"gateway", bench.url},
+	proxy := httptest.NewServer(naiveProxy(target.URL))
+	defer proxy.Close()
+	gateway := newFixture(b)
+	gateway.configure()
+	gateway.assign(echo, true)
+	for _, route := range []struct{ name, url string }{
+		{"direct", target.URL}, {"naive", proxy.URL}, {"gateway", gateway.url},
 	} {
-		b.Run(way.name, func(b *testing.B) {
-			took := make([]time.Duration, 0, b.N)
+		b.Run(route.name, func(b *testing.B) {
+			durations := make([]time.Duration, 0, b.N)
 			for b.Loop() {
-				began := time.Now()
-				res, err := http.Get(way.url + "/menus/lists/graz-7")
+				start := time.Now()
+				res, err := http.Get(route.url + "/menus/lists/graz-7")
 				if err != nil {
 					b.Fatal(err)
 				}
 				_, _ = io.Copy(io.Discard, res.Body)
 				_ = res.Body.Close()
-				took = append(took, time.Since(began))
+				durations = append(durations, time.Since(start))
 			}
-			slices.Sort(took)
-			b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-us")
-			b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
+			slices.Sort(durations)
+			b.ReportMetric(float64(durations[len(durations)/2].Microseconds()), "p50-us")
+			b.ReportMetric(float64(durations[len(durations)*99/100].Microseconds()), "p99-us")
 		})
 	}
 }
 
-// BenchmarkFind compares the look-up at 16,384 shards with a map by shard and
-// with a linear search.
+// BenchmarkFind compares shard.Map.Find at 16,384 shards with a Go map indexed by
+// shard and with a linear search.
 func BenchmarkFind(b *testing.B) {
 	shards := shard.Split(16_384)
 	m, err := shard.New(shards)
--- a/gateway/entry/entry_test.go
+++ b/gateway/entry/entry_test.go
@@ -28,81 +28,81 @@
 	"gotest.tools/v3/assert"
 )
 
-// bench is one gateway's front with targets that a test writes itself.
-type bench struct {
-	t    testing.TB
-	view view.View
-	cell authority.Cell
-	url  string
+// fixture is one gateway's Front with a target handler that each test supplies.
+type fixture struct {
+	t         testing.TB
+	view      view.View
+	authority authority.Cell
+	url       string
 }
 
-func newBench(t testing.TB) *bench {
+func newFixture(t testing.TB) *fixture {
 	t.Helper()
-	b := &bench{t: t, view: view.View{Zone: "graz"}}
+	f := &fixture{t: t, view: view.View{Zone: "graz"}}
 	front := entry.New(entry.Options{
-		Zone: "graz", Region: "ost", View: &b.view, Authority: &b.cell, Lanes: &lane.Set{}, Heat: &heat.Sum{},
+		Zone: "graz", Region: "ost", View: &f.view, Authority: &f.authority, Lanes: &lane.Set{}, Heat: &heat.Sum{},
 		Metrics: entry.NewMetrics(prometheus.NewRegistry()), Log: slog.New(slog.DiscardHandler),
 	})
 	s := httptest.NewServer(front)
 	t.Cleanup(s.Close)
-	b.url = s.URL
-	return b
+	f.url = s.URL
+	return f
 }
 
-// configure puts a configuration in force: lists may be repeated, entries not.
-func (b *bench) configure() {
-	b.t.Helper()
+// configure sets a configuration whose kind lists is idempotent and entry is not.
+func (f *fixture) configure() {
+	f.t.Helper()
 	kind := func(name string, idempotent bool) config.Kind {
 		return config.Kind{Name: name, Service: "menus", Idempotent: idempotent, Rules: config.Rules{
 			Deadline: config.Ptr(config.Duration(time.Second)), BodyLimit: config.Ptr(config.Size(100)),
 		}}
 	}
-	assert.NilError(b.t, b.view.SetConfig(&config.Document{
+	assert.NilError(f.t, f.view.SetConfig(&config.Document{
 		Version:  1,
 		Services: []config.Service{{Name: "menus", Divided: true}},
 		Kinds:    []config.Kind{kind("lists", true), kind("entry", false)},
 	}))
 }
 
-// assign makes a target the owner of everything in the next version.
-func (b *bench) assign(h http.HandlerFunc, fenced bool) {
-	b.t.Helper()
+// assign makes a new target the owner of all keys in the next version.
+func (f *fixture) assign(h http.HandlerFunc, fenced bool) {
+	f.t.Helper()
 	s := httptest.NewServer(h)
-	b.t.Cleanup(s.Close)
+	f.t.Cleanup(s.Close)
 	version := uint64(1)
-	if now := b.view.Load().Services["menus"]; now != nil {
+	if now := f.view.Load().Services["menus"]; now != nil {
 		version = now.Assignment.Version + 1
 	}
 	id := fmt.Sprintf("t%d", version)
-	assert.NilError(b.t, b.view.ApplyDelta(assignment.Delta{
+	assert.NilError(f.t, f.view.ApplyDelta(assignment.Delta{
 		Service: "menus", To: version,
 		Targets: []assignment.Target{{ID: id, Service: "menus", Address: s.Listener.Addr().String(), Fenced: fenced, Slots: 8, State: assignment.Active}},
 		Shards:  []shard.Shard{{Last: ^uint64(0), Owner: id, Epoch: version}},
 	}))
 }
 
-func (b *bench) do(method, path, body string, header ...string) (*http.Response, string) {
-	b.t.Helper()
-	req, err := http.NewRequest(method, b.url+path, strings.NewReader(body))
-	assert.NilError(b.t, err)
+func (f *fixture) do(method, path, body string, header ...string) (*http.Response, string) {
+	f.t.Helper()
+	req, err := http.NewRequest(method, f.url+path, strings.NewReader(body))
+	assert.NilError(f.t, err)
 	for i := 0; i < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
 	}
 	res, err := http.DefaultClient.Do(req)
-	assert.NilError(b.t, err)
+	assert.NilError(f.t, err)
 	defer res.Body.Close()
 	content, err := io.ReadAll(res.Body)
-	assert.NilError(b.t, err)
+	assert.NilError(f.t, err)
 	return res, string(content)
 }
 
-func (b *bench) wantRefusal(res *http.Response, content string, cause refusal.Cause, outcome refusal.Outcome) {
-	b.t.Helper()
+func (f *fixture) wantRefusal(res *http.Response, content string, cause refusal.Cause, outcome refusal.Outcome) {
+	f.t.Helper()
 	var body refusal.Body
-	assert.NilError(b.t, json.Unmarshal([]byte(content), &body), content)
-	assert.Equal(b.t, refusal.Cause(body.Cause), cause, content)
-	assert.Equal(b.t, body.Outcome, outcome, content)
-	assert.Equal(b.t, res.Header.Get(refusal.OutcomeHeader), string(outcome))
+	assert.NilError(f.t, json.Unmarshal([]byte(content), &body), content)
+	assert.Equal(f.t, refusal.Cause(body.Cause), cause, content)
+	assert.Equal(f.t, body.Outcome, outcome, content)
+	assert.Equal(f.t, res.Header.Get(refusal.OutcomeHeader), string(outcome))
 }
 
 func echo(w http.ResponseWriter, r *http.Request) {
@@ -112,29 +112,29 @@
 	fmt.Fprintf(w, "%s %s %s", r.Method, r.URL.RequestURI(), content)
 }
 
-// drop breaks the connection off without an answer.
-func drop(w http.ResponseWriter) {
+// dropConnection closes the connection without a response.
+func dropConnection(w http.ResponseWriter) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
 		_ = c.Close()
 	}
 }
 
-func TestWholeAnswerIsPassedOn(t *testing.T) {
-	b := newBench(t)
-	b.configure()
-	b.assign(echo, true)
-	res, content := b.do("POST", "/menus/entry/graz-7?day=2", "torte")
+func TestResponseIsForwarded(t *testing.T) {
+	f := newFixture(t)
+	f.configure()
+	f.assign(echo, true)
+	res, content := f.do("POST", "/menus/entry/graz-7?day=2", "torte")
 	assert.Equal(t, content, "POST /menus/entry/graz-7?day=2 torte")
 	assert.Equal(t, res.Header.Get("X-Hop"), "", "headers of one hop must not be passed on")
 }
 
 func TestBadRequestsAreRefused(t *testing.T) {
-	b := newBench(t)
-	res, content := b.do("GET", "/menus/lists/k", "")
-	b.wantRefusal(res, content, refusal.NoConfig, refusal.DidNotRun)
-	b.configure()
-	b.assign(func(http.ResponseWriter, *http.Request) { t.Error("nothing may reach the target") }, true)
+	f := newFixture(t)
+	res, content := f.do("GET", "/menus/lists/k", "")
+	f.wantRefusal(res, content, refusal.NoConfig, refusal.DidNotRun)
+	f.configure()
+	f.assign(func(http.ResponseWriter, *http.Request) { t.Error("nothing may reach the target") }, true)
 	for name, tt := range map[string]struct {
 		path, body string
 		header     []string
@@ -147,71 +147,73 @@
 		"body":     {path: "/menus/entry/k", body: strings.Repeat("x", 101), cause: refusal.BodyTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
-			res, content := b.do("POST", tt.path, tt.body, tt.header...)
-			b.wantRefusal(res, content, tt.cause, refusal.DidNotRun)
+			res, content := f.do("POST", tt.path, tt.body, tt.header...)
+			f.wantRefusal(res, content, tt.cause, refusal.DidNotRun)
 		})
 	}
 }
 
-// Callers must not be able to speak as a gateway towards a target.
+// A caller sends a gateway's epoch and hash headers. They must not reach the
+// target, which would trust them.
 func TestCallersCannotForgeEpochs(t *testing.T) {
-	b := newBench(t)
-	b.configure()
-	b.assign(func(w http.ResponseWriter, r *http.Request) {
+	f := newFixture(t)
+	f.configure()
+	f.assign(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, r.Header.Get(grant.EpochHeader), r.Header.Get(grant.HashHeader))
 	}, true)
-	_, content := b.do("GET", "/menus/lists/k", "", grant.EpochHeader, "99", grant.HashHeader, "1")
+	_, content := f.do("GET", "/menus/lists/k", "", grant.EpochHeader, "99", grant.HashHeader, "1")
 	assert.Equal(t, content, fmt.Sprintf("1%x", shard.Hash("menus", "k")))
 }
 
-// The target takes the request and breaks the connection off. An entry is sent
-// once and its caller told that it may have run; a list is sent again.
-func TestOnlyRepeatableRequestsAreSentAgain(t *testing.T) {
-	b := newBench(t)
-	b.configure()
+// The target receives the request and closes the connection. A request that is
+// not idempotent is sent once and its outcome reported as unknown; an idempotent
+// one is retried.
+func TestOnlyIdempotentRequestsAreRetriedAfterLostResponse(t *testing.T) {
+	f := newFixture(t)
+	f.configure()
 	var sent atomic.Int32
-	b.assign(func(w http.ResponseWriter, r *http.Request) {
+	f.assign(func(w http.ResponseWriter, r *http.Request) {
 		if sent.Add(1) == 1 {
-			drop(w)
+			dropConnection(w)
 			return
 		}
 		echo(w, r)
 	}, true)
-	res, content := b.do("POST", "/menus/entry/k", "torte")
-	b.wantRefusal(res, content, refusal.AnswerCut, refusal.Unknown)
+	res, content := f.do("POST", "/menus/entry/k", "torte")
+	f.wantRefusal(res, content, refusal.AnswerCut, refusal.Unknown)
 	assert.Equal(t, sent.Load(), int32(1))
 	sent.Store(0)
-	res, _ = b.do("GET", "/menus/lists/k", "")
+	res, _ = f.do("GET", "/menus/lists/k", "")
 	assert.Equal(t, res.StatusCode, http.StatusOK)
 	assert.Equal(t, sent.Load(), int32(2))
 }
 
-// A list's first attempt is cut off and may have run; the second is provably
-// refused by the target. The caller must not be told that it did not run.
-func TestDoubtOutlivesALaterRefusal(t *testing.T) {
-	b := newBench(t)
-	b.configure()
+// The first attempt loses its connection and may have run; the target refuses
+// the retry. The outcome must stay unknown, not become didNotRun.
+func TestUnknownOutcomeIsKeptAfterLaterRefusal(t *testing.T) {
+	f := newFixture(t)
+	f.configure()
 	var sent atomic.Int32
-	b.assign(func(w http.ResponseWriter, _ *http.Request) {
+	f.assign(func(w http.ResponseWriter, _ *http.Request) {
 		if sent.Add(1) == 1 {
-			drop(w)
+			dropConnection(w)
 			return
 		}
 		w.Header().Set(grant.RefusedHeader, string(grant.NotOwner))
 		w.WriteHeader(http.StatusConflict)
 	}, true)
-	res, content := b.do("GET", "/menus/lists/k", "")
-	b.wantRefusal(res, content, refusal.NotOwner, refusal.Unknown)
+	res, content := f.do("GET", "/menus/lists/k", "")
+	f.wantRefusal(res, content, refusal.NotOwner, refusal.Unknown)
 }
 
-// A shard moves while an entry is on its way: the old owner says that it did
-// not run it. The gateway waits for the next assignment and sends it there.
-func TestMovedRequestGoesToTheNextOwner(t *testing.T) {
-	b := newBench(t)
-	b.configure()
+// A shard moves while a request is in flight, and the old owner refuses it. The
+// gateway waits for the next assignment and sends it to the new owner.
+func TestRequestFollowsMovedShardToNextOwner(t *testing.T) {
+	f := newFixture(t)
+	f.configure()
 	refused := make(chan struct{})
 	var once sync.Once
-	b.assign(func(w http.ResponseWriter, _ *http.Request) {
+	f.assign(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(grant.RefusedHeader, string(grant.Moved))
 		w.WriteHeader(http.StatusConflict)
 		once.Do(func() { close(refused) })
@@ -220,104 +222,103 @@
 	defer group.Wait()
 	group.Go(func() {
 		<-refused
-		b.assign(echo, true)
+		f.assign(echo, true)
 	})
-	_, content := b.do("POST", "/menus/entry/k", "torte")
+	_, content := f.do("POST", "/menus/entry/k", "torte")
 	assert.Equal(t, content, "POST /menus/entry/k torte")
 }
 
-// A target does not check epochs, and the gateway has no authority from its
-// zone's leader. The key may belong to another target by now, so nothing is
-// sent; with authority the same request is served.
-func TestNoAuthorityNoRequestToUncheckingTargets(t *testing.T) {
-	b := newBench(t)
-	b.configure()
+// An unfenced target does not check epochs, and the gateway has no authority from
+// its zone's leader. The key may have another owner by now, so nothing is sent;
+// with authority the same request is served.
+func TestNoRequestToUnfencedTargetWithoutAuthority(t *testing.T) {
+	f := newFixture(t)
+	f.configure()
 	var sent atomic.Int32
-	b.assign(func(w http.ResponseWriter, r *http.Request) {
+	f.assign(func(w http.ResponseWriter, r *http.Request) {
 		sent.Add(1)
 		echo(w, r)
 	}, false)
-	res, content := b.do("POST", "/menus/entry/k", "torte")
-	b.wantRefusal(res, content, refusal.NoAuthority, refusal.DidNotRun)
+	res, content := f.do("POST", "/menus/entry/k", "torte")
+	f.wantRefusal(res, content, refusal.NoAuthority, refusal.DidNotRun)
 	assert.Equal(t, sent.Load(), int32(0))
-	b.cell.Extend(time.Now(), time.Minute, time.Now())
-	res, _ = b.do("POST", "/menus/entry/k", "torte")
+	f.authority.Extend(time.Now(), time.Minute, time.Now())
+	res, _ = f.do("POST", "/menus/entry/k", "torte")
 	assert.Equal(t, res.StatusCode, http.StatusOK)
 }
 
-// A shard moves away from a target that does not check. That target would run
-// what comes late beside the next owner, so the gateway sends it nothing from
-// the moment at which the move is announced.
-func TestNothingIsSentToAnUncheckingTargetOnTheMove(t *testing.T) {
-	b := newBench(t)
-	b.configure()
-	b.assign(func(http.ResponseWriter, *http.Request) { t.Error("nothing may reach the target") }, false)
-	b.cell.Extend(time.Now(), time.Minute, time.Now())
-	now := b.view.Load().Services["menus"].Assignment
+// A shard moves away from an unfenced target, which would run late requests while
+// the next owner runs others. The gateway sends it nothing once the move is
+// announced.
+func TestNoRequestToUnfencedTargetWhileShardMoves(t *testing.T) {
+	f := newFixture(t)
+	f.configure()
+	f.assign(func(http.ResponseWriter, *http.Request) { t.Error("nothing may reach the target") }, false)
+	f.authority.Extend(time.Now(), time.Minute, time.Now())
+	now := f.view.Load().Services["menus"].Assignment
 	moving := now.Shards[0]
 	moving.MovingTo = "t9"
-	assert.NilError(t, b.view.ApplyDelta(assignment.Delta{Service: "menus", From: now.Version, To: now.Version + 1, Shards: []shard.Shard{moving}}))
-	res, content := b.do("POST", "/menus/entry/k", "torte")
-	b.wantRefusal(res, content, refusal.OwnerMoving, refusal.DidNotRun)
+	assert.NilError(t, f.view.ApplyDelta(assignment.Delta{Service: "menus", From: now.Version, To: now.Version + 1, Shards: []shard.Shard{moving}}))
+	res, content := f.do("POST", "/menus/entry/k", "torte")
+	f.wantRefusal(res, content, refusal.OwnerMoving, refusal.DidNotRun)
 }
 
-// A couple clicks twice. The second request arrives while the first one runs,
-// shares its run, and both get the same answer.
-func TestSameKeySharesOneRun(t *testing.T) {
-	b := newBench(t)
-	b.configure()
+// A second request with the same idempotency key arrives while the first one
+// runs. It must not run twice; both callers get the same response.
+func TestRequestsWithSameIdempotencyKeyShareOneRun(t *testing.T) {
+	f := newFixture(t)
+	f.configure()
 	var runs atomic.Int32
-	arrived, goOn := make(chan struct{}), make(chan struct{})
-	b.assign(func(w http.ResponseWriter, _ *http.Request) {
+	arrived, resume := make(chan struct{}), make(chan struct{})
+	f.assign(func(w http.ResponseWriter, _ *http.Request) {
 		n := runs.Add(1)
 		close(arrived)
-		<-goOn
+		<-resume
 		fmt.Fprintf(w, "run %d", n)
 	}, true)
-	answers := make(chan string, 2)
-	click := func() {
-		_, content := b.do("POST", "/menus/entry/k", "torte", entry.KeyHeader, "click")
-		answers <- content
+	responses := make(chan string, 2)
+	submit := func() {
+		_, content := f.do("POST", "/menus/entry/k", "torte", entry.IdempotencyKeyHeader, "click")
+		responses <- content
 	}
 	var group sync.WaitGroup
-	group.Go(click)
+	group.Go(submit)
 	<-arrived
-	group.Go(click)
+	group.Go(submit)
 	// Long enough for the second request to arrive on any machine, and well
-	// within the first one's deadline.
+	// before the first one's deadline.
 	time.Sleep(400 * time.Millisecond)
-	close(goOn)
+	close(resume)
 	group.Wait()
-	assert.Equal(t, <-answers, "run 1")
-	assert.Equal(t, <-answers, "run 1")
+	assert.Equal(t, <-responses, "run 1")
+	assert.Equal(t, <-responses, "run 1")
 	assert.Equal(t, runs.Load(), int32(1))
 }
 
-// A long answer breaks off in the middle. Its beginning is with the caller
-// already, so the caller's connection is broken off too: the part must not
-// look whole.
-func TestCutStreamIsNotPassedOnAsWhole(t *testing.T) {
-	b := newBench(t)
-	b.configure()
-	b.assign(func(w http.ResponseWriter, _ *http.Request) {
+// A target fails in the middle of a long response whose beginning was already
+// forwarded. The caller's connection is aborted, or the part would look complete.
+func TestTruncatedStreamAbortsCallerConnection(t *testing.T) {
+	f := newFixture(t)
+	f.configure()
+	f.assign(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "200000")
 		_, _ = io.WriteString(w, strings.Repeat("x", 100_000))
 		panic(http.ErrAbortHandler)
 	}, true)
-	res, err := http.Get(b.url + "/menus/lists/k")
+	res, err := http.Get(f.url + "/menus/lists/k")
 	assert.NilError(t, err)
 	defer res.Body.Close()
 	_, err = io.ReadAll(res.Body)
 	assert.Assert(t, err != nil)
 }
 
-// Requests whose length is stated in two ways may be read differently by the
-// gateway and a target, and one caller could smuggle a request into another's
-// connection. They are refused before anything is sent.
-func TestSmugglingInputsAreRefused(t *testing.T) {
-	b := newBench(t)
-	b.configure()
-	b.assign(func(http.ResponseWriter, *http.Request) { t.Error("nothing may reach the target") }, true)
+// The gateway and a target may disagree on the length of a request with ambiguous
+// framing, so that a caller could smuggle a request into another's connection.
+// Such requests are refused before anything is sent.
+func TestRequestSmugglingIsRefused(t *testing.T) {
+	f := newFixture(t)
+	f.configure()
+	f.assign(func(http.ResponseWriter, *http.Request) { t.Error("nothing may reach the target") }, true)
 	for name, head := range map[string]string{
 		"two lengths":      "Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello!",
 		"bad length":       "Content-Length: +5\r\n\r\nhello",
@@ -326,15 +327,15 @@
 		"space in name":    "Content-Length : 5\r\n\r\nhello",
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
+			c, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
 			assert.NilError(t, err)
 			defer c.Close()
 			_, err = io.WriteString(c, "POST /menus/entry/k HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"+head)
 			assert.NilError(t, err)
-			answer, err := io.ReadAll(c)
+			response, err := io.ReadAll(c)
 			assert.NilError(t, err)
-			status := strings.SplitN(string(answer), " ", 3)[1]
-			assert.Assert(t, status[0] == '4' || status == "501", "%s", answer)
+			status := strings.SplitN(string(response), " ", 3)[1]
+			assert.Assert(t, status[0] == '4' || status == "501", "%s", response)
 		})
 	}
 }
--- a/gateway/entry/pass.go
+++ b/gateway/entry/response.go
@@ -11,11 +11,11 @@
 	"basilcross.example/gateway/hop"
 )
 
-// streamBuffer is the size of the pieces in which long answers are passed on.
-const streamBuffer = 32 << 10
+// streamBufferSize is the size of the chunks in which long responses are forwarded.
+const streamBufferSize = 32 << 10
 
-// pass gives the target's answer to the caller.
-func (f *Front) pass(w http.ResponseWriter, c *call, out *answered, began time.Time) {
+// writeResponse forwards the target's response to the caller.
+func (f *Front) writeResponse(w http.ResponseWriter, c *call, out *answered, start time.Time) {
 	res := out.response
 	h := w.Header()
 	for name, values := range res.Header {
@@ -25,18 +25,18 @@
 	if out.buffered {
 		h.Set("Content-Length", strconv.Itoa(len(out.body)))
 		w.WriteHeader(res.StatusCode)
-		// A failed write means that the caller has gone; nobody to tell.
+		// A failed write means that the caller has disconnected.
 		_, _ = w.Write(out.body)
-		f.Metrics.answered(c, res.StatusCode, began)
+		f.Metrics.answered(c, res.StatusCode, start)
 		return
 	}
-	f.stream(w, c, out)
-	f.Metrics.answered(c, res.StatusCode, began)
+	f.streamResponse(w, c, out)
+	f.Metrics.answered(c, res.StatusCode, start)
 }
 
-// stream passes on a long answer as it comes. If it is cut short, the caller's
-// connection is broken off: ended properly, the part would look whole.
-func (f *Front) stream(w http.ResponseWriter, c *call, out *answered) {
+// streamResponse forwards a long response as it arrives. If it is truncated, the
+// caller's connection is aborted, or the part would look complete.
+func (f *Front) streamResponse(w http.ResponseWriter, c *call, out *answered) {
 	res := out.response
 	if res.ContentLength >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(res.ContentLength, 10))
@@ -60,11 +60,11 @@
 	}
 }
 
-// copyFlushing copies the body, and flushes each piece of one whose length is
-// unknown, since such an answer may be a slow stream of events.
+// copyFlushing copies the body. One of unknown length is flushed after each
+// chunk, since it may be a slow stream of events.
 func copyFlushing(w http.ResponseWriter, res *http.Response) error {
 	controller := http.NewResponseController(w)
-	buffer := make([]byte, streamBuffer)
+	buffer := make([]byte, streamBufferSize)
 	for {
 		n, err := res.Body.Read(buffer)
 		if n > 0 {
--- a/gateway/follower/follower.go
+++ b/gateway/follower/follower.go
@@ -281,7 +281,7 @@
 func (d *Duty) setConfig(doc *config.Document) error {
 	if err := d.View.SetConfig(doc); err != nil {
 		var stale *view.StaleError
-		if errors.As(err, &stale) && stale.Offer == stale.InForce {
+		if errors.As(err, &stale) && stale.Offered == stale.InForce {
 			return nil
 		}
 		return err
--- a/gateway/leader/poll.go
+++ b/gateway/leader/poll.go
@@ -201,7 +201,7 @@
 		updates = append(updates, d.pack(view.ConfigName, 0, s.Config.Version, s.Config))
 	}
 	for name := range s.Services {
-		for _, delta := range d.View.Since(name, has[name]) {
+		for _, delta := range d.View.DeltasSince(name, has[name]) {
 			updates = append(updates, d.pack(name, delta.From, delta.To, delta))
 		}
 	}
