--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -1,5 +1,5 @@
-// Package view is what an instance holds to be in force: the configuration and
-// the assignment of each service. Requests read it without locks.
+// Package view holds the configuration and the assignments in force on an
+// instance, as immutable snapshots that requests read without locks.
 package view
 
 import (
@@ -13,20 +13,21 @@
 	"basilcross.example/basilcross/shard"
 )
 
-// Service is one service as it is in force; it never changes.
+// Service is one service's assignment in force, indexed; it is immutable.
 type Service struct {
 	Assignment *assignment.Assignment
-	ShardMap   *shard.Map
-	Targets    map[string]*assignment.Target
-	// Active are the targets that may get new requests.
+	// ShardMap is nil if the service is not sharded.
+	ShardMap *shard.Map
+	Targets  map[string]*assignment.Target
+	// Active lists the targets that may receive new requests.
 	Active []*assignment.Target
 }
 
-// Snapshot is everything in force at one moment; it never changes.
+// Snapshot is the state in force at one moment; it is immutable.
 type Snapshot struct {
 	Config   *config.Document
 	Services map[string]*Service
-	// Changed is closed when there is a newer snapshot.
+	// Changed is closed when a newer snapshot is published.
 	Changed <-chan struct{}
 
 	changed          chan struct{}
@@ -34,17 +35,17 @@
 	hasKeyExceptions bool
 }
 
-// Kind is a kind's rules within one zone, with every field set.
+// Kind holds a kind's rules in one zone, with every field set.
 type Kind struct {
 	Idempotent bool
 	Rules      config.Rules
 }
 
-// maxKeptDeltas is how many deltas per service are kept for others that follow.
+// maxKeptDeltas is how many deltas per service are kept for followers.
 const maxKeptDeltas = 64
 
-// View holds the present snapshot. Zone is the instance's own. The zero value
-// is empty.
+// View holds the current snapshot. Zone is the instance's zone. The zero value is
+// an empty view.
 type View struct {
 	Zone string
 
@@ -53,7 +54,7 @@
 	deltas  map[string][]assignment.Delta
 }
 
-// Load returns the present snapshot. It takes no lock.
+// Load returns the current snapshot, without a lock except before the first one.
 func (v *View) Load() *Snapshot {
 	if s := v.current.Load(); s != nil {
 		return s
@@ -66,7 +67,8 @@
 	return v.current.Load()
 }
 
-// publish is called with the lock held.
+// publish makes s the current snapshot and wakes those that wait for a change.
+// The caller holds mu.
 func (v *View) publish(s *Snapshot) {
 	s.changed = make(chan struct{})
 	s.Changed = s.changed
@@ -87,18 +89,18 @@
 	return next
 }
 
-// StaleError is an offer of something older than what is in force.
+// StaleError reports an offered version that is not newer than the one in force.
 type StaleError struct {
 	Name             string
 	InForce, Offered uint64
 }
 
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("%s: version %d was offered while %d is in force", e.Name, e.Offered, e.InForce)
+	return fmt.Sprintf("%s: offered version %d is not newer than version %d in force", e.Name, e.Offered, e.InForce)
 }
 
-// SetConfig puts a configuration in force. One that is not newer is refused: an
-// instance never goes back, whoever offers it.
+// SetConfig puts a configuration in force. It returns a StaleError for one that
+// is not newer, since an instance never goes back to an older version.
 func (v *View) SetConfig(d *config.Document) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -112,7 +114,7 @@
 	return nil
 }
 
-// Refresh works out the rules anew, since exceptions expire with time.
+// Refresh resolves the rules again, since exceptions expire with time.
 func (v *View) Refresh(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -124,8 +126,8 @@
 	v.publish(next)
 }
 
-// indexKinds works out each kind's rules for this zone once, so that a request
-// costs one look-up.
+// indexKinds resolves each kind's rules for this zone, so that a request needs
+// only one lookup unless there are exceptions for keys.
 func (s *Snapshot) indexKinds(zone string, now time.Time) {
 	s.kinds = map[config.Scope]*Kind{}
 	s.hasKeyExceptions = false
@@ -153,25 +155,26 @@
 	return Kind{Idempotent: found.Idempotent, Rules: s.Config.Resolve(query, time.Now())}, true
 }
 
-// ApplyDelta puts the next version of an assignment in force.
+// ApplyDelta puts the next version of an assignment in force. A delta to a
+// version that is not newer is ignored.
 func (v *View) ApplyDelta(d assignment.Delta) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	next := v.copyCurrent()
-	have := &assignment.Assignment{Service: d.Service}
+	current := &assignment.Assignment{Service: d.Service}
 	if s, ok := next.Services[d.Service]; ok {
-		have = s.Assignment
+		current = s.Assignment
 	}
-	if d.To <= have.Version {
+	if d.To <= current.Version {
 		return nil
 	}
-	a, err := have.Apply(d)
+	a, err := current.Apply(d)
 	if err != nil {
-		return fmt.Errorf("apply delta of %s: %w", d.Service, err)
+		return fmt.Errorf("apply delta of service %q from version %d to %d: %w", d.Service, d.From, d.To, err)
 	}
 	service, err := newService(a)
 	if err != nil {
-		return fmt.Errorf("apply delta of %s: %w", d.Service, err)
+		return fmt.Errorf("index version %d of service %q: %w", d.To, d.Service, err)
 	}
 	next.Services[d.Service] = service
 	v.keepDelta(d)
@@ -210,8 +213,8 @@
 	return s, err
 }
 
-// DeltasSince returns the deltas that lead from a version to the present one, or one
-// delta that replaces all.
+// DeltasSince returns the deltas from a version to the current one, or a single
+// delta from the empty assignment if they are no longer kept.
 func (v *View) DeltasSince(service string, from uint64) []assignment.Delta {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -231,7 +234,7 @@
 	return []assignment.Delta{assignment.Diff(&assignment.Assignment{Service: service}, a)}
 }
 
-// Versions returns what is in force, by service and "config".
+// Versions returns the versions in force, by service name and ConfigName.
 func (s *Snapshot) Versions() map[string]uint64 {
 	versions := make(map[string]uint64, len(s.Services)+1)
 	for name, service := range s.Services {
@@ -243,6 +246,5 @@
 	return versions
 }
 
-// ConfigName is the configuration's name among the versions; no service may
-// have it.
+// ConfigName is the configuration's name in Versions; no service may have it.
 const ConfigName = "$config"
--- a/gateway/view/view_test.go
+++ b/gateway/view/view_test.go
@@ -20,7 +20,7 @@
 }
 
 // A stale peer offers an older configuration than the one in force, or the same
-// one again. Neither is taken, and those who wait for news are not woken.
+// version. Neither is applied, and waiters for a change are not woken.
 func TestOlderConfigIsRejected(t *testing.T) {
 	v := view.View{Zone: "graz"}
 	assert.NilError(t, v.SetConfig(&config.Document{Version: 7}))
@@ -31,22 +31,22 @@
 	}
 	select {
 	case <-changed:
-		t.Error("woken by an older configuration")
+		t.Error("an older configuration woke the waiters")
 	default:
 	}
 	assert.Equal(t, v.Load().Config.Version, uint64(7))
 }
 
-// A delta was missed. The next one does not fit and changes nothing; a follower
-// that asks from the version it has gets what it lacks, or everything.
+// A follower misses a delta, so the next one is refused. It catches up with the
+// deltas since its version, or from the empty assignment.
 func TestFollowerCatchesUpAfterMissedDelta(t *testing.T) {
 	var leader, follower view.View
 	assert.NilError(t, leader.ApplyDelta(delta(0, 1, "t1")))
 	assert.NilError(t, follower.ApplyDelta(delta(0, 1, "t1")))
 	assert.NilError(t, leader.ApplyDelta(delta(1, 2, "t2")))
 	assert.NilError(t, leader.ApplyDelta(delta(2, 3, "t3")))
-	var wrong *assignment.VersionError
-	assert.Assert(t, errors.As(follower.ApplyDelta(delta(2, 3, "t3")), &wrong))
+	var mismatch *assignment.VersionError
+	assert.Assert(t, errors.As(follower.ApplyDelta(delta(2, 3, "t3")), &mismatch))
 	for _, d := range leader.DeltasSince("menus", 1) {
 		assert.NilError(t, follower.ApplyDelta(d))
 	}
@@ -57,7 +57,7 @@
 	assert.Equal(t, s.Owner, "t3")
 }
 
-// An old delta arrives late, after newer ones. It is passed over.
+// A delta arrives after newer ones were applied. It is ignored.
 func TestLateDeltaIsIgnored(t *testing.T) {
 	var v view.View
 	assert.NilError(t, v.ApplyDelta(delta(0, 1, "t1")))
