--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts the gateway together: one supervisor tree of duties, two
-// listeners for callers and instances, and one for operators.
+// Package daemon assembles the gateway: a supervisor tree of background tasks,
+// and one listener each for callers, other instances and operators.
 package daemon
 
 import (
@@ -43,27 +43,29 @@
 )
 
 const (
-	// userTimeout breaks off connections whose other end acknowledges nothing.
+	// userTimeout closes connections whose peer acknowledges no data.
 	userTimeout = 3 * time.Second
-	// pingIdleTime is the silence of a connection to another instance after
-	// which it is pinged, pingTimeout the wait for the answer.
+	// A connection to another instance is pinged after pingIdleTime without
+	// data; pingTimeout limits the wait for the response.
 	pingIdleTime = 500 * time.Millisecond
 	pingTimeout  = 300 * time.Millisecond
-	// headerTimeout is how long a caller may take for a request's head.
+	// headerTimeout limits how long a caller may take to send a request's header.
 	headerTimeout = 5 * time.Second
-	// idleTimeout closes callers' connections that are not used.
+	// idleTimeout closes unused connections, from callers and to others.
 	idleTimeout = 2 * time.Minute
-	// requestReadTimeout bounds the reading of a whole request.
+	// requestReadTimeout limits the time to read a whole request.
 	requestReadTimeout = time.Minute
-	// maxHeaderBytes bounds a request's head.
+	// maxHeaderBytes limits the size of a request's header.
 	maxHeaderBytes = 32 << 10
-	// refreshInterval is how often expiring exceptions are looked at.
+	// refreshInterval is how often expired exceptions are removed and unused
+	// lanes are closed.
 	refreshInterval = time.Second
-	// handOverTimeout bounds the writes by which a leader steps down.
+	// handOverTimeout limits the writes that release the planner's and the
+	// leader's seats.
 	handOverTimeout = time.Second
 )
 
-// Daemon is one gateway. Create it with New, then call Run.
+// Daemon is one gateway process. Create it with New, then call Run.
 type Daemon struct {
 	settings settings.Settings
 	log      *slog.Logger
@@ -81,7 +83,8 @@
 	draining atomic.Bool
 }
 
-// New puts a daemon together.
+// New returns a Daemon with all its parts. It opens no listener. It returns an
+// error for unusable TLS files or an invalid target list.
 func New(s settings.Settings, log *slog.Logger) (*Daemon, error) {
 	d := &Daemon{settings: s, log: log, view: &view.View{Zone: s.Zone}}
 	dialer := &egress.Dialer{Proxy: s.EgressProxy, UserTimeout: userTimeout}
@@ -93,17 +96,17 @@
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	d.lanes = &lane.Set{Dial: dialer.DialContext}
-	cell := &authority.Cell{}
-	sum := &heat.Sum{}
+	auth := &authority.Cell{}
+	loads := &heat.Sum{}
 	d.tlsFiles = &keys.Files{Certificate: s.TLSCert, Key: s.TLSKey, Authority: s.TLSAuthority}
 	if err := d.tlsFiles.Check(); err != nil {
 		return nil, err
 	}
 	peers := &peer.Caller{Client: newPeerClient(dialer, d.tlsFiles), TLS: d.tlsFiles.Set()}
-	d.buildTasks(backend, client, peers, cell, sum)
+	d.buildTasks(backend, client, peers, auth, loads)
 	d.front = entry.New(entry.Options{
-		Zone: s.Zone, Region: s.Region, View: d.view, Authority: cell, Lanes: d.lanes,
-		Heat: sum, Metrics: entry.NewMetrics(registry), Log: log,
+		Zone: s.Zone, Region: s.Region, View: d.view, Authority: auth, Lanes: d.lanes,
+		Heat: loads, Metrics: entry.NewMetrics(registry), Log: log,
 	})
 	d.admin = admin.New(admin.Options{
 		Instance: s.Instance, Zone: s.Zone, View: d.view, Table: d.table, Leader: d.leader,
@@ -117,29 +120,29 @@
 	return d, nil
 }
 
-func (d *Daemon) buildTasks(b *backend, outside *http.Client, peers *peer.Caller, cell *authority.Cell, sum *heat.Sum) {
+func (d *Daemon) buildTasks(b *backend, external *http.Client, peers *peer.Caller, auth *authority.Cell, loads *heat.Sum) {
 	s := d.settings
 	incarnation := rand.Text()
 	d.renewer = renewer.New(renewer.Options{
-		Instance: s.Instance, View: d.view, Authority: cell,
-		Caller: &renewer.HTTPCaller{Client: outside}, Log: d.log,
+		Instance: s.Instance, View: d.view, Authority: auth,
+		Caller: &renewer.HTTPCaller{Client: external}, Log: d.log,
 	})
 	d.follower = &follower.Duty{
 		Instance: s.Instance, Incarnation: incarnation, Address: s.Address(), Zone: s.Zone, Peers: s.Peers,
-		View: d.view, Authority: cell, Renewer: d.renewer, Loads: sum, Calls: peers, Log: d.log,
+		View: d.view, Authority: auth, Renewer: d.renewer, Loads: loads, Calls: peers, Log: d.log,
 		Hint: func(now time.Time, term, renewals uint64, left time.Duration) {
 			d.leader.Hint(now, term, renewals, left)
 		},
 	}
-	second := &relay.Client{
+	relayed := &relay.Client{
 		Direct: b.table, Calls: peers, Log: d.log,
 		Peers: func() []string { return d.leader.OtherLeaders() },
 	}
-	evictions := &evictor.Evictor{Instance: s.Instance, Table: second, Peers: peers, Token: rand.Text, Log: d.log}
-	d.table = second
+	evictions := &evictor.Evictor{Instance: s.Instance, Table: relayed, Peers: peers, Token: rand.Text, Log: d.log}
+	d.table = relayed
 	d.planner = planner.New(planner.Options{
 		Instance: s.Instance, Incarnation: incarnation, Address: s.Address(),
-		Table: second, Objects: b.objects, View: d.view, Peers: peers, Log: d.log, Token: rand.Text,
+		Table: relayed, Objects: b.objects, View: d.view, Peers: peers, Log: d.log, Token: rand.Text,
 		Evictor:   evictions,
 		Instances: b.instances,
 		Leading:   func(now time.Time) bool { return d.leader.Leading(now) },
@@ -147,14 +150,14 @@
 	})
 	d.leader = leader.New(leader.Options{
 		Instance: s.Instance, Incarnation: incarnation, Address: s.Address(), Zone: s.Zone,
-		Table: second, Direct: b.table, Evictor: evictions, Objects: b.objects, View: d.view, Follower: d.follower, Authority: cell,
+		Table: relayed, Direct: b.table, Evictor: evictions, Objects: b.objects, View: d.view, Follower: d.follower, Authority: auth,
 		Planner: d.planner, Peers: peers, Log: d.log, Token: rand.Text,
 	})
 }
 
-// newPeerClient reaches other instances over HTTP/2, whose header
-// compression spares most of a poll's headers. A connection that goes silent
-// is found out by pings, since its streams' timeouts do not close it.
+// newPeerClient returns the client for other instances. It uses HTTP/2, whose
+// header compression saves most of a poll's header bytes. Pings detect
+// unresponsive connections, since timeouts of streams do not close them.
 func newPeerClient(dialer *egress.Dialer, files *keys.Files) *http.Client {
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(!files.Set())
@@ -168,18 +171,20 @@
 	}}
 }
 
-// newExternalClient reaches the platform and targets' grants.
+// newExternalClient returns the client for the platform and targets' grant calls.
 func newExternalClient(dialer *egress.Dialer) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext,
-		// With one idle connection, the try after a silent one is on a new one.
+		// With one idle connection, the retry after an unresponsive one uses a
+		// new connection.
 		MaxIdleConnsPerHost: 1,
 		DisableCompression:  true,
 		IdleConnTimeout:     idleTimeout,
 	}}
 }
 
-// backend is where agreed state lives.
+// backend is the store of the shared state: the platform, or memory for a single
+// instance.
 type backend struct {
 	table     table.Client
 	objects   object.Client
@@ -191,7 +196,7 @@
 		c := &platform.Client{Base: s.Platform, HTTP: client}
 		return &backend{table: c, objects: c, instances: c.Instances}, nil
 	}
-	listed, err := s.ListedTargets()
+	targets, err := s.ListedTargets()
 	if err != nil {
 		return nil, err
 	}
@@ -200,28 +205,28 @@
 		table:   &table.Memory{},
 		objects: &object.Memory{},
 		instances: func(context.Context) ([]platform.Instance, error) {
-			return listed, nil
+			return targets, nil
 		},
 	}, nil
 }
 
-// Ready tells whether callers should be sent here.
+// Ready reports whether this instance should receive callers' requests.
 func (d *Daemon) Ready() bool {
 	return !d.draining.Load() && d.view.Load().Config != nil
 }
 
-// Run serves until the context ends, then shuts down without cutting off any
-// request in flight.
+// Run serves until the context ends or a listener fails, then shuts down. Requests
+// in flight may finish within the stop timeout.
 func (d *Daemon) Run(ctx context.Context) error {
 	servers, err := d.listen()
 	if err != nil {
 		return err
 	}
-	dutyCtx, stopDuties := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopDuties()
+	taskCtx, stopTasks := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopTasks()
 	tree := d.supervisorTree()
 	var group errgroup.Group
-	group.Go(func() error { return ignoreCanceled(tree.Serve(dutyCtx)) })
+	group.Go(func() error { return ignoreCanceled(tree.Serve(taskCtx)) })
 	failed := make(chan error, len(servers))
 	for _, s := range servers {
 		group.Go(func() error {
@@ -236,12 +241,12 @@
 	case err = <-failed:
 	}
 	d.shutDown(context.WithoutCancel(ctx), servers)
-	stopDuties()
+	stopTasks()
 	return errors.Join(err, group.Wait())
 }
 
-// supervisorTree is the supervisor tree: every background duty with its name. Intervals
-// stand as constants in the duties' packages.
+// supervisorTree returns the supervisor of all background tasks. Their intervals
+// are constants in their packages.
 func (d *Daemon) supervisorTree() *suture.Supervisor {
 	root := suture.New("gateway", suture.Spec{
 		EventHook: func(e suture.Event) {
@@ -259,21 +264,21 @@
 	return root
 }
 
-// shutDown fails readiness, gives the balancer time to notice, hands the roles
-// over, and lets every request in flight finish.
+// shutDown fails readiness, releases the seats, waits until load balancers have
+// noticed, and then lets requests in flight finish within the stop timeout.
 func (d *Daemon) shutDown(ctx context.Context, servers []*server) {
 	event.Stopping.Log(d.log)
 	d.draining.Store(true)
-	handOver, cancel := context.WithTimeout(ctx, handOverTimeout)
-	d.planner.Stop(handOver)
-	d.leader.Stop(handOver)
+	handOverCtx, cancel := context.WithTimeout(ctx, handOverTimeout)
+	d.planner.Stop(handOverCtx)
+	d.leader.Stop(handOverCtx)
 	cancel()
 	time.Sleep(d.settings.DrainWait)
 	ctx, cancel = context.WithTimeout(ctx, d.settings.StopTimeout)
 	defer cancel()
 	for _, s := range servers {
 		if err := s.Shutdown(ctx); err != nil {
-			d.log.Warn("listener not closed in time", "address", s.Addr, "error", err)
+			d.log.Warn("shut down listener", "address", s.Addr, "error", err)
 		}
 	}
 	event.Stopped.Log(d.log)
@@ -305,7 +310,7 @@
 	} {
 		listener, err := net.Listen("tcp", l.address)
 		if err != nil {
-			return nil, fmt.Errorf("listen: %w", err)
+			return nil, fmt.Errorf("listen on %s: %w", l.address, err)
 		}
 		if l.encrypted {
 			listener = tls.NewListener(listener, d.tlsFiles.Server())
@@ -335,14 +340,14 @@
 	return err
 }
 
-// housekeeper works out expiring rules anew and closes lanes to targets that
-// are gone.
+// housekeeper drops expired exceptions from the rules and closes lanes to removed
+// targets.
 type housekeeper struct {
 	view  *view.View
 	lanes *lane.Set
 }
 
-// Serve looks after both until the context ends.
+// Serve does both every refreshInterval until the context ends.
 func (h *housekeeper) Serve(ctx context.Context) error {
 	tick := time.NewTicker(refreshInterval)
 	defer tick.Stop()
@@ -352,13 +357,13 @@
 			return ctx.Err()
 		case now := <-tick.C:
 			h.view.Refresh(now)
-			known := map[string]bool{}
+			current := map[string]bool{}
 			for _, s := range h.view.Load().Services {
 				for id := range s.Targets {
-					known[id] = true
+					current[id] = true
 				}
 			}
-			h.lanes.Keep(known)
+			h.lanes.Keep(current)
 		}
 	}
 }
