--- a/gateway/admin/admin.go
+++ b/gateway/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves operators: health, metrics, and the calls of the
-// basilcross command line.
+// Package admin serves the operators' HTTP API: health checks, metrics, and the
+// calls of the basilcross command line.
 package admin
 
 import (
@@ -26,10 +26,10 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// maxConfigBytes bounds a submitted configuration.
+// maxConfigBytes is the size limit of a submitted configuration.
 const maxConfigBytes = 1 << 20
 
-// Options are what the handler needs; all fields but Pprof must be set.
+// Options configure a Handler; all fields but Pprof must be set.
 type Options struct {
 	Instance string
 	Zone     string
@@ -37,15 +37,16 @@
 	Table    table.Client
 	Leader   *leader.Duty
 	Ready    func() bool
-	// Planning tells whether this instance is the planner.
-	Planning   func(now time.Time) bool
-	Registry   *prometheus.Registry
-	Log        *slog.Logger
+	// Planning reports whether this instance is the planner.
+	Planning func(now time.Time) bool
+	Registry *prometheus.Registry
+	Log      *slog.Logger
+	// Pprof enables the profiles under /debug/pprof/.
 	Pprof      bool
 	Authorizer operator.Gate
 }
 
-// Handler serves the admin address.
+// Handler is the HTTP handler of the admin address.
 type Handler struct {
 	Options
 
@@ -53,7 +54,7 @@
 	configLog configlog.Log
 }
 
-// New returns a handler.
+// New returns a Handler. Options.Authorizer guards /v1/ and /debug/.
 func New(o Options) *Handler {
 	h := &Handler{Options: o, mux: http.NewServeMux(), configLog: configlog.Log{Table: o.Table}}
 	h.mux.HandleFunc("GET /livez", h.livez)
@@ -77,7 +78,7 @@
 	return h
 }
 
-// ServeHTTP serves operators.
+// ServeHTTP routes a request to its call.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.mux.ServeHTTP(w, r)
 }
@@ -94,7 +95,7 @@
 	_, _ = io.WriteString(w, "ok\n")
 }
 
-// Status is what the status call answers.
+// Status is the response of the status call.
 type Status struct {
 	Instance string            `json:"instance"`
 	Zone     string            `json:"zone"`
@@ -115,7 +116,7 @@
 	})
 }
 
-// Owner is what the owner call answers.
+// Owner is the response of the owner call.
 type Owner struct {
 	Service string      `json:"service"`
 	Key     string      `json:"key"`
@@ -200,12 +201,13 @@
 	return config.Parse(content)
 }
 
-// SubmitResponse is what a successful submission answers.
+// SubmitResponse is the response to an accepted configuration.
 type SubmitResponse struct {
 	Version uint64 `json:"version"`
 }
 
-// submitConfig takes a document as the successor of the version in the query.
+// submitConfig accepts a document as the successor of version basedOn. The id
+// makes retries idempotent.
 func (h *Handler) submitConfig(w http.ResponseWriter, r *http.Request) {
 	basedOn, err := strconv.ParseUint(r.FormValue("basedOn"), 10, 64)
 	if err != nil || r.FormValue("id") == "" {
@@ -250,11 +252,11 @@
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(v); err != nil {
-		h.Log.Debug("admin answer", "error", err)
+		h.Log.Debug("write admin response", "error", err)
 	}
 }
 
-// ErrorResponse is the body of a failed call.
+// ErrorResponse is the response body of a failed call.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
@@ -262,6 +264,6 @@
 func (h *Handler) writeError(w http.ResponseWriter, status int, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The status is out already; a failed body write has nobody to tell.
+	// The status is already sent, so a failed write cannot be reported.
 	_ = json.NewEncoder(w).Encode(ErrorResponse{Error: err.Error()})
 }
--- a/gateway/peer/peer.go
+++ b/gateway/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer calls other instances.
+// Package peer makes RPC clients for other instances.
 package peer
 
 import (
@@ -7,10 +7,10 @@
 	"basilcross.example/gateway/control"
 )
 
-// Caller calls instances by their control addresses. Client must be set.
+// Caller makes clients for instances' control addresses. Client must be set.
 type Caller struct {
 	Client *http.Client
-	// TLS is set where control listeners speak TLS.
+	// TLS selects https; it must match the instances' control listeners.
 	TLS bool
 }
 
@@ -21,12 +21,12 @@
 	return "http://" + address
 }
 
-// Zone returns the calls that every instance serves.
+// Zone returns a client for the Zone service, which every instance serves.
 func (c *Caller) Zone(address string) control.Zone {
 	return control.NewZoneProtobufClient(c.baseURL(address), c.Client)
 }
 
-// Planner returns the calls that the planner serves.
+// Planner returns a client for the Planner service, which the planner serves.
 func (c *Caller) Planner(address string) control.Planner {
 	return control.NewPlannerProtobufClient(c.baseURL(address), c.Client)
 }
