--- a/gateway/control/control.twirp.go
+++ b/gateway/control/control.twirp.go
@@ -33,27 +33,27 @@
 
 // Zone is served by every instance; only the zone's leader gives authority.
 type Zone interface {
-	// Poll reports to the zone leader and gets authority and news. The answer
-	// waits until there is news, at most wait_ms.
+	// Poll reports to the zone leader and returns authority and updates. The
+	// response is delayed until there is an update, at most wait_ms.
 	Poll(context.Context, *PollRequest) (*PollResponse, error)
 
-	// Nudge tells a zone leader to read the table now instead of at its next turn.
+	// Nudge makes a zone leader read the table now, before its next interval.
 	Nudge(context.Context, *NudgeRequest) (*NudgeResponse, error)
 
-	// Transact carries out a table transaction for a zone leader that is cut off
-	// from the platform.
+	// Transact executes a table transaction for a zone leader that cannot reach
+	// the platform.
 	Transact(context.Context, *TransactRequest) (*TransactResponse, error)
 
-	// Extend asks the leader of another zone to extend the caller's authority
-	// while the table service is out of reach.
+	// Extend requests an extension of the caller's authority from the leader of
+	// another zone while the table service is unreachable.
 	Extend(context.Context, *ExtendRequest) (*ExtendResponse, error)
 
-	// Beat tells another zone's leader that the caller leads its zone, and what
-	// it has left from the table.
+	// Beat is the heartbeat of a zone's leader to another zone's leader, with the
+	// time left of its lease in the table.
 	Beat(context.Context, *BeatRequest) (*BeatResponse, error)
 
-	// Refrain asks a zone leader to stop extending a seat whose eviction was
-	// announced in the table.
+	// Refrain requests that a zone leader no longer extend a seat whose eviction
+	// was announced in the table.
 	Refrain(context.Context, *RefrainRequest) (*RefrainResponse, error)
 }
 
@@ -1934,7 +1934,7 @@
 
 // Planner is served by the instance that holds the planner's seat.
 type Planner interface {
-	// Report brings what a zone's leader knows.
+	// Report sends the state of a zone, as its leader has recorded it.
 	Report(context.Context, *ReportRequest) (*ReportResponse, error)
 }
 
--- a/gateway/fleet/fleet.twirp.go
+++ b/gateway/fleet/fleet.twirp.go
@@ -33,8 +33,8 @@
 
 // Fleet is served by every instance.
 type Fleet interface {
-	// State returns the instance's copies of the store's tables, for instances
-	// that cannot reach the store.
+	// State returns the contents of the instance's mirrors of the store's tables,
+	// for instances that cannot reach the store.
 	State(context.Context, *StateRequest) (*StateResponse, error)
 }
 
