--- a/gateway/admin/admin.go
+++ b/gateway/admin/admin.go
@@ -38,10 +38,9 @@
 	Leader   *leader.Duty
 	Ready    func() bool
 	// Planning reports whether this instance is the planner.
-	Planning func(now time.Time) bool
-	Registry *prometheus.Registry
-	Log      *slog.Logger
-	// Pprof enables the profiles under /debug/pprof/.
+	Planning   func(now time.Time) bool
+	Registry   *prometheus.Registry
+	Log        *slog.Logger
 	Pprof      bool
 	Authorizer operator.Gate
 }
@@ -206,8 +205,7 @@
 	Version uint64 `json:"version"`
 }
 
-// submitConfig accepts a document as the successor of version basedOn. The id
-// makes retries idempotent.
+// submitConfig accepts a document as the successor of version basedOn.
 func (h *Handler) submitConfig(w http.ResponseWriter, r *http.Request) {
 	basedOn, err := strconv.ParseUint(r.FormValue("basedOn"), 10, 64)
 	if err != nil || r.FormValue("id") == "" {
--- a/gateway/control/control.twirp.go
+++ b/gateway/control/control.twirp.go
@@ -34,7 +34,7 @@
 // Zone is served by every instance; only the zone's leader gives authority.
 type Zone interface {
 	// Poll reports to the zone leader and returns authority and updates. The
-	// response is delayed until there is an update, at most wait_ms.
+	// response is delayed until there is a change, at most wait_ms.
 	Poll(context.Context, *PollRequest) (*PollResponse, error)
 
 	// Nudge makes a zone leader read the table now, before its next interval.
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -57,11 +57,9 @@
 	requestReadTimeout = time.Minute
 	// maxHeaderBytes limits the size of a request's header.
 	maxHeaderBytes = 32 << 10
-	// refreshInterval is how often expired exceptions are removed and unused
-	// lanes are closed.
+	// refreshInterval is how often the housekeeper runs.
 	refreshInterval = time.Second
-	// handOverTimeout limits the writes that release the planner's and the
-	// leader's seats.
+	// handOverTimeout limits the writes that hand over the instance's seats.
 	handOverTimeout = time.Second
 )
 
@@ -83,8 +81,7 @@
 	draining atomic.Bool
 }
 
-// New returns a Daemon with all its parts. It opens no listener. It returns an
-// error for unusable TLS files or an invalid target list.
+// New returns a Daemon. It fails if the TLS files or the target list are invalid.
 func New(s settings.Settings, log *slog.Logger) (*Daemon, error) {
 	d := &Daemon{settings: s, log: log, view: &view.View{Zone: s.Zone}}
 	dialer := &egress.Dialer{Proxy: s.EgressProxy, UserTimeout: userTimeout}
@@ -175,16 +172,14 @@
 func newExternalClient(dialer *egress.Dialer) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext,
-		// With one idle connection, the retry after an unresponsive one uses a
-		// new connection.
+		// With one idle connection, the retry after an unresponsive one opens a new one.
 		MaxIdleConnsPerHost: 1,
 		DisableCompression:  true,
 		IdleConnTimeout:     idleTimeout,
 	}}
 }
 
-// backend is the store of the shared state: the platform, or memory for a single
-// instance.
+// backend stores the shared state: the platform, or memory for a single instance.
 type backend struct {
 	table     table.Client
 	objects   object.Client
--- a/gateway/entry/attempt.go
+++ b/gateway/entry/attempt.go
@@ -95,8 +95,7 @@
 	return &failed{refusal: e, retryWhen: retryOnNewOwner}
 }
 
-// send writes the request to the target and reads the response's header, and
-// its body if that is short.
+// send writes the request to the target and reads the response's header.
 func (f *Front) send(ctx context.Context, c *call, r *route, release func(slot.Result)) outcome {
 	overdue := overdueDelay(r.lane)
 	attemptCtx, cancel := f.attemptContext(ctx, c, overdue)
@@ -206,8 +205,7 @@
 	return noRetry
 }
 
-// sendFailure determines from the error whether the request may have run, and
-// what a retry waits for.
+// sendFailure determines whether a request without a response may have run.
 func (f *Front) sendFailure(ctx context.Context, c *call, r *route, err error, release func(slot.Result)) outcome {
 	release(slot.Failed)
 	var pe *pool.Error
--- a/gateway/entry/call.go
+++ b/gateway/entry/call.go
@@ -19,17 +19,15 @@
 )
 
 const (
-	// maxBufferedBody is the largest body held in memory. A buffered request
-	// can be retried, and a buffered response is complete before its first
-	// byte is forwarded.
+	// maxBufferedBody is the largest body held in memory. Such a request can be
+	// retried; such a response is complete before its first byte is forwarded.
 	maxBufferedBody = 64 << 10
 	// maxOwnerWait limits how long a request waits for its key's next owner.
 	maxOwnerWait = 1500 * time.Millisecond
 	// ownerPollInterval is the longest wait before the current owner is tried
 	// again: its lease may have been renewed without a new assignment.
 	ownerPollInterval = 50 * time.Millisecond
-	// shedBackoff is the mean wait after the first shed attempt; it grows
-	// linearly with each further one.
+	// shedBackoff is the mean wait after the first shed attempt.
 	shedBackoff = 20 * time.Millisecond
 )
 
@@ -120,8 +118,7 @@
 		}
 		c.deadline = min(c.deadline, time.Duration(ms)*time.Millisecond)
 	}
-	// The wait ends before the deadline, so that the refusal can give the
-	// owner as its cause.
+	// The wait ends before the deadline, so that the refusal's cause is the owner.
 	c.ownerWaitEnd = time.Now().Add(min(maxOwnerWait, c.deadline*3/4))
 	return nil
 }
@@ -167,8 +164,7 @@
 	return bytes.NewReader(c.body), int64(len(c.body))
 }
 
-// backOffAfterShed waits after a target had no free slot, longer each time; it
-// returns false if ctx ends first.
+// backOffAfterShed waits after a target had no free slot, longer each time.
 func (c *call) backOffAfterShed(ctx context.Context) bool {
 	c.shedCount++
 	backoff := shedBackoff * time.Duration(c.shedCount)
--- a/gateway/entry/choose.go
+++ b/gateway/entry/choose.go
@@ -79,8 +79,7 @@
 	return r, free
 }
 
-// randomAvailable returns the first target that is not ejected, from a random
-// start; nil if there is none.
+// randomAvailable returns a random target that is not ejected, or nil.
 func (f *Front) randomAvailable(now time.Time, tier []*assignment.Target) (*assignment.Target, *lane.Lane) {
 	if len(tier) == 0 {
 		return nil, nil
--- a/gateway/entry/dedup.go
+++ b/gateway/entry/dedup.go
@@ -7,9 +7,8 @@
 	"basilcross.example/basilcross/refusal"
 )
 
-// IdempotencyKeyHeader is the header with the caller's key for a request that
-// must run at most once. A request with the same key as one still running shares
-// that one's run.
+// IdempotencyKeyHeader has the caller's key for a request that must run at most
+// once. A request with the key of one still running shares that one's run.
 const IdempotencyKeyHeader = "Idempotency-Key"
 
 // sharedRun is a running request whose outcome duplicates wait for.
--- a/gateway/entry/entry.go
+++ b/gateway/entry/entry.go
@@ -1,6 +1,5 @@
-// Package entry is the reverse proxy for callers' requests: it routes each
-// request to a target, retries within limits, and forwards the complete
-// response or a refusal that states whether the request may have run.
+// Package entry proxies callers' requests to targets, with retries, and forwards
+// the complete response or a refusal that states whether the request may have run.
 package entry
 
 import (
--- a/gateway/entry/entry_test.go
+++ b/gateway/entry/entry_test.go
@@ -153,8 +153,7 @@
 	}
 }
 
-// A caller sends a gateway's epoch and hash headers. They must not reach the
-// target, which would trust them.
+// A caller's epoch and hash headers must not reach the target, which trusts them.
 func TestCallersCannotForgeEpochs(t *testing.T) {
 	f := newFixture(t)
 	f.configure()
@@ -165,9 +164,8 @@
 	assert.Equal(t, content, fmt.Sprintf("1%x", shard.Hash("menus", "k")))
 }
 
-// The target receives the request and closes the connection. A request that is
-// not idempotent is sent once and its outcome reported as unknown; an idempotent
-// one is retried.
+// The target closes the connection after it received the request. An idempotent
+// request is retried; any other is sent once, and its outcome is unknown.
 func TestOnlyIdempotentRequestsAreRetriedAfterLostResponse(t *testing.T) {
 	f := newFixture(t)
 	f.configure()
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -67,8 +67,7 @@
 	return v.current.Load()
 }
 
-// publish makes s the current snapshot and wakes those that wait for a change.
-// The caller holds mu.
+// publish makes s the current snapshot. The caller holds mu.
 func (v *View) publish(s *Snapshot) {
 	s.changed = make(chan struct{})
 	s.Changed = s.changed
@@ -155,8 +154,7 @@
 	return Kind{Idempotent: found.Idempotent, Rules: s.Config.Resolve(query, time.Now())}, true
 }
 
-// ApplyDelta puts the next version of an assignment in force. A delta to a
-// version that is not newer is ignored.
+// ApplyDelta puts a newer version of an assignment in force; older ones are ignored.
 func (v *View) ApplyDelta(d assignment.Delta) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
