--- a/gateway/admin/admin.go
+++ b/gateway/admin/admin.go
@@ -35,7 +35,7 @@
 	Zone     string
 	View     *view.View
 	Table    table.Client
-	Leader   *leader.Duty
+	Leader   *leader.Leader
 	Ready    func() bool
 	// Planning reports whether this instance is the planner.
 	Planning   func(now time.Time) bool
@@ -157,7 +157,7 @@
 		return
 	}
 	doc, err := h.configLog.Version(r.Context(), version)
-	var missing *configlog.MissingError
+	var missing *configlog.NotFoundError
 	switch {
 	case errors.As(err, &missing):
 		h.writeError(w, http.StatusNotFound, err)
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -69,10 +69,10 @@
 	log      *slog.Logger
 	view     *view.View
 	lanes    *lane.Set
-	leader   *leader.Duty
-	planner  *planner.Duty
-	follower *follower.Duty
-	renewer  *renewer.Duty
+	leader   *leader.Leader
+	planner  *planner.Planner
+	follower *follower.Follower
+	renewer  *renewer.Renewer
 	front    http.Handler
 	admin    http.Handler
 	control  http.Handler
@@ -93,8 +93,8 @@
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	d.lanes = &lane.Set{Dial: dialer.DialContext}
-	auth := &authority.Cell{}
-	loads := &heat.Sum{}
+	auth := &authority.Authority{}
+	loads := &heat.Collector{}
 	d.tlsFiles = &keys.Files{Certificate: s.TLSCert, Key: s.TLSKey, Authority: s.TLSAuthority}
 	if err := d.tlsFiles.Check(); err != nil {
 		return nil, err
@@ -117,17 +117,17 @@
 	return d, nil
 }
 
-func (d *Daemon) buildTasks(b *backend, external *http.Client, peers *peer.Caller, auth *authority.Cell, loads *heat.Sum) {
+func (d *Daemon) buildTasks(b *backend, external *http.Client, peers *peer.Caller, auth *authority.Authority, loads *heat.Collector) {
 	s := d.settings
 	incarnation := rand.Text()
 	d.renewer = renewer.New(renewer.Options{
 		Instance: s.Instance, View: d.view, Authority: auth,
 		Caller: &renewer.HTTPCaller{Client: external}, Log: d.log,
 	})
-	d.follower = &follower.Duty{
-		Instance: s.Instance, Incarnation: incarnation, Address: s.Address(), Zone: s.Zone, Peers: s.Peers,
-		View: d.view, Authority: auth, Renewer: d.renewer, Loads: loads, Calls: peers, Log: d.log,
-		Hint: func(now time.Time, term, renewals uint64, left time.Duration) {
+	d.follower = &follower.Follower{
+		Instance: s.Instance, Incarnation: incarnation, Address: s.Address(), Zone: s.Zone, PeerAddresses: s.Peers,
+		View: d.view, Authority: auth, Renewer: d.renewer, Loads: loads, Caller: peers, Log: d.log,
+		OnRenewal: func(now time.Time, term, renewals uint64, left time.Duration) {
 			d.leader.Hint(now, term, renewals, left)
 		},
 	}
@@ -135,20 +135,20 @@
 		Direct: b.table, Calls: peers, Log: d.log,
 		Peers: func() []string { return d.leader.OtherLeaders() },
 	}
-	evictions := &evictor.Evictor{Instance: s.Instance, Table: relayed, Peers: peers, Token: rand.Text, Log: d.log}
+	evictions := &evictor.Evictor{Instance: s.Instance, Table: relayed, Peers: peers, NewToken: rand.Text, Log: d.log}
 	d.table = relayed
 	d.planner = planner.New(planner.Options{
 		Instance: s.Instance, Incarnation: incarnation, Address: s.Address(),
-		Table: relayed, Objects: b.objects, View: d.view, Peers: peers, Log: d.log, Token: rand.Text,
-		Evictor:   evictions,
-		Instances: b.instances,
-		Leading:   func(now time.Time) bool { return d.leader.Leading(now) },
-		Unheard:   func() bool { return d.leader.PlannerSilent() },
+		Table: relayed, Objects: b.objects, View: d.view, Peers: peers, Log: d.log, NewToken: rand.Text,
+		Evictor:             evictions,
+		Instances:           b.instances,
+		Leading:             func(now time.Time) bool { return d.leader.Leading(now) },
+		PlannerUnresponsive: func() bool { return d.leader.PlannerUnresponsive() },
 	})
 	d.leader = leader.New(leader.Options{
 		Instance: s.Instance, Incarnation: incarnation, Address: s.Address(), Zone: s.Zone,
 		Table: relayed, Direct: b.table, Evictor: evictions, Objects: b.objects, View: d.view, Follower: d.follower, Authority: auth,
-		Planner: d.planner, Peers: peers, Log: d.log, Token: rand.Text,
+		Planner: d.planner, Peers: peers, Log: d.log, NewToken: rand.Text,
 	})
 }
 
@@ -188,7 +188,7 @@
 
 func newBackend(s settings.Settings, client *http.Client, log *slog.Logger) (*backend, error) {
 	if s.Platform != "" {
-		c := &platform.Client{Base: s.Platform, HTTP: client}
+		c := &platform.Client{BaseURL: s.Platform, HTTPClient: client}
 		return &backend{table: c, objects: c, instances: c.Instances}, nil
 	}
 	targets, err := s.ListedTargets()
@@ -251,7 +251,7 @@
 	root.Add(d.leader)
 	root.Add(&leader.Extender{Leader: d.leader})
 	root.Add(&leader.Reporter{Leader: d.leader})
-	root.Add(&leader.Beater{Leader: d.leader})
+	root.Add(&leader.HeartbeatSender{Leader: d.leader})
 	root.Add(d.planner)
 	root.Add(d.follower)
 	root.Add(d.renewer)
@@ -358,7 +358,7 @@
 					current[id] = true
 				}
 			}
-			h.lanes.Keep(current)
+			h.lanes.Retain(current)
 		}
 	}
 }
--- a/gateway/entry/attempt.go
+++ b/gateway/entry/attempt.go
@@ -55,8 +55,8 @@
 }
 
 func queueFailure(err error) *failed {
-	var full *slot.FullError
-	var late *slot.LateError
+	var full *slot.QueueFullError
+	var late *slot.WaitTooLongError
 	if errors.As(err, &full) || errors.As(err, &late) {
 		e := refusal.New(refusal.QueueFull, "too many requests wait for the target")
 		e.RetryAfter = time.Second
@@ -86,7 +86,7 @@
 		// now, and the planner waits until all have stopped.
 		return nil, newOwnerFailure(refusal.OwnerMoving, "the key is moving to another target")
 	}
-	return &route{lane: f.Lanes.To(target), target: target, epoch: sh.Epoch, snapshot: s}, nil
+	return &route{lane: f.Lanes.Get(target), target: target, epoch: sh.Epoch, snapshot: s}, nil
 }
 
 func newOwnerFailure(cause refusal.Cause, detail string) *failed {
@@ -102,15 +102,15 @@
 	body, length := c.newBodyReader()
 	c.streamSent = c.streamSent || !c.buffered
 	req := &pool.Request{
-		Method:   c.method,
-		Target:   c.uri,
-		Host:     c.host,
-		Header:   c.header,
-		Body:     body,
-		Length:   length,
-		Proved:   !c.kind.Idempotent,
-		Patience: overdue,
-		Before:   func(now time.Time) error { return f.checkAuthority(now, r) },
+		Method:        c.method,
+		RequestURI:    c.uri,
+		Host:          c.host,
+		Header:        c.header,
+		Body:          body,
+		ContentLength: length,
+		RequireFresh:  !c.kind.Idempotent,
+		OverdueAfter:  overdue,
+		BeforeSend:    func(now time.Time) error { return f.checkAuthority(now, r) },
 	}
 	f.setTargetHeaders(req.Header, ctx, c, r)
 	res, err := r.lane.Pool.Do(attemptCtx, req)
@@ -118,7 +118,7 @@
 		cancel()
 		return f.sendFailure(ctx, c, r, err, release)
 	}
-	if reason := grant.Refused(res.Header.Get(grant.RefusedHeader)); reason != "" {
+	if reason := grant.RefusalReason(res.Header.Get(grant.RefusedHeader)); reason != "" {
 		_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxBufferedBody))
 		_ = res.Body.Close()
 		cancel()
@@ -128,7 +128,7 @@
 		_ = res.Body.Close()
 		cancel()
 		if complete {
-			r.lane.Succeeded()
+			r.lane.RecordSuccess()
 			release(slot.Answered)
 			return
 		}
@@ -191,8 +191,8 @@
 	out.done(err == nil)
 	if err != nil {
 		event.AnswerCut.Log(f.Log, "target", r.target.ID, "error", err)
-		r.lane.Failed(time.Now())
-		return &failed{refusal: refusal.Doubt(refusal.AnswerCut, "the target's answer ended early"), retryWhen: c.retryIfBuffered()}
+		r.lane.RecordFailure(time.Now())
+		return &failed{refusal: refusal.NewUnknown(refusal.AnswerCut, "the target's answer ended early"), retryWhen: c.retryIfBuffered()}
 	}
 	out.body, out.buffered = body, true
 	return out
@@ -210,7 +210,7 @@
 	release(slot.Failed)
 	var pe *pool.Error
 	if !errors.As(err, &pe) {
-		return &failed{refusal: refusal.Doubt(refusal.TargetSilent, err.Error())}
+		return &failed{refusal: refusal.NewUnknown(refusal.TargetSilent, err.Error())}
 	}
 	if errors.Is(err, errNoAuthority) {
 		return newOwnerFailure(refusal.NoAuthority, errNoAuthority.Error())
@@ -227,9 +227,9 @@
 	case !pe.Wrote:
 		return &failed{refusal: refusal.New(refusal.ConnectFailed, "the connection broke before anything was sent"), retryWhen: c.retryIfBuffered()}
 	case isDeadlineExceeded(pe.Cause):
-		return &failed{refusal: refusal.Doubt(refusal.TargetSilent, "the target gave no answer in time"), retryWhen: c.retryIfBuffered()}
+		return &failed{refusal: refusal.NewUnknown(refusal.TargetSilent, "the target gave no answer in time"), retryWhen: c.retryIfBuffered()}
 	default:
-		return &failed{refusal: refusal.Doubt(refusal.AnswerCut, "the connection broke before the answer"), retryWhen: c.retryIfBuffered()}
+		return &failed{refusal: refusal.NewUnknown(refusal.AnswerCut, "the connection broke before the answer"), retryWhen: c.retryIfBuffered()}
 	}
 }
 
@@ -246,15 +246,15 @@
 	now := time.Now()
 	if pe.Stage == pool.Waiting && isDeadlineExceeded(pe.Cause) {
 		event.TargetSilent.Log(f.Log, "target", r.target.ID)
-		r.lane.Pool.Suspect(now)
+		r.lane.Pool.Invalidate(now)
 	}
-	if r.lane.Failed(now) {
+	if r.lane.RecordFailure(now) {
 		event.TargetEjected.Log(f.Log, "target", r.target.ID)
 	}
 }
 
 // refusedByTarget handles a target's report that the request did not run.
-func refusedByTarget(reason grant.Refused, res *http.Response, release func(slot.Result)) *failed {
+func refusedByTarget(reason grant.RefusalReason, res *http.Response, release func(slot.Result)) *failed {
 	switch reason {
 	case grant.Shed:
 		release(slot.Shed)
--- a/gateway/entry/choose.go
+++ b/gateway/entry/choose.go
@@ -40,7 +40,7 @@
 }
 
 func (f *Front) routeTo(s *view.Snapshot, t *assignment.Target) *route {
-	return &route{lane: f.Lanes.To(t), target: t, snapshot: s}
+	return &route{lane: f.Lanes.Get(t), target: t, snapshot: s}
 }
 
 // groupByDistance groups targets by this zone, this region and other regions.
@@ -87,7 +87,7 @@
 	start := rand.IntN(len(tier))
 	for i := range tier {
 		t := tier[(start+i)%len(tier)]
-		if l := f.Lanes.To(t); !l.Ejected(now) {
+		if l := f.Lanes.Get(t); !l.Ejected(now) {
 			return t, l
 		}
 	}
--- a/gateway/entry/dedup.go
+++ b/gateway/entry/dedup.go
@@ -58,10 +58,10 @@
 	select {
 	case <-s.done:
 	case <-ctx.Done():
-		return &failed{refusal: refusal.Doubt(refusal.CallerGone, "the caller has gone away")}
+		return &failed{refusal: refusal.NewUnknown(refusal.CallerGone, "the caller has gone away")}
 	}
 	if out, ok := s.outcome.(*answered); ok && !out.buffered {
-		return &failed{refusal: refusal.Doubt(refusal.DuplicateRunning, "the same request was answered on another connection")}
+		return &failed{refusal: refusal.NewUnknown(refusal.DuplicateRunning, "the same request was answered on another connection")}
 	}
 	return s.outcome
 }
--- a/gateway/entry/entry.go
+++ b/gateway/entry/entry.go
@@ -23,9 +23,9 @@
 	Zone      string
 	Region    string
 	View      *view.View
-	Authority *authority.Cell
+	Authority *authority.Authority
 	Lanes     *lane.Set
-	Heat      *heat.Sum
+	Heat      *heat.Collector
 	Metrics   *Metrics
 	Log       *slog.Logger
 }
@@ -103,7 +103,7 @@
 		out := f.attempt(ctx, c)
 		last, isFailed := out.(*failed)
 		if !isFailed {
-			f.budget(c.service).Earn()
+			f.budget(c.service).Deposit()
 			return out
 		}
 		unknown = unknown || last.refusal.Outcome == refusal.Unknown
@@ -139,7 +139,7 @@
 		}
 	case retryNow:
 	}
-	return attempt < *c.kind.Rules.Retries && f.budget(c.service).Take()
+	return attempt < *c.kind.Rules.Retries && f.budget(c.service).TryWithdraw()
 }
 
 // awaitOwner waits for a newer snapshot than the one of the failed attempt, or
--- a/gateway/entry/entry_test.go
+++ b/gateway/entry/entry_test.go
@@ -32,7 +32,7 @@
 type fixture struct {
 	t         testing.TB
 	view      view.View
-	authority authority.Cell
+	authority authority.Authority
 	url       string
 }
 
@@ -40,7 +40,7 @@
 	t.Helper()
 	f := &fixture{t: t, view: view.View{Zone: "graz"}}
 	front := entry.New(entry.Options{
-		Zone: "graz", Region: "ost", View: &f.view, Authority: &f.authority, Lanes: &lane.Set{}, Heat: &heat.Sum{},
+		Zone: "graz", Region: "ost", View: &f.view, Authority: &f.authority, Lanes: &lane.Set{}, Heat: &heat.Collector{},
 		Metrics: entry.NewMetrics(prometheus.NewRegistry()), Log: slog.New(slog.DiscardHandler),
 	})
 	s := httptest.NewServer(front)
@@ -59,7 +59,7 @@
 	}
 	assert.NilError(f.t, f.view.SetConfig(&config.Document{
 		Version:  1,
-		Services: []config.Service{{Name: "menus", Divided: true}},
+		Services: []config.Service{{Name: "menus", Sharded: true}},
 		Kinds:    []config.Kind{kind("lists", true), kind("entry", false)},
 	}))
 }
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -137,7 +137,7 @@
 		s.kinds[scope] = &Kind{Idempotent: k.Idempotent, Rules: s.Config.Resolve(query, now)}
 	}
 	for _, e := range s.Config.Exceptions {
-		s.hasKeyExceptions = s.hasKeyExceptions || e.Scope.Key != "" && e.Live(now)
+		s.hasKeyExceptions = s.hasKeyExceptions || e.Scope.Key != "" && e.ActiveAt(now)
 	}
 }
 
