--- a/gateway/entry/attempt.go
+++ b/gateway/entry/attempt.go
@@ -19,16 +19,15 @@
 )
 
 const (
-	// minAttemptTime is the least time given to one attempt of a repeatable
-	// request.
+	// minAttemptTime is the shortest timeout of an attempt that may be retried.
 	minAttemptTime = 100 * time.Millisecond
-	// minOverdueDelay and overdueFactor say when an answer is overdue: after
-	// the longer of a fixed time and a multiple of the usual.
+	// A response is overdue after the longer of minOverdueDelay and
+	// overdueFactor times the target's normal latency.
 	minOverdueDelay = 250 * time.Millisecond
 	overdueFactor   = 10
 )
 
-// route is where one attempt goes.
+// route is the destination of one attempt.
 type route struct {
 	lane     *lane.Lane
 	target   *assignment.Target
@@ -36,12 +35,12 @@
 	snapshot *view.Snapshot
 }
 
-// attempt sends the request once.
+// attempt routes the request, waits for a slot and sends it once.
 func (f *Front) attempt(ctx context.Context, c *call) outcome {
-	seen := f.View.Load()
-	r, fail := f.route(seen, c)
+	snapshot := f.View.Load()
+	r, fail := f.route(snapshot, c)
 	if fail != nil {
-		fail.snapshot = seen
+		fail.snapshot = snapshot
 		return fail
 	}
 	release, err := r.lane.Slots.Acquire(ctx, *c.kind.Rules.Priority)
@@ -50,7 +49,7 @@
 	}
 	out := f.send(ctx, c, r, release)
 	if last, ok := out.(*failed); ok {
-		last.snapshot = seen
+		last.snapshot = snapshot
 	}
 	return out
 }
@@ -66,7 +65,7 @@
 	return &failed{refusal: refusal.New(refusal.DeadlinePassed, "the deadline passed while waiting for a slot")}
 }
 
-// route finds the target of the request.
+// route returns the target of the request, or why there is none.
 func (f *Front) route(s *view.Snapshot, c *call) (*route, *failed) {
 	service := s.Services[c.service]
 	if service == nil {
@@ -82,9 +81,9 @@
 		return nil, newOwnerFailure(refusal.NoOwner, "the key has no owner at present")
 	}
 	if sh.MovingTo != "" && !target.Fenced {
-		// It would not refuse what comes late, and this gateway cannot know
-		// when the next owner begins. Every gateway stops now, and the planner
-		// waits until all have.
+		// An unfenced target does not refuse late requests, and this gateway
+		// cannot determine when the next owner starts. Every gateway stops
+		// now, and the planner waits until all have stopped.
 		return nil, newOwnerFailure(refusal.OwnerMoving, "the key is moving to another target")
 	}
 	return &route{lane: f.Lanes.Get(target), target: target, epoch: sh.Epoch, snapshot: s}, nil
@@ -96,7 +95,7 @@
 	return &failed{refusal: e, retryWhen: retryOnNewOwner}
 }
 
-// send writes the request to the target and reads the answer's head.
+// send writes the request to the target and reads the response's header.
 func (f *Front) send(ctx context.Context, c *call, r *route, release func(slot.Result)) outcome {
 	overdue := overdueDelay(r.lane)
 	attemptCtx, cancel := f.attemptContext(ctx, c, overdue)
@@ -125,10 +124,10 @@
 		cancel()
 		return refusedByTarget(reason, res, release)
 	}
-	out := &answered{response: res, done: func(whole bool) {
+	out := &answered{response: res, done: func(complete bool) {
 		_ = res.Body.Close()
 		cancel()
-		if whole {
+		if complete {
 			r.lane.RecordSuccess()
 			release(slot.Answered)
 			return
@@ -138,9 +137,9 @@
 	return f.bufferResponse(c, r, out)
 }
 
-// attemptContext leaves time for another attempt where one is allowed: a
-// connection that went silent must not eat up the whole deadline. The attempt
-// is given up at twice the time at which the answer is overdue.
+// attemptContext leaves time for a retry where one is allowed, so that an
+// unresponsive connection does not use up the whole deadline. The attempt times
+// out at twice the overdue delay.
 func (f *Front) attemptContext(ctx context.Context, c *call, overdue time.Duration) (context.Context, context.CancelFunc) {
 	deadline, _ := ctx.Deadline()
 	left := time.Until(deadline)
@@ -150,13 +149,13 @@
 	return context.WithTimeout(ctx, min(left/2, 2*overdue))
 }
 
-// overdueDelay is when a target's answer is later than its usual time explains.
+// overdueDelay returns the time after which a target's response is overdue.
 func overdueDelay(l *lane.Lane) time.Duration {
-	usual := time.Duration(l.Slots.State().Latency * float64(time.Second))
-	return max(minOverdueDelay, overdueFactor*usual)
+	normal := time.Duration(l.Slots.State().Latency * float64(time.Second))
+	return max(minOverdueDelay, overdueFactor*normal)
 }
 
-// setTargetHeaders tells the target what the request is meant for.
+// setTargetHeaders sets the epoch, the key's hash and the remaining time in ms.
 func (f *Front) setTargetHeaders(h http.Header, ctx context.Context, c *call, r *route) {
 	if r.epoch != 0 {
 		h.Set(grant.EpochHeader, strconv.FormatUint(r.epoch, 10))
@@ -168,12 +167,12 @@
 	}
 }
 
-// errNoAuthority stops a request to a target that does not check.
+// errNoAuthority stops a request to an unfenced target.
 var errNoAuthority = errors.New("this instance has no authority to route to the target")
 
-// checkAuthority is asked immediately before the first byte leaves. A target that
-// checks is safe by its own lease; for others this instance's authority is all
-// that keeps a request from a former owner.
+// checkAuthority runs immediately before the first byte is written. A fenced
+// target protects itself by its own lease; for an unfenced one, only this
+// instance's authority prevents requests to a former owner.
 func (f *Front) checkAuthority(now time.Time, r *route) error {
 	if r.epoch == 0 || r.target.Fenced || f.Authority.Lease().Valid(now) {
 		return nil
@@ -181,8 +180,8 @@
 	return errNoAuthority
 }
 
-// bufferResponse reads a short answer to its end, so that one cut short is found out
-// before the caller has seen a byte of it.
+// bufferResponse reads a short response completely, so that a truncated one is
+// detected before the caller receives any of it.
 func (f *Front) bufferResponse(c *call, r *route, out *answered) outcome {
 	res := out.response
 	if res.ContentLength < 0 || res.ContentLength > maxBufferedBody || c.method == http.MethodHead {
@@ -206,7 +205,7 @@
 	return noRetry
 }
 
-// sendFailure says what a request without an answer proves.
+// sendFailure determines whether a request without a response may have run.
 func (f *Front) sendFailure(ctx context.Context, c *call, r *route, err error, release func(slot.Result)) outcome {
 	release(slot.Failed)
 	var pe *pool.Error
@@ -234,8 +233,8 @@
 	}
 }
 
-// retryAfterDialFailure waits for another owner where there is only one, and tries
-// another target otherwise.
+// retryAfterDialFailure waits for the next owner of a sharded service's key;
+// otherwise another target can be tried now.
 func (c *call) retryAfterDialFailure(r *route) retryCondition {
 	if r.epoch != 0 {
 		return retryOnNewOwner
@@ -254,7 +253,7 @@
 	}
 }
 
-// refusedByTarget handles a target's own word that the request did not run.
+// refusedByTarget handles a target's report that the request did not run.
 func refusedByTarget(reason grant.RefusalReason, res *http.Response, release func(slot.Result)) *failed {
 	switch reason {
 	case grant.Shed:
--- a/gateway/entry/call.go
+++ b/gateway/entry/call.go
@@ -19,15 +19,16 @@
 )
 
 const (
-	// maxBufferedBody is the largest body held in memory, which makes a request
-	// repeatable and an answer complete before its first byte is passed on.
+	// maxBufferedBody is the largest body held in memory. Such a request can be
+	// retried; such a response is complete before its first byte is forwarded.
 	maxBufferedBody = 64 << 10
-	// maxOwnerWait bounds the time that a request waits for its key's next owner.
+	// maxOwnerWait limits how long a request waits for its key's next owner.
 	maxOwnerWait = 1500 * time.Millisecond
-	// ownerPollInterval is the longest wait before the present owner is asked again:
-	// its lease may have come back without a new assignment.
+	// ownerPollInterval is the longest wait before the current owner is tried
+	// again: its lease may have been renewed without a new assignment.
 	ownerPollInterval = 50 * time.Millisecond
-	shedBackoff       = 20 * time.Millisecond
+	// shedBackoff is the mean wait after the first shed attempt.
+	shedBackoff = 20 * time.Millisecond
 )
 
 // call is one caller's request.
@@ -38,7 +39,7 @@
 	keyHash  uint64
 	kind     view.Kind
 	deadline time.Duration
-	// ownerWaitEnd is when waiting for an owner ends.
+	// ownerWaitEnd is the end of the time to wait for an owner.
 	ownerWaitEnd time.Time
 	shedCount    int
 
@@ -46,19 +47,19 @@
 	uri    string
 	host   string
 	header http.Header
-	// body is complete if buffered; else the caller's body is streamed, and
-	// the request can be sent once only.
+	// body is complete if buffered; otherwise bodyStream is the caller's body,
+	// and the request can be sent only once.
 	body          []byte
 	buffered      bool
 	bodyStream    io.Reader
 	contentLength int64
 	streamSent    bool
-	// cancel ends what the call still holds, after its answer was passed on.
+	// cancel releases the call's resources after its response was forwarded.
 	cancel context.CancelFunc
 }
 
-// readCall reads what there is to know of a request before it is sent anywhere.
-// The call is usable for metrics also with a refusal.
+// readCall validates a request and reads its limits, key and body. The call can
+// be used for metrics even if the request is refused.
 func (f *Front) readCall(r *http.Request) (*call, *refusal.Error) {
 	c := &call{
 		service:       r.PathValue("service"),
@@ -107,7 +108,7 @@
 	return refused
 }
 
-// setDeadline takes the kind's deadline, or the caller's if that is shorter.
+// setDeadline sets the shorter of the kind's and the caller's deadline.
 func (c *call) setDeadline(r *http.Request) *refusal.Error {
 	c.deadline = time.Duration(*c.kind.Rules.Deadline)
 	if text := r.Header.Get(grant.DeadlineHeader); text != "" {
@@ -117,7 +118,7 @@
 		}
 		c.deadline = min(c.deadline, time.Duration(ms)*time.Millisecond)
 	}
-	// Given up with time left, the refusal can name the owner as its cause.
+	// The wait ends before the deadline, so that the refusal's cause is the owner.
 	c.ownerWaitEnd = time.Now().Add(min(maxOwnerWait, c.deadline*3/4))
 	return nil
 }
@@ -152,7 +153,7 @@
 	return refusal.New(refusal.BadRequest, "the body could not be read: "+err.Error())
 }
 
-// newBodyReader returns the body for one sending, and the length to announce.
+// newBodyReader returns the body for one attempt and its content length.
 func (c *call) newBodyReader() (io.Reader, int64) {
 	if !c.buffered {
 		return c.bodyStream, c.contentLength
@@ -163,11 +164,11 @@
 	return bytes.NewReader(c.body), int64(len(c.body))
 }
 
-// backOffAfterShed pauses after a target had no slot; longer each time.
+// backOffAfterShed waits after a target had no free slot, longer each time.
 func (c *call) backOffAfterShed(ctx context.Context) bool {
 	c.shedCount++
-	pause := shedBackoff * time.Duration(c.shedCount)
-	timer := time.NewTimer(pause/2 + rand.N(pause))
+	backoff := shedBackoff * time.Duration(c.shedCount)
+	timer := time.NewTimer(backoff/2 + rand.N(backoff))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -177,8 +178,8 @@
 	}
 }
 
-// forwardedHeader returns the headers to pass on. Headers by which targets know what
-// a gateway says are never taken from callers.
+// forwardedHeader returns the header to forward. Fields by which targets trust
+// gateways are removed, so that callers cannot forge them.
 func forwardedHeader(r *http.Request) http.Header {
 	h := r.Header.Clone()
 	hop.Remove(h)
--- a/gateway/entry/choose.go
+++ b/gateway/entry/choose.go
@@ -10,17 +10,17 @@
 	"basilcross.example/gateway/view"
 )
 
-// chooseTarget picks a target of an undivided service: in this zone if one has room,
-// else in this region, else across the link.
+// chooseTarget picks a target of an unsharded service: one with a free slot in
+// this zone, else in this region, else in another region.
 func (f *Front) chooseTarget(s *view.Snapshot, service *view.Service) (*route, *failed) {
 	now := time.Now()
 	var best *route
 	for _, tier := range f.groupByDistance(service.Active) {
-		r, room := f.pickLessLoaded(now, s, tier)
+		r, free := f.pickLessLoaded(now, s, tier)
 		if r == nil {
 			continue
 		}
-		if room {
+		if free {
 			return r, nil
 		}
 		if best == nil {
@@ -35,7 +35,7 @@
 		e.RetryAfter = time.Second
 		return nil, &failed{refusal: e, retryWhen: retryOnNewOwner}
 	}
-	// Every target is ejected: trying one is better than refusing all.
+	// Every target is ejected: trying one is better than refusing all requests.
 	return f.routeTo(s, service.Active[rand.IntN(len(service.Active))]), nil
 }
 
@@ -43,7 +43,7 @@
 	return &route{lane: f.Lanes.Get(t), target: t, snapshot: s}
 }
 
-// groupByDistance groups targets by nearness.
+// groupByDistance groups targets by this zone, this region and other regions.
 func (f *Front) groupByDistance(targets []*assignment.Target) [3][]*assignment.Target {
 	var tiers [3][]*assignment.Target
 	for _, t := range targets {
@@ -59,26 +59,27 @@
 	return tiers
 }
 
-// pickLessLoaded returns the less loaded of two random targets that are not ejected,
-// and whether it has room now.
-func (f *Front) pickLessLoaded(now time.Time, s *view.Snapshot, tier []*assignment.Target) (r *route, room bool) {
+// pickLessLoaded returns the less loaded of two random targets that are not
+// ejected, and whether it has a free slot now.
+func (f *Front) pickLessLoaded(now time.Time, s *view.Snapshot, tier []*assignment.Target) (r *route, free bool) {
 	least := 0.0
 	for range 2 {
 		t, l := f.randomAvailable(now, tier)
 		if t == nil {
-			return r, room
+			return r, free
 		}
 		state := l.Slots.State()
 		load := float64(state.InFlight+state.Waiting+1) / max(state.Limit, 0.01)
 		if r == nil || load < least {
 			r = &route{lane: l, target: t, snapshot: s}
-			room = load <= 1 || state.InFlight == 0
+			free = load <= 1 || state.InFlight == 0
 			least = load
 		}
 	}
-	return r, room
+	return r, free
 }
 
+// randomAvailable returns a random target that is not ejected, or nil.
 func (f *Front) randomAvailable(now time.Time, tier []*assignment.Target) (*assignment.Target, *lane.Lane) {
 	if len(tier) == 0 {
 		return nil, nil
--- a/gateway/entry/metrics.go
+++ b/gateway/entry/metrics.go
@@ -8,15 +8,15 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics counts requests. Labels are names of the configuration and fixed
-// words, so their number is bounded.
+// Metrics counts requests and retries. Label values come from the configuration
+// and from fixed sets, which bounds the number of series.
 type Metrics struct {
 	requests  *prometheus.CounterVec
 	retries   *prometheus.CounterVec
 	durations *prometheus.HistogramVec
 }
 
-// NewMetrics returns metrics registered at r.
+// NewMetrics returns Metrics whose collectors are registered with r.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -37,14 +37,14 @@
 	return m
 }
 
-func (m *Metrics) answered(c *call, status int, began time.Time) {
+func (m *Metrics) answered(c *call, status int, start time.Time) {
 	m.requests.WithLabelValues(c.service, c.kindName, "answered", strconv.Itoa(status/100)+"xx").Inc()
-	m.durations.WithLabelValues(c.service, c.kindName).Observe(time.Since(began).Seconds())
+	m.durations.WithLabelValues(c.service, c.kindName).Observe(time.Since(start).Seconds())
 }
 
-func (m *Metrics) refused(c *call, e *refusal.Error, began time.Time) {
+func (m *Metrics) refused(c *call, e *refusal.Error, start time.Time) {
 	m.requests.WithLabelValues(c.service, c.kindName, string(e.Outcome), e.Cause.String()).Inc()
-	m.durations.WithLabelValues(c.service, c.kindName).Observe(time.Since(began).Seconds())
+	m.durations.WithLabelValues(c.service, c.kindName).Observe(time.Since(start).Seconds())
 }
 
 func (m *Metrics) retried(c *call, cause refusal.Cause) {
