--- a/basilcross/promise/promise.go
+++ b/basilcross/promise/promise.go
@@ -71,7 +71,7 @@
 	if b.promised == nil {
 		b.promised = map[string]time.Time{}
 	}
-	b.promised[r.Zone] = now.Add(lease.Wait(seat.Hold))
+	b.promised[r.Zone] = now.Add(lease.Wait(seat.LeaseDuration))
 	return true
 }
 
--- a/gateway/evictor/evictor.go
+++ b/gateway/evictor/evictor.go
@@ -45,8 +45,8 @@
 func (e *Evictor) Step(ctx context.Context, lock sync.Locker, s *seat.Seat, others []seat.Record) bool {
 	lock.Lock()
 	record, version := s.Record()
-	tableEnd := s.TableEnd()
-	limit := s.LimitPassed(time.Now())
+	tableEnd := s.TableLeaseEnd()
+	limit := s.OutageLimitPassed(time.Now())
 	lock.Unlock()
 	if limit {
 		return true
@@ -79,7 +79,7 @@
 // a lost answer costs only time.
 func (e *Evictor) intend(ctx context.Context, lock sync.Locker, s *seat.Seat) {
 	lock.Lock()
-	tx, err := s.Intend(time.Now(), e.Token(), e.Instance)
+	tx, err := s.DeclareIntent(time.Now(), e.Token(), e.Instance)
 	lock.Unlock()
 	if err != nil {
 		e.Log.Error("eviction intent", "seat", s.Name, "error", err)
@@ -106,7 +106,7 @@
 	}
 	record, _ := s.Record()
 	event.EvictionBegan.Log(e.Log, "seat", s.Name, "term", record.Term, "committed", res.Committed, "holder", record.Holder,
-		"unchangedMs", s.Silence(now).Milliseconds(), "told", s.Hinted(), "authorityLeftMs", s.TableEnd().Sub(now).Milliseconds())
+		"unchangedMs", s.UnchangedFor(now).Milliseconds(), "told", s.HasHint(), "authorityLeftMs", s.TableLeaseEnd().Sub(now).Milliseconds())
 }
 
 // ask asks every leader that has not confirmed yet.
@@ -117,7 +117,7 @@
 	var group errgroup.Group
 	version := attempt.Version()
 	for _, r := range others {
-		if r.Address == "" || attempt.Has(r.Zone) {
+		if r.Address == "" || attempt.HasConfirmed(r.Zone) {
 			continue
 		}
 		group.Go(func() error {
@@ -128,7 +128,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			attempt.Confirmed(time.Now(), r.Zone, version, time.Duration(res.GetLeftMs())*time.Millisecond)
+			attempt.Confirm(time.Now(), r.Zone, version, time.Duration(res.GetLeftMs())*time.Millisecond)
 			return nil
 		})
 	}
--- a/gateway/leader/absorb.go
+++ b/gateway/leader/absorb.go
@@ -72,7 +72,7 @@
 
 // watchSeat keeps what was last read of every zone's seat.
 func (d *Duty) watchSeat(now time.Time, row table.Row) {
-	name, ok := seat.NameOf(row.Key)
+	name, ok := seat.NameFromRowKey(row.Key)
 	if !ok || name == planner.SeatName {
 		return
 	}
@@ -92,8 +92,8 @@
 	r, _ := d.seat.Record()
 	switch {
 	case after && d.zone == nil:
-		d.zone = &zone.Leader{Zone: d.Zone, UnknownUntil: d.seat.UnknownUntil()}
-		d.book = &promise.Book{ConfirmFrom: time.Now().Add(lease.Wait(seat.Hold))}
+		d.zone = &zone.Leader{Zone: d.Zone, PriorLeasesEnd: d.seat.PriorLeasesEnd()}
+		d.book = &promise.Book{ConfirmFrom: time.Now().Add(lease.Wait(seat.LeaseDuration))}
 		d.ready = false
 		event.SeatGained.Log(d.Log, "seat", d.Zone, "term", r.Term)
 	case before && !after:
@@ -175,8 +175,8 @@
 // assign tells the zone's state about the targets in force.
 func (d *Duty) assign() {
 	for name, s := range d.View.Load().Services {
-		d.zone.Assign(s.Assignment)
-		d.zone.Forget(name, oldestMove(s))
+		d.zone.ApplyAssignment(s.Assignment)
+		d.zone.DropDrains(name, oldestMove(s))
 	}
 }
 
--- a/gateway/leader/beat.go
+++ b/gateway/leader/beat.go
@@ -67,8 +67,8 @@
 	}
 	record, _ := d.seat.Record()
 	beat := &control.BeatRequest{
-		Zone: d.Zone, Term: record.Term, Renewals: d.seat.Tried(),
-		TableLeftUs: uint32(lease.New(sent, seat.Hold).Left(time.Now()).Microseconds()),
+		Zone: d.Zone, Term: record.Term, Renewals: d.seat.RenewalNumber(),
+		TableLeftUs: uint32(lease.New(sent, seat.LeaseDuration).Left(time.Now()).Microseconds()),
 	}
 	select {
 	case d.beats <- beat:
--- a/gateway/leader/leader.go
+++ b/gateway/leader/leader.go
@@ -239,7 +239,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seat.Committed(time.Now(), tx.Token, res.Revision)
+	d.seat.ConfirmRenewal(time.Now(), tx.Token, res.Revision)
 	d.broadcast()
 	return true
 }
@@ -289,7 +289,7 @@
 	case free:
 		d.claim(ctx, (*seat.Seat).Claim)
 	case d.evicted(ctx):
-		d.claim(ctx, (*seat.Seat).Take)
+		d.claim(ctx, (*seat.Seat).ClaimAfterEviction)
 	}
 }
 
@@ -308,7 +308,7 @@
 // complete. The first candidate begins; the others wait longer.
 func (d *Duty) evicted(ctx context.Context) bool {
 	d.mu.Lock()
-	silent := d.seat.Silence(time.Now())
+	silent := d.seat.UnchangedFor(time.Now())
 	first := silent > evictor.Suspect+d.rank()*rankDelay
 	seats := d.otherSeats()
 	d.mu.Unlock()
@@ -360,7 +360,7 @@
 func (d *Duty) Hint(now time.Time, term, renewals uint64, left time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seat.Hint(now, term, renewals, left)
+	d.seat.AddHint(now, term, renewals, left)
 }
 
 // broadcast wakes all who wait for news. It is called with the lock held.
--- a/gateway/leader/poll.go
+++ b/gateway/leader/poll.go
@@ -59,7 +59,7 @@
 		return false
 	}
 	before := d.zone.Version()
-	d.zone.Poll(now, d.decodeReport(req))
+	d.zone.ApplyReport(now, d.decodeReport(req))
 	d.loads.add(req.GetLoads(), req.GetHot())
 	if d.zone.Version() != before {
 		d.broadcast()
@@ -160,7 +160,7 @@
 func (d *Duty) compose(now time.Time, req *control.PollRequest) *control.PollResponse {
 	record, _ := d.seat.Record()
 	left := d.seat.Authority().Left(now)
-	d.zone.Grant(now, req.GetInstance(), left)
+	d.zone.RecordAuthority(now, req.GetInstance(), left)
 	res := &control.PollResponse{
 		Leading:     true,
 		Term:        record.Term,
@@ -189,7 +189,7 @@
 
 // tableLeft is what the leader has left from the table, in microseconds.
 func (d *Duty) tableLeft(now time.Time) uint32 {
-	return uint32(lease.New(d.seat.Renewed(), seat.Hold).Left(now).Microseconds())
+	return uint32(lease.New(d.seat.RenewedAt(), seat.LeaseDuration).Left(now).Microseconds())
 }
 
 // updates returns the configuration and the deltas that the instance lacks.
--- a/gateway/leader/report.go
+++ b/gateway/leader/report.go
@@ -102,7 +102,7 @@
 		})
 	}
 	for name := range d.View.Load().Versions() {
-		req.Reached = append(req.Reached, &control.Known{Name: name, Version: d.zone.Reached(now, name)})
+		req.Reached = append(req.Reached, &control.Known{Name: name, Version: d.zone.ReachedVersion(now, name)})
 	}
 	sortKnown(req.Reached)
 	return req
--- a/gateway/planner/decide.go
+++ b/gateway/planner/decide.go
@@ -64,12 +64,12 @@
 	for name, z := range d.zones {
 		r, _ := z.Record()
 		d.hint(name, z)
-		suspect := z.Hinted() || z.Silence(time.Now()) >= evictor.Suspect
+		suspect := z.HasHint() || z.UnchangedFor(time.Now()) >= evictor.Suspect
 		if r.Holder == "" || !suspect || d.beats(name) {
 			continue
 		}
 		complete := d.Evictor.Step(ctx, &none, z, d.otherSeats(name))
-		if complete && time.Since(z.TableEnd()) > evictGrace {
+		if complete && time.Since(z.TableLeaseEnd()) > evictGrace {
 			lost[name] = true
 		}
 	}
@@ -107,22 +107,22 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	in := plan.Input{
-		Divided:  service.Divided,
-		Shards:   service.InitialShards(),
-		Complete: true,
+		Sharded:  service.Divided,
+		InitialShards:   service.InitialShards(),
+		ListComplete: true,
 		Draining: map[string]bool{},
-		Evicted:  evicted,
-		Led:      map[string]bool{},
-		Settled:  now.Sub(d.held) > settleAfter,
+		EvictedZones:  evicted,
+		LedZones:      map[string]bool{},
+		StartupDone:  now.Sub(d.held) > settleAfter,
 		Loads:    d.loads.of(service.Name, now),
-		Window:   loadWindow.Seconds(),
-		Hot:      d.hot.of(service.Name),
+		LoadWindow:   loadWindow.Seconds(),
+		HotKeys:      d.hot.of(service.Name),
 	}
 	for _, i := range d.listed {
 		if i.Role != platform.TargetRole || i.Service != service.Name {
 			continue
 		}
-		in.Listed = append(in.Listed, plan.Listing{Target: listedTarget(i), Leaving: i.Leaving})
+		in.Listed = append(in.Listed, plan.ListedTarget{Target: listedTarget(i), Leaving: i.Leaving})
 		rules := doc.Resolve(config.Scope{Service: i.Service, Zone: i.Zone, Target: i.ID}, now)
 		in.Draining[i.ID] = *rules.Drain
 	}
@@ -131,13 +131,13 @@
 		if now.Sub(r.at) > reportAge || evicted[name] {
 			continue
 		}
-		in.Led[name] = true
+		in.LedZones[name] = true
 		in.Released = append(in.Released, decodeReleases(r.req.GetReleased())...)
 		in.Returned = append(in.Returned, decodeReleases(r.req.GetReturned())...)
 		in.Drained = append(in.Drained, decodeDrains(r.req.GetDrained())...)
 		reached = min(reached, knownVersion(r.req.GetReached(), service.Name))
 	}
-	in.Quiet = d.quietOf(now, service.Name, d.reachedEverywhere(in.Led, reached), doc)
+	in.QuietVersion = d.quietOf(now, service.Name, d.reachedEverywhere(in.LedZones, reached), doc)
 	return in
 }
 
--- a/gateway/planner/load.go
+++ b/gateway/planner/load.go
@@ -63,8 +63,8 @@
 // join books a shard's load on the one that it was joined to.
 func (l *loadAverage) join(service string, m plan.Merge) {
 	if rates := l.rates[service]; rates != nil {
-		rates[m.First] += rates[m.Gone]
-		delete(rates, m.Gone)
+		rates[m.First] += rates[m.Removed]
+		delete(rates, m.Removed)
 	}
 }
 
--- a/gateway/planner/planner.go
+++ b/gateway/planner/planner.go
@@ -164,7 +164,7 @@
 // lock held.
 func (d *Duty) heard(zone string) time.Time {
 	if h := d.hints[zone]; h != nil {
-		return h.At()
+		return h.ReceivedAt()
 	}
 	return time.Time{}
 }
@@ -244,7 +244,7 @@
 	case d.stopping:
 	case d.seat.Holding():
 		tx, err = d.seat.Renew(now, d.Token())
-	case d.seat.Free() || d.seat.Lapsed(now) || d.gone(now):
+	case d.seat.Free() || d.seat.Expired(now) || d.gone(now):
 		// Two planners for a moment do no harm, since every decision is one
 		// conditional write; so nobody waits for the old one's authority.
 		tx, err = d.seat.Claim(now, d.Token())
@@ -293,7 +293,7 @@
 // gone tells whether the planner takes no reports and its row stands still. One
 // of the two alone may only mean that the table is slow, or a way is cut.
 func (d *Duty) gone(now time.Time) bool {
-	return d.Unheard() && d.seat.Known() && d.seat.Silence(now) > plannerSilence
+	return d.Unheard() && d.seat.Observed() && d.seat.UnchangedFor(now) > plannerSilence
 }
 
 func (d *Duty) alarmed(now time.Time) bool {
@@ -320,7 +320,7 @@
 		}
 	}
 	for _, row := range res.Rows {
-		if name, ok := seat.NameOf(row.Key); ok {
+		if name, ok := seat.NameFromRowKey(row.Key); ok {
 			d.absorbSeat(now, name, row)
 			continue
 		}
