--- a/basilcross/seat/example_test.go
+++ b/basilcross/seat/example_test.go
@@ -9,8 +9,7 @@
 	"basilcross.example/basilcross/table"
 )
 
-// An instance looks at a seat, finds it free, takes it, and acts only while it
-// has authority.
+// An instance claims a free seat and acts only while it has authority.
 func Example() {
 	ctx, store := context.Background(), &table.Memory{}
 	s := seat.Seat{Name: "graz", Self: seat.Record{Holder: "gw-1", Incarnation: "a"}}
--- a/basilcross/seat/hints.go
+++ b/basilcross/seat/hints.go
@@ -6,30 +6,29 @@
 	"basilcross.example/basilcross/lease"
 )
 
-// maxHints bounds what is kept of a holder's word: its last renewals, among
-// them those that never took effect.
+// maxHints is how many of a holder's last renewals are kept, including those
+// that never took effect.
 const maxHints = 8
 
-// Hints are what a seat's holder said of its renewals, as received. A holder
-// tells of a renewal when it sends it, so all but the row may be known when the
-// holder is cut off. The zero value is empty.
+// Hints are the renewals that a seat's holder announced, as received. A holder
+// announces a renewal when it sends it, so that others can know when its
+// authority ends even if it is cut off then. The zero value is empty.
 type Hints struct {
 	list []hint
-	// receivedAt is when the holder was heard last.
+	// receivedAt is when the last hint was received.
 	receivedAt time.Time
 }
 
-// hint is the holder's own word that its authority from one renewal ends by a
-// time. No two renewals of a term have the same number.
+// hint is the time by which the authority from one renewal ends, as announced
+// by the holder. No two renewals of a term have the same number.
 type hint struct {
 	term     uint64
 	renewals uint64
 	end      time.Time
 }
 
-// Add takes in what the holder said, received at now: that in this term and by
-// the renewal of this number it had no more than left of its authority from the
-// table.
+// Add records the holder's announcement, received at now, that the renewal of
+// this term and number gives it authority from the table for at most left.
 func (h *Hints) Add(now time.Time, term, renewals uint64, left time.Duration) {
 	h.receivedAt = now
 	end := now.Add(lease.Wait(left))
@@ -47,7 +46,7 @@
 	h.list = append(h.list, hint{term: term, renewals: renewals, end: end})
 }
 
-// ReceivedAt is when the holder was heard last.
+// ReceivedAt is when the last hint was received.
 func (h *Hints) ReceivedAt() time.Time { return h.receivedAt }
 
 // Clone returns a copy that is not changed by Add.
@@ -55,8 +54,8 @@
 	return Hints{list: append([]hint(nil), h.list...), receivedAt: h.receivedAt}
 }
 
-// authorityEnd is when the authority by a renewal ends; ok is false if the holder has not
-// told of it.
+// authorityEnd is when the authority from a renewal ends; ok is false if the
+// holder has not announced the renewal.
 func (h *Hints) authorityEnd(term, renewals uint64) (end time.Time, ok bool) {
 	for _, known := range h.list {
 		if known.term == term && known.renewals == renewals {
--- a/basilcross/seat/seat.go
+++ b/basilcross/seat/seat.go
@@ -1,5 +1,5 @@
-// Package seat decides who leads: one row of the table service per seat, held
-// for a period and renewed by conditional writes.
+// Package seat implements leader election: each seat is one row of the table
+// service, held for a lease and renewed by conditional writes.
 package seat
 
 import (
@@ -10,46 +10,45 @@
 	"basilcross.example/basilcross/table"
 )
 
-// LeaseDuration is how long a renewal is good for, from the time it was sent.
+// LeaseDuration is how long a renewal is valid, from the time it was sent.
 const LeaseDuration = 1200 * time.Millisecond
 
-// OutageLimit is how long a holder may go on without renewing in the table, on
-// the other zones' leaders' word. It also is how long a seat stays empty if so
-// many leaders are lost at once that nobody can tell whether it is extended.
+// OutageLimit is how long the leaders of other zones may extend a holder that
+// can't renew in the table. A seat also stays empty for so long if too many
+// leaders fail at once to establish whether it is being extended.
 const OutageLimit = 3 * time.Minute
 
-// Record is the row of a seat.
+// Record is the value of a seat's row.
 type Record struct {
 	Zone   string `json:"zone"`
 	Holder string `json:"holder"`
-	// Incarnation tells a restarted instance from its earlier life.
+	// Incarnation distinguishes the starts of an instance.
 	Incarnation string `json:"incarnation"`
 	Address     string `json:"address"`
-	// Term grows with every change of holder.
+	// Term increases with every change of holder.
 	Term uint64 `json:"term"`
-	// HandedOver is set by a holder that stepped down itself. Leases that it
-	// gave may last up to Hold after the write.
+	// HandedOver is set by a holder that resigned. Leases that it gave may
+	// last up to LeaseDuration after the write.
 	HandedOver bool `json:"handedOver,omitempty"`
-	// Intent names the instance that set out to evict the holder.
+	// Intent names the instance that intends to evict the holder.
 	Intent string `json:"intent,omitempty"`
-	// Renewals makes each renewal a new row version. It also counts renewals
-	// that did not take effect.
+	// Renewals is the number of the last renewal; renewals that did not take
+	// effect are counted too. It makes each renewal a new row version.
 	Renewals uint64 `json:"renewals"`
 }
 
 // RowKey is the key of a seat's row.
 func RowKey(name string) string { return "head/seat/" + name }
 
-// TermKey is the key of the row that changes only with the holder, so that a
-// planner's write can depend on the holder and not on its renewals.
+// TermKey is the key of the row that changes only with the term, so that a
+// planner's write can be conditional on the term and not on renewals.
 func TermKey(name string) string { return "term/" + name }
 
-// Seat is one instance's view of a seat, as holder or as candidate. Name and
-// Self are set by the owner; the rest starts empty. It is not safe for
-// concurrent use.
+// Seat is one instance's view of a seat, as holder or as candidate. The caller
+// sets Name and Self. It is not safe for concurrent use.
 type Seat struct {
 	Name string
-	// Self is written into the row when this instance takes the seat.
+	// Self is written into the row when this instance claims the seat.
 	Self Record
 
 	record        Record
@@ -68,13 +67,13 @@
 	hints         Hints
 }
 
-// pendingWrite is a write that would give this instance the seat, or keep it.
+// pendingWrite is a claim or renewal whose outcome is not known.
 type pendingWrite struct {
 	sentAt   time.Time
 	renewals uint64
 }
 
-// Observe takes in the seat's row as read from the table, received at now. A
+// Observe applies the seat's row as read from the table, received at now. A
 // nil row means that there is none.
 func (s *Seat) Observe(now time.Time, row *table.Row) error {
 	if row == nil {
@@ -88,15 +87,15 @@
 	if err := table.Decode(*row, &r); err != nil {
 		return err
 	}
-	mine, ours := s.pending[row.Token]
+	write, own := s.pending[row.Token]
 	s.apply(now, row.Version, r)
-	if ours && s.isSelf(r) {
-		s.gainAuthority(now, mine.sentAt)
+	if own && s.isSelf(r) {
+		s.gainAuthority(now, write.sentAt)
 	}
 	return nil
 }
 
-// ObserveTerm takes in the version of the seat's term row.
+// ObserveTerm applies the version of the seat's term row.
 func (s *Seat) ObserveTerm(version uint64) { s.termVersion = version }
 
 func (s *Seat) apply(now time.Time, version uint64, r Record) {
@@ -104,7 +103,7 @@
 		return
 	}
 	// An eviction intent changes the row but not the holder's authority, so
-	// the silence goes on counting.
+	// the time since the last renewal is not reset.
 	if !s.observed || r.Term != s.record.Term || r.Renewals != s.record.Renewals || r.HandedOver != s.record.HandedOver {
 		s.renewalSeenAt = now
 	}
@@ -120,9 +119,9 @@
 	return r.Holder == s.Self.Holder && r.Incarnation == s.Self.Incarnation
 }
 
-// gainAuthority counts authority from when the write was sent. The answer, or the
-// reading that shows it, may be arbitrarily late; counted from receipt, the
-// holder would go on after an observer's wait is over.
+// gainAuthority counts authority from when the write was sent. The response, or
+// the read that shows the write, may be arbitrarily late; if authority counted
+// from receipt, the holder would continue after an observer's wait has ended.
 func (s *Seat) gainAuthority(now, sent time.Time) {
 	if !s.held {
 		s.held = true
@@ -135,20 +134,21 @@
 	clear(s.pending)
 }
 
-// Record returns the row last seen and its version.
+// Record returns the row last observed and its version.
 func (s *Seat) Record() (r Record, version uint64) { return s.record, s.version }
 
-// Observed tells whether the row has been read at all.
+// Observed reports whether the row has been read.
 func (s *Seat) Observed() bool { return s.observed }
 
-// TermVersion returns the version of the term row last seen.
+// TermVersion returns the version of the term row last observed.
 func (s *Seat) TermVersion() uint64 { return s.termVersion }
 
-// Holding tells whether this instance is the row's holder, as far as it knows.
-// Its authority may have lapsed all the same.
+// Holding reports whether this instance is the holder in the row last observed.
+// Its authority may have expired nevertheless.
 func (s *Seat) Holding() bool { return s.held }
 
-// Authority returns the lease that the seat gives this instance.
+// Authority returns the lease that this instance has as holder; the zero lease
+// if it is not the holder.
 func (s *Seat) Authority() lease.Lease {
 	if !s.held {
 		return lease.Lease{}
@@ -156,8 +156,8 @@
 	return s.authority
 }
 
-// Extend adds authority that the other zones' leaders gave in answer to a round
-// of requests sent at sent. It tells whether the outage limit allows it.
+// Extend adds authority that the other zones' leaders gave in response to
+// requests sent at sent. It reports whether the outage limit allows it.
 func (s *Seat) Extend(sent time.Time) bool {
 	if !s.held || sent.Sub(s.renewedAt) > OutageLimit {
 		return false
@@ -170,8 +170,9 @@
 func (s *Seat) RenewedAt() time.Time { return s.renewedAt }
 
 // PriorLeasesEnd is the time until which leases given by an earlier holder may
-// still run. After a silent holder there are none, since the candidate's wait
-// outlasted them; after a handing over they run on for up to Hold.
+// be valid. After an eviction there are none, since the candidate waited until
+// they had expired; after a handover or another claim they may last up to
+// LeaseDuration.
 func (s *Seat) PriorLeasesEnd() time.Time {
 	if !s.priorLeases {
 		return time.Time{}
@@ -179,9 +180,9 @@
 	return s.gainedAt.Add(lease.Wait(LeaseDuration))
 }
 
-// Free tells whether the seat may be taken at once: nobody holds it, it was
+// Free reports whether the seat may be claimed at once: it has no holder, it was
 // handed over, or its holder was a process at this instance's own address,
-// which is therefore gone.
+// which must therefore have ended.
 func (s *Seat) Free() bool {
 	if !s.observed {
 		return false
@@ -190,8 +191,8 @@
 	return r.Holder == "" || r.HandedOver || r.Address != "" && r.Address == s.Self.Address && !s.isSelf(r)
 }
 
-// Expired tells whether the authority that the holder has from the table has
-// ended by now. The wait counts from when this instance first saw the renewal,
+// Expired reports whether the authority that the holder has from the table has
+// ended at now. The wait counts from when this instance first saw the renewal,
 // which is after the holder sent it. A holder may have more authority from
 // the other zones' leaders; see the package eviction.
 func (s *Seat) Expired(now time.Time) bool {
@@ -206,45 +207,47 @@
 	return s.renewalSeenAt.Add(lease.Wait(LeaseDuration))
 }
 
-// HasHint tells whether the holder itself has told of the renewal in the row.
+// HasHint reports whether the holder has announced the renewal in the row.
 func (s *Seat) HasHint() bool {
 	_, ok := s.hints.authorityEnd(s.record.Term, s.record.Renewals)
 	return ok
 }
 
-// OutageLimitPassed tells whether the row has been silent for longer than any
-// holder extends its authority without the table.
+// OutageLimitPassed reports whether the last renewal in the row is so old that
+// no holder can have extended its authority without the table until now.
 func (s *Seat) OutageLimitPassed(now time.Time) bool {
 	return s.observed && now.Sub(s.renewalSeenAt) > lease.Wait(OutageLimit+LeaseDuration)
 }
 
-// AddHint takes in what the holder said, received at now; see Hints. A candidate
-// that has heard it need not wait for a whole Hold after its own first reading.
+// AddHint records a renewal that the holder announced, received at now; see
+// Hints. With it a candidate need not wait for a whole LeaseDuration after its
+// own first read of the row.
 func (s *Seat) AddHint(now time.Time, term, renewals uint64, left time.Duration) {
 	s.hints.Add(now, term, renewals, left)
 }
 
-// SetHints takes in all that the holder said, heard elsewhere.
+// SetHints replaces the hints by those that were received elsewhere.
 func (s *Seat) SetHints(h Hints) { s.hints = h }
 
-// UnchangedFor returns how long the row has stood unchanged.
+// UnchangedFor returns the time since this instance first saw the last renewal
+// or change of holder in the row.
 func (s *Seat) UnchangedFor(now time.Time) time.Duration { return now.Sub(s.renewalSeenAt) }
 
-// Claim returns the write that takes the seat, sent at now under token.
+// Claim returns the write that claims the seat, sent at now under token.
 func (s *Seat) Claim(now time.Time, token string) (table.Transaction, error) {
 	next := s.Self
 	next.Zone = s.Name
 	next.Term = s.record.Term + 1
 	s.renewalNumber = 0
-	// After an eviction every lease of the earlier holder has been waited
-	// out; otherwise some may run on.
+	// After an eviction every lease of the earlier holder has expired;
+	// otherwise some may still be valid.
 	s.priorLeases = s.record.Holder != "" && !s.evicting
 	return s.buildWrite(now, token, next, true)
 }
 
-// Renew returns the write that keeps the seat for another Hold. Each write has
-// a number of its own, so that what others are told of one, sent at one time, is
-// never taken for what they were told of another.
+// Renew returns the write that keeps the seat for another LeaseDuration. Each
+// write has its own number, so that hints of one renewal are never applied to
+// another one, sent at another time.
 func (s *Seat) Renew(now time.Time, token string) (table.Transaction, error) {
 	s.renewalNumber = max(s.renewalNumber, s.record.Renewals) + 1
 	next := s.record
@@ -253,10 +256,10 @@
 	return s.buildWrite(now, token, next, false)
 }
 
-// RenewalNumber is the number of the last renewal, whether it took effect or not.
+// RenewalNumber is the number of the last renewal, whether or not it took effect.
 func (s *Seat) RenewalNumber() uint64 { return s.renewalNumber }
 
-// HandOver returns the write by which a holder steps down early.
+// HandOver returns the write by which a holder resigns before its lease ends.
 func (s *Seat) HandOver(now time.Time, token string) (table.Transaction, error) {
 	next := s.record
 	next.HandedOver = true
@@ -266,38 +269,37 @@
 	return tx, err
 }
 
-// ConfirmRenewal takes in that the renewal of this token took effect at a revision,
-// which saves reading the row back.
+// ConfirmRenewal records that the renewal with this token took effect at a
+// revision, which saves reading the row back.
 func (s *Seat) ConfirmRenewal(now time.Time, token string, revision uint64) {
-	mine, ours := s.pending[token]
-	if !ours || !s.held || revision <= s.version {
+	write, own := s.pending[token]
+	if !own || !s.held || revision <= s.version {
 		return
 	}
-	s.record.Renewals = mine.renewals
+	s.record.Renewals = write.renewals
 	s.record.Intent = ""
 	s.version = revision
 	s.renewalSeenAt = now
-	s.gainAuthority(now, mine.sentAt)
+	s.gainAuthority(now, write.sentAt)
 }
 
-// DeclareIntent returns the write that announces the eviction of the present holder
-// in the row, so that every later holder of another seat reads of it.
-func (s *Seat) DeclareIntent(now time.Time, token, who string) (table.Transaction, error) {
+// DeclareIntent returns the write that records in the row that instance intends
+// to evict the holder, so that later holders of other seats read it.
+func (s *Seat) DeclareIntent(now time.Time, token, instance string) (table.Transaction, error) {
 	next := s.record
-	next.Intent = who
+	next.Intent = instance
 	return s.buildWrite(now, token, next, false)
 }
 
-// ClaimAfterEviction returns the write that takes the seat from a holder whose eviction is
-// complete.
+// ClaimAfterEviction returns the write that claims the seat of a holder whose
+// eviction is complete.
 func (s *Seat) ClaimAfterEviction(now time.Time, token string) (table.Transaction, error) {
 	s.evicting = true
 	defer func() { s.evicting = false }()
 	return s.Claim(now, token)
 }
 
-// Evict returns the write that leaves the seat without a holder, together
-// with a new term.
+// Evict returns the write that removes the holder and begins a new term.
 func (s *Seat) Evict(now time.Time, token string) (table.Transaction, error) {
 	next := Record{Zone: s.Name, Term: s.record.Term + 1}
 	return s.buildWrite(now, token, next, true)
@@ -329,7 +331,7 @@
 	return tx, nil
 }
 
-// NameFromRowKey returns the seat of a row's key; ok is false for other rows.
+// NameFromRowKey returns the seat of a row's key; ok is false for other keys.
 func NameFromRowKey(key string) (name string, ok bool) {
 	return strings.CutPrefix(key, RowKey(""))
 }
--- a/basilcross/seat/seat_test.go
+++ b/basilcross/seat/seat_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// instance is one instance with its own view of a seat in a shared table.
+// instance has its own view of a seat in a shared table.
 type instance struct {
 	t     *testing.T
 	table *table.Memory
@@ -20,41 +20,41 @@
 
 func newInstance(t *testing.T, m *table.Memory, id string) *instance {
 	t.Helper()
-	b := &instance{t: t, table: m}
-	b.seat = seat.Seat{Name: "graz", Self: seat.Record{Holder: id, Incarnation: "1"}}
-	b.read()
-	return b
+	i := &instance{t: t, table: m}
+	i.seat = seat.Seat{Name: "graz", Self: seat.Record{Holder: id, Incarnation: "1"}}
+	i.read()
+	return i
 }
 
-func (b *instance) read() {
-	b.t.Helper()
-	res, err := b.table.Transact(context.Background(), table.Transaction{ReadKeys: []string{seat.RowKey("graz")}})
-	assert.NilError(b.t, err)
+func (i *instance) read() {
+	i.t.Helper()
+	res, err := i.table.Transact(context.Background(), table.Transaction{ReadKeys: []string{seat.RowKey("graz")}})
+	assert.NilError(i.t, err)
 	if row, ok := res.Row(seat.RowKey("graz")); ok {
-		assert.NilError(b.t, b.seat.Observe(time.Now(), &row))
+		assert.NilError(i.t, i.seat.Observe(time.Now(), &row))
 		return
 	}
-	assert.NilError(b.t, b.seat.Observe(time.Now(), nil))
+	assert.NilError(i.t, i.seat.Observe(time.Now(), nil))
 }
 
-func (b *instance) write(tx table.Transaction, err error) bool {
-	b.t.Helper()
-	assert.NilError(b.t, err)
-	res, err := b.table.Transact(context.Background(), tx)
-	assert.NilError(b.t, err)
+func (i *instance) write(tx table.Transaction, err error) bool {
+	i.t.Helper()
+	assert.NilError(i.t, err)
+	res, err := i.table.Transact(context.Background(), tx)
+	assert.NilError(i.t, err)
 	return res.Committed
 }
 
-func (b *instance) claim(token string) bool {
-	b.t.Helper()
-	ok := b.write(b.seat.Claim(time.Now(), token))
-	b.read()
+func (i *instance) claim(token string) bool {
+	i.t.Helper()
+	ok := i.write(i.seat.Claim(time.Now(), token))
+	i.read()
 	return ok
 }
 
-// A leader is lost. Nobody takes its seat while a renewal that it may have
-// sent is still good; after the wait the other instance takes it with a new
-// term, and the old holder, back again, finds itself without authority.
+// Guards against two holders after a holder stops renewing: another instance
+// must not claim the seat before the last renewal has expired, and the former
+// holder must observe that it lost the seat to a new term.
 func TestSeatIsClaimedOnlyAfterAuthorityExpired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &table.Memory{}
@@ -76,9 +76,9 @@
 	})
 }
 
-// The answer to a renewal is lost after the write took effect. The holder
-// reads the row back, finds its token, and counts its authority from when it
-// sent the write, not from when it learned of it.
+// Guards against a holder with authority for too long: if the response to a
+// renewal is lost and the holder reads the row back later, its authority must
+// count from when it sent the write.
 func TestAuthorityCountsFromSendTimeAfterLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newInstance(t, &table.Memory{}, "a")
@@ -93,8 +93,8 @@
 	})
 }
 
-// Two candidates see the seat free at the same moment. One write takes it; the
-// other fails on the row's version and its instance learns who won.
+// Guards against two holders when two candidates see the seat free at the same
+// time: the second write must fail on the row's version.
 func TestOnlyOneOfTwoCandidatesClaimsTheSeat(t *testing.T) {
 	m := &table.Memory{}
 	a := newInstance(t, m, "a")
