--- a/basilcross/zone/zone.go
+++ b/basilcross/zone/zone.go
@@ -1,10 +1,11 @@
 // Package zone decides, for the leader of an availability zone, which
-// instances renew which targets and when a target has surely lost its lease.
+// instances renew which targets' leases, and when a target's lease has ended
+// for certain.
 //
-// The leader never talks to targets. Its instances report by polls, and every
-// answer gives them authority for a time. To take a target's lease away, the
-// leader stops its renewal and waits until each instance that might still
-// renew it has either confirmed or lost its authority.
+// The leader sends no requests to targets. Its instances poll it with reports,
+// and every response gives them authority for a time. To revoke a target's
+// lease, the leader stops its renewal and waits until each instance that might
+// still renew it has either confirmed this or lost its authority.
 package zone
 
 import (
@@ -18,49 +19,51 @@
 )
 
 const (
-	// RenewersPerTarget is how many instances renew each target, so that the loss of
-	// one instance costs no target its lease.
+	// RenewersPerTarget is how many instances can renew each target, so that
+	// no target loses its lease when one instance fails.
 	RenewersPerTarget = 2
-	// memberTimeout is the silence after which an instance gets no targets
-	// to renew. Its authority is waited out all the same.
+	// memberTimeout is the time without a poll after which an instance gets no
+	// targets to renew. The leader still waits until its authority has ended.
 	memberTimeout = 700 * time.Millisecond
-	// dropMemberAfter drops instances from the list; it exceeds every authority.
+	// dropMemberAfter is the time without a poll after which an instance is
+	// removed; it is longer than any authority.
 	dropMemberAfter = 10 * time.Second
 )
 
-// TargetReport is what one renewer saw of one target.
+// TargetReport is one renewer's report on one target.
 type TargetReport struct {
 	ID string
-	// Failing is set after several renewals in a row went unanswered.
+	// Failing is set after several consecutive renewals got no response.
 	Failing bool
-	// Alive is set by an answer within the last interval.
+	// Alive is set by a response within the last interval.
 	Alive bool
-	// LeaseLeft bounds the lease that this instance last gave the target.
+	// LeaseLeft is an upper bound of what is left of the lease that this
+	// instance last gave the target.
 	LeaseLeft time.Duration
 	// Drained lists shards whose revocation the target has completed.
 	Drained []Drain
 }
 
-// Drain says that a target has finished with a shard that is on the move.
+// Drain says that a target has completed the revocation of a moving shard.
 type Drain struct {
 	Service string
 	First   uint64
 	Epoch   uint64
-	// Version is the assignment version under which it was revoked.
+	// Version is the assignment version that revoked the shard.
 	Version uint64
 }
 
-// Report is one poll of an instance. Targets that it renews and does not name
-// are well.
+// Report is what an instance sends with one poll. Targets that it renews and
+// that are not in the report are healthy.
 type Report struct {
 	Instance    string
 	Incarnation string
 	Address     string
-	// Directive is the version last carried out.
+	// Directive is the version of the directive last applied.
 	Directive uint64
 	Targets   []TargetReport
-	// Versions is what the instance has in force, by service; "config" for
-	// the configuration.
+	// Versions are the assignment versions in force at the instance, by
+	// service, and that of the configuration under "config".
 	Versions map[string]uint64
 }
 
@@ -69,11 +72,11 @@
 type Renewal struct {
 	Target     string
 	Generation uint64
-	// Standby asks for a renewal now and then only: another instance does
-	// the most of it, and this one is ready to take its place.
+	// Standby asks for infrequent renewals only: another instance is the main
+	// renewer, and this one can replace it.
 	Standby bool
-	// Urgent is set while another instance has found the target failing: one
-	// unanswered renewal is then enough to agree.
+	// Urgent is set while another instance reports the target as failing: one
+	// renewal without a response is then enough to report the same.
 	Urgent bool
 }
 
@@ -81,18 +84,18 @@
 type Directive struct {
 	Version uint64
 	Renew   []Renewal
-	// Probe lists targets to ask for signs of life without giving a lease.
+	// Probe lists targets to send probes to, which give no lease.
 	Probe []string
 }
 
-// Release says that a target holds no lease and will get none until its
-// generation in the assignment has grown.
+// Release says that a target has no lease and gets none until its generation
+// in the assignment has increased.
 type Release struct {
 	Target     string
 	Generation uint64
 }
 
-// Member is an instance that polls this leader.
+// Member is an instance that polls this leader, last at Seen.
 type Member struct {
 	Instance    string
 	Incarnation string
@@ -107,7 +110,7 @@
 type targetState struct {
 	target    assignment.Target
 	suspended bool
-	// suspendedVersion is the directive version that stopped the renewal.
+	// suspendedVersion is the directive version that suspended the renewal.
 	suspendedVersion uint64
 	reportedLeaseEnd time.Time
 	released         bool
@@ -116,11 +119,12 @@
 	drains           map[Drain]bool
 }
 
-// Leader is the state of a zone's leader. Create one per term: it must not
-// outlive the holding of the seat. It is not safe for concurrent use.
+// Leader is the state of a zone's leader for one term; it must not be used
+// after the seat is lost. It is not safe for concurrent use.
 type Leader struct {
 	Zone string
-	// PriorLeasesEnd is when leases given under the previous term have ended.
+	// PriorLeasesEnd is the time until which leases given in earlier terms may
+	// be valid.
 	PriorLeasesEnd time.Time
 
 	version uint64
@@ -128,8 +132,8 @@
 	targets map[string]*targetState
 }
 
-// ApplyAssignment takes in the targets of a service from an assignment. It resumes
-// targets whose generation the planner has moved on.
+// ApplyAssignment applies the targets of a service's assignment. It resumes the
+// renewal of targets whose generation the planner has increased.
 func (l *Leader) ApplyAssignment(a *assignment.Assignment) {
 	if l.targets == nil {
 		l.targets = map[string]*targetState{}
@@ -171,22 +175,21 @@
 	l.version++
 }
 
-// ApplyReport takes in an instance's report. The answer's authority begins when the
-// instance sent the poll; grant is what the leader has left now.
+// ApplyReport applies an instance's report, received at now.
 func (l *Leader) ApplyReport(now time.Time, r Report) {
 	if l.members == nil {
 		l.members = map[string]*Member{}
 	}
 	m, ok := l.members[r.Instance]
 	if !ok || m.Incarnation != r.Incarnation {
-		// An earlier incarnation's authority may still be running, so it is
+		// An earlier incarnation's authority may still be valid, so it is
 		// kept as the bound until the new one confirms a directive.
-		fresh := &Member{Instance: r.Instance, Incarnation: r.Incarnation}
+		restarted := &Member{Instance: r.Instance, Incarnation: r.Incarnation}
 		if ok {
-			fresh.authority = m.authority
+			restarted.authority = m.authority
 		}
-		l.members[r.Instance] = fresh
-		m = fresh
+		l.members[r.Instance] = restarted
+		m = restarted
 		l.version++
 	}
 	returned := now.Sub(m.Seen) > memberTimeout
@@ -197,12 +200,12 @@
 	if returned {
 		l.version++
 	}
-	named := make(map[string]bool, len(r.Targets))
+	reported := make(map[string]bool, len(r.Targets))
 	for _, t := range r.Targets {
-		named[t.ID] = true
+		reported[t.ID] = true
 	}
 	for id, ts := range l.targets {
-		if !named[id] {
+		if !reported[id] {
 			l.clearFailing(ts, m.Instance)
 		}
 	}
@@ -211,7 +214,9 @@
 	}
 }
 
-// RecordAuthority records the authority given to an instance in the answer to a poll.
+// RecordAuthority records the authority given to an instance in the response to
+// a poll: length is what the leader has left at now. The instance counts it from
+// when it sent the poll.
 func (l *Leader) RecordAuthority(now time.Time, instance string, length time.Duration) {
 	if m, ok := l.members[instance]; ok {
 		m.authority = m.authority.Later(lease.Lease{Sent: now, Length: lease.Wait(length)})
@@ -247,7 +252,7 @@
 	}
 	if r.Failing {
 		if len(ts.failedAt) == 0 {
-			// The standby must try too, and at once.
+			// The standby must send a renewal too, at once.
 			l.version++
 		}
 		ts.failedAt[instance] = now
@@ -260,7 +265,8 @@
 	}
 }
 
-// clearFailing takes a failure back; the others may then go easy again.
+// clearFailing withdraws an instance's failure report, so that the renewals of
+// the others are no longer urgent.
 func (l *Leader) clearFailing(ts *targetState, instance string) {
 	if _, failing := ts.failedAt[instance]; failing {
 		delete(ts.failedAt, instance)
@@ -268,7 +274,7 @@
 	}
 }
 
-// allFailing tells whether every live renewer of the target has failed.
+// allFailing reports whether every current renewer reports the target as failing.
 func (l *Leader) allFailing(now time.Time, ts *targetState) bool {
 	renewers := l.renewers(now, ts.target.ID)
 	for _, id := range renewers {
@@ -295,7 +301,7 @@
 // Version returns the version of the current directives.
 func (l *Leader) Version() uint64 { return l.version }
 
-// Directive returns the order for an instance.
+// Directive returns the current directive for an instance.
 func (l *Leader) Directive(now time.Time, instance string) Directive {
 	d := Directive{Version: l.version}
 	for _, id := range l.targetIDs() {
@@ -336,16 +342,16 @@
 	return ids
 }
 
-// renewers picks the instances for a target by rendezvous hashing, so that a
-// change of membership moves only the renewals of the instance concerned.
+// renewers selects the instances for a target by rendezvous hashing, so that
+// adding or removing an instance affects only that instance's renewals.
 func (l *Leader) renewers(now time.Time, target string) []string {
-	var live []string
+	var ids []string
 	for id, m := range l.members {
 		if now.Sub(m.Seen) <= memberTimeout {
-			live = append(live, id)
+			ids = append(ids, id)
 		}
 	}
-	slices.SortFunc(live, func(a, b string) int {
+	slices.SortFunc(ids, func(a, b string) int {
 		x, y := weight(a, target), weight(b, target)
 		if x != y {
 			if x > y {
@@ -355,16 +361,16 @@
 		}
 		return strings.Compare(a, b)
 	})
-	return live[:min(len(live), RenewersPerTarget)]
+	return ids[:min(len(ids), RenewersPerTarget)]
 }
 
 func weight(instance, target string) uint64 {
 	return xxhash.Sum64String(instance + "\x00" + target)
 }
 
-// Released returns the targets without a lease. From then on each stays
-// without one until Assign sees a higher generation: a planner may already be
-// writing their shards to other targets.
+// Released returns the suspended targets whose lease has ended. Each gets no
+// lease until ApplyAssignment receives a higher generation, since a planner may
+// already be assigning its shards to other targets.
 func (l *Leader) Released(now time.Time) []Release {
 	var released []Release
 	for _, id := range l.targetIDs() {
@@ -381,9 +387,9 @@
 	return released
 }
 
-// leaseBound is when the suspended target's lease has surely ended. An
-// instance that has not confirmed the suspension may renew the target up to
-// the end of its own authority, and the lease it gives ends there too.
+// leaseBound is when the suspended target's lease has ended for certain. An
+// instance that has not confirmed the suspension may renew the target until
+// its own authority ends, and the lease that it gives ends then too.
 func (l *Leader) leaseBound(now time.Time, ts *targetState) time.Time {
 	bound := later(ts.reportedLeaseEnd, l.PriorLeasesEnd)
 	for _, m := range l.members {
@@ -394,39 +400,39 @@
 	return bound
 }
 
-// Returned lists targets that the assignment has as lost, or that were
-// released, and that answer probes again.
+// Returned lists targets that are lost in the assignment, or were released, and
+// that respond again.
 func (l *Leader) Returned() []Release {
-	var back []Release
+	var returned []Release
 	for _, id := range l.targetIDs() {
 		ts := l.targets[id]
 		if ts.alive && (ts.target.State == assignment.Lost || ts.released) {
-			back = append(back, Release{Target: id, Generation: ts.target.Generation})
+			returned = append(returned, Release{Target: id, Generation: ts.target.Generation})
 		}
 	}
-	return back
+	return returned
 }
 
-// Drained returns completed revocations that no instance can undo: every
-// instance with authority already has the version that revokes them. One that
-// lagged behind could otherwise grant the shard again to a target that was
-// restarted and forgot the revocation.
+// Drained returns the completed revocations that are final, because every
+// instance with authority has the version that revokes the shard. An instance
+// with an earlier version could grant the shard again to a target that was
+// restarted and has no record of the revocation.
 func (l *Leader) Drained(now time.Time) []Drain {
-	var done []Drain
+	var final []Drain
 	for _, id := range l.targetIDs() {
 		ts := l.targets[id]
 		for d := range ts.drains {
 			if now.Before(l.PriorLeasesEnd) || l.ReachedVersion(now, d.Service) < d.Version {
 				continue
 			}
-			done = append(done, d)
+			final = append(final, d)
 		}
 	}
-	slices.SortFunc(done, func(a, b Drain) int { return strings.Compare(a.Service, b.Service) })
-	return done
+	slices.SortFunc(final, func(a, b Drain) int { return strings.Compare(a.Service, b.Service) })
+	return final
 }
 
-// DropDrains drops drains of versions before the given one of a service.
+// DropDrains removes the drains of a service's versions before version.
 func (l *Leader) DropDrains(service string, version uint64) {
 	for _, ts := range l.targets {
 		for d := range ts.drains {
@@ -437,8 +443,8 @@
 	}
 }
 
-// ReachedVersion returns the lowest version of a service that an instance with
-// authority has in force; the highest number if there is no such instance.
+// ReachedVersion returns the lowest version of a service in force at any
+// instance with authority; the maximum uint64 if there is no such instance.
 func (l *Leader) ReachedVersion(now time.Time, service string) uint64 {
 	reached := ^uint64(0)
 	for id, m := range l.members {
@@ -453,7 +459,7 @@
 	return reached
 }
 
-// Members returns the instances known, by identifier.
+// Members returns the instances that poll this leader, sorted by ID.
 func (l *Leader) Members() []Member {
 	members := make([]Member, 0, len(l.members))
 	for _, m := range l.members {
--- a/basilcross/zone/zone_test.go
+++ b/basilcross/zone/zone_test.go
@@ -17,9 +17,9 @@
 }
 
 func newLeaderTest() *leaderTest {
-	b := &leaderTest{leader: zone.Leader{Zone: "graz"}, now: time.Unix(1000, 0)}
-	b.leader.ApplyAssignment(testAssignment(assignment.Active, 1))
-	return b
+	lt := &leaderTest{leader: zone.Leader{Zone: "graz"}, now: time.Unix(1000, 0)}
+	lt.leader.ApplyAssignment(testAssignment(assignment.Active, 1))
+	return lt
 }
 
 func testAssignment(state assignment.State, generation uint64) *assignment.Assignment {
@@ -28,101 +28,98 @@
 	}}
 }
 
-func (b *leaderTest) poll(instance string, reports ...zone.TargetReport) zone.Directive {
-	r := zone.Report{Instance: instance, Incarnation: "1", Directive: b.leader.Version(), Targets: reports}
-	b.leader.ApplyReport(b.now, r)
-	b.leader.RecordAuthority(b.now, instance, authority)
-	return b.leader.Directive(b.now, instance)
+func (lt *leaderTest) poll(instance string, reports ...zone.TargetReport) zone.Directive {
+	r := zone.Report{Instance: instance, Incarnation: "1", Directive: lt.leader.Version(), Targets: reports}
+	lt.leader.ApplyReport(lt.now, r)
+	lt.leader.RecordAuthority(lt.now, instance, authority)
+	return lt.leader.Directive(lt.now, instance)
 }
 
 func failingReport(left time.Duration) zone.TargetReport {
 	return zone.TargetReport{ID: "t1", Failing: true, LeaseLeft: left}
 }
 
-// A target dies. Its two renewers report failures; the leader stops the
-// renewal, and calls the target released only when the longest lease that a
-// renewer gave it has ended.
+// Guards against a target that is released while it has a lease: after both
+// renewers report it as failing, the longest lease that one of them gave it must
+// end first.
 func TestFailedTargetIsReleasedAfterItsLease(t *testing.T) {
-	b := newLeaderTest()
-	b.poll("g1")
-	b.poll("g2")
-	b.poll("g1", failingReport(500*time.Millisecond))
-	assert.Equal(t, len(b.leader.Released(b.now)), 0, "one renewer's failure is not enough")
-	b.poll("g2", failingReport(300*time.Millisecond))
-	b.poll("g1", failingReport(500*time.Millisecond))
-	b.poll("g2", failingReport(300*time.Millisecond))
-	assert.Equal(t, len(b.leader.Released(b.now)), 0)
-	b.now = b.now.Add(510 * time.Millisecond)
-	assert.DeepEqual(t, b.leader.Released(b.now), []zone.Release{{Target: "t1", Generation: 1}})
+	lt := newLeaderTest()
+	lt.poll("g1")
+	lt.poll("g2")
+	lt.poll("g1", failingReport(500*time.Millisecond))
+	assert.Equal(t, len(lt.leader.Released(lt.now)), 0, "one renewer's failure is not enough")
+	lt.poll("g2", failingReport(300*time.Millisecond))
+	lt.poll("g1", failingReport(500*time.Millisecond))
+	lt.poll("g2", failingReport(300*time.Millisecond))
+	assert.Equal(t, len(lt.leader.Released(lt.now)), 0)
+	lt.now = lt.now.Add(510 * time.Millisecond)
+	assert.DeepEqual(t, lt.leader.Released(lt.now), []zone.Release{{Target: "t1", Generation: 1}})
 }
 
-// One renewer is cut off from the leader while the target looks dead to the
-// other. The silent renewer may still be extending the target's lease, so the
-// leader waits out the authority it gave that renewer.
+// Guards against a release while a renewer that the leader can't reach may still
+// extend the target's lease: its authority must end first.
 func TestUnresponsiveRenewerDelaysRelease(t *testing.T) {
-	b := newLeaderTest()
-	b.poll("g1")
-	b.poll("g2")
-	b.now = b.now.Add(800 * time.Millisecond)
-	b.poll("g1", failingReport(0))
-	b.poll("g1", failingReport(0))
-	assert.Equal(t, len(b.leader.Released(b.now)), 0)
-	b.now = b.now.Add(150 * time.Millisecond)
-	b.poll("g1", failingReport(0))
-	assert.Equal(t, len(b.leader.Released(b.now)), 1)
+	lt := newLeaderTest()
+	lt.poll("g1")
+	lt.poll("g2")
+	lt.now = lt.now.Add(800 * time.Millisecond)
+	lt.poll("g1", failingReport(0))
+	lt.poll("g1", failingReport(0))
+	assert.Equal(t, len(lt.leader.Released(lt.now)), 0)
+	lt.now = lt.now.Add(150 * time.Millisecond)
+	lt.poll("g1", failingReport(0))
+	assert.Equal(t, len(lt.leader.Released(lt.now)), 1)
 }
 
-// A target is released and comes back at once. A planner may be moving its
-// shards at this moment, so it is not renewed before the assignment shows a
-// higher generation.
+// Guards against a lease for a target whose shards a planner may be moving: a
+// released target that responds again must not be renewed before the assignment
+// has a higher generation.
 func TestReleasedTargetIsRenewedOnlyInTheNextGeneration(t *testing.T) {
-	b := newLeaderTest()
-	b.poll("g1")
-	b.poll("g1", failingReport(0))
-	b.poll("g1", failingReport(0))
-	b.now = b.now.Add(2 * time.Millisecond)
-	assert.Equal(t, len(b.leader.Released(b.now)), 1)
-	d := b.poll("g1", zone.TargetReport{ID: "t1", Alive: true})
+	lt := newLeaderTest()
+	lt.poll("g1")
+	lt.poll("g1", failingReport(0))
+	lt.poll("g1", failingReport(0))
+	lt.now = lt.now.Add(2 * time.Millisecond)
+	assert.Equal(t, len(lt.leader.Released(lt.now)), 1)
+	d := lt.poll("g1", zone.TargetReport{ID: "t1", Alive: true})
 	assert.Equal(t, len(d.Renew), 0)
-	assert.Equal(t, len(b.leader.Returned()), 1)
-	b.leader.ApplyAssignment(testAssignment(assignment.Active, 2))
-	d = b.poll("g1")
+	assert.Equal(t, len(lt.leader.Returned()), 1)
+	lt.leader.ApplyAssignment(testAssignment(assignment.Active, 2))
+	d = lt.poll("g1")
 	assert.DeepEqual(t, d.Renew, []zone.Renewal{{Target: "t1", Generation: 2}})
-	standby := b.poll("g2").Renew[0].Standby || b.poll("g1").Renew[0].Standby
-	assert.Assert(t, standby, "one of two renewers stands by")
+	standby := lt.poll("g2").Renew[0].Standby || lt.poll("g1").Renew[0].Standby
+	assert.Assert(t, standby, "one of two renewers must be the standby")
 }
 
-// The leader has just taken a seat that was handed over. Instances still hold
-// authority from the earlier leader, unknown to this one, so nothing is
-// released before that has ended.
+// Guards against a release in a new term while instances have authority from
+// the former leader, of which the new one has no record.
 func TestNewTermWaitsForPriorLeases(t *testing.T) {
-	b := newLeaderTest()
-	b.leader.PriorLeasesEnd = b.now.Add(time.Second)
-	b.poll("g1")
-	b.poll("g1", failingReport(0))
-	b.poll("g1", failingReport(0))
-	b.now = b.now.Add(500 * time.Millisecond)
-	assert.Equal(t, len(b.leader.Released(b.now)), 0)
-	b.now = b.now.Add(600 * time.Millisecond)
-	assert.Equal(t, len(b.leader.Released(b.now)), 1)
+	lt := newLeaderTest()
+	lt.leader.PriorLeasesEnd = lt.now.Add(time.Second)
+	lt.poll("g1")
+	lt.poll("g1", failingReport(0))
+	lt.poll("g1", failingReport(0))
+	lt.now = lt.now.Add(500 * time.Millisecond)
+	assert.Equal(t, len(lt.leader.Released(lt.now)), 0)
+	lt.now = lt.now.Add(600 * time.Millisecond)
+	assert.Equal(t, len(lt.leader.Released(lt.now)), 1)
 }
 
-// A shard's revocation is complete at the target, but one instance with
-// authority still has the earlier assignment. It could grant the shard again
-// to a restarted target, so the drain does not count yet.
+// Guards against a drain that is reported too early: an instance with the
+// earlier assignment could grant the shard again to a restarted target.
 func TestDrainIsReportedOnlyWhenAllInstancesHaveTheVersion(t *testing.T) {
-	b := newLeaderTest()
+	lt := newLeaderTest()
 	drain := zone.Drain{Service: "menus", First: 7, Epoch: 3, Version: 5}
 	poll := func(id string, version uint64, reports ...zone.TargetReport) {
-		b.leader.ApplyReport(b.now, zone.Report{
+		lt.leader.ApplyReport(lt.now, zone.Report{
 			Instance: id, Incarnation: "1", Targets: reports,
 			Versions: map[string]uint64{"menus": version},
 		})
-		b.leader.RecordAuthority(b.now, id, authority)
+		lt.leader.RecordAuthority(lt.now, id, authority)
 	}
 	poll("g2", 4)
 	poll("g1", 5, zone.TargetReport{ID: "t1", Alive: true, Drained: []zone.Drain{drain}})
-	assert.Equal(t, len(b.leader.Drained(b.now)), 0)
+	assert.Equal(t, len(lt.leader.Drained(lt.now)), 0)
 	poll("g2", 5)
-	assert.DeepEqual(t, b.leader.Drained(b.now), []zone.Drain{drain})
+	assert.DeepEqual(t, lt.leader.Drained(lt.now), []zone.Drain{drain})
 }
