--- a/basilcross/plan/balance.go
+++ b/basilcross/plan/balance.go
@@ -9,26 +9,28 @@
 	"basilcross.example/basilcross/shard"
 )
 
-// Limits bound how eagerly load is evened out. Zero fields take the defaults.
+// Limits bound how load is balanced. Zero fields take the defaults.
 type Limits struct {
-	// Tolerance is the load over the mean at which moves begin; 1.08 is 8%.
+	// Tolerance is the ratio of a target's load to the mean above which moves
+	// begin; 1.08 is 8% above it.
 	Tolerance float64
-	// Goal is the load over the mean at which they end. It is below the
-	// tolerance, so that noise around the tolerance starts no moves.
+	// Goal is the ratio at which they end. It is below the tolerance, so that
+	// noise around the tolerance starts no moves.
 	Goal float64
-	// MaxMoves is how many shards may be on the move at a time for balance.
+	// MaxMoves is the number of moving shards from which no more moves for
+	// balance start.
 	MaxMoves int
-	// MaxShards is the most that a service may be divided into.
+	// MaxShards is how many shards a service may be split into.
 	MaxShards int
 }
 
-// HotKey is a key with its work per second.
+// HotKey is the hash of a key and the key's work units per second.
 type HotKey struct {
 	Hash uint64
 	Work float64
 }
 
-// Split says that the shard that began at First was divided, and that the part
+// Split says that the shard that begins at First was split, and that the part
 // from At on has Share of its load.
 type Split struct {
 	First uint64
@@ -42,18 +44,19 @@
 	defaultMaxMoves  = 8
 	defaultMaxShards = 16_384
 	// idleWeight is the weight of a shard without load, relative to the mean
-	// shard, so that idle shards are spread too.
+	// shard's load, so that idle shards are distributed too.
 	idleWeight = 0.1
-	// minIsolatedShare is a key's part of a mean target's load from which it gets
-	// a shard of its own.
+	// minIsolatedShare is the fraction of the mean load per target from which a key
+	// gets its own shard.
 	minIsolatedShare = 0.15
-	// minSplitShare is a shard's part of a mean target's load from which it is
-	// divided, when a target is too heavy.
+	// minSplitShare is the fraction of the mean load per target above which a shard
+	// of an overloaded target may be split.
 	minSplitShare = 0.05
-	// maxChanceDeviations is how many standard deviations a target must stand out.
+	// maxChanceDeviations is how many standard deviations above the mean a
+	// target's load may be by chance.
 	maxChanceDeviations = 3.5
-	// minMoveGain is the least part of a mean target's load that a move must
-	// take off the heaviest target. Less is not worth a move.
+	// minMoveGain is the fraction of the mean load per target that a move must take
+	// off the heaviest target; less does not justify a move.
 	minMoveGain = 0.01
 )
 
@@ -65,7 +68,7 @@
 	return l
 }
 
-// computeLoads sums up each target's load, counting moves as done.
+// computeLoads sums up each target's load, counting moves in progress as done.
 func (p *planner) computeLoads() {
 	p.meanShardLoad = p.computeMeanShardLoad()
 	p.targetLoad = make([]float64, len(p.next.Targets))
@@ -97,17 +100,17 @@
 
 func slotsOf(t *assignment.Target) float64 { return float64(max(1, t.Slots)) }
 
-// loadPerSlot is a target's load in relation to what it can carry.
+// loadPerSlot is a target's load divided by its slots.
 func (p *planner) loadPerSlot(i int) float64 {
 	return p.targetLoad[i] / slotsOf(&p.next.Targets[i])
 }
 
 func (p *planner) canTakeShards(t *assignment.Target) bool {
-	led := p.in.LedZones == nil || p.in.LedZones[t.Zone]
-	return led && t.State == assignment.Active
+	hasLeader := p.in.LedZones == nil || p.in.LedZones[t.Zone]
+	return hasLeader && t.State == assignment.Active
 }
 
-// activeTargets returns the positions of the targets that may get shards.
+// activeTargets returns the indexes of the targets that may get shards.
 func (p *planner) activeTargets() []int {
 	var active []int
 	for i := range p.next.Targets {
@@ -118,7 +121,8 @@
 	return active
 }
 
-// leastLoaded returns the active target with the lowest load for its slots.
+// leastLoaded returns the active target with the lowest load per slot; nil if
+// there is no active target.
 func (p *planner) leastLoaded() *assignment.Target {
 	best := -1
 	for i := range p.next.Targets {
@@ -132,8 +136,8 @@
 	return &p.next.Targets[best]
 }
 
-// isolateHotKeys gives hot keys shards of their own, so that they can be moved alone.
-// The epoch stays: requests on their way with it find the same owner.
+// isolateHotKeys gives hot keys their own shards, so that they can be moved
+// alone. The epoch stays: requests in flight with it reach the same owner.
 func (p *planner) isolateHotKeys() {
 	active := p.activeTargets()
 	if len(active) == 0 {
@@ -170,7 +174,7 @@
 	return i - 1
 }
 
-// isolateKey divides a shard so that one part is the key alone.
+// isolateKey splits a shard so that one part has only the key.
 func (p *planner) isolateKey(i int, key HotKey) {
 	s := p.next.Shards[i]
 	share := min(1, key.Work/max(p.in.Loads[s.First], 1e-9))
@@ -179,15 +183,15 @@
 		i++
 	}
 	if key.Hash < s.Last {
-		rest := 1 - share
+		upperShare := 1 - share
 		if key.Hash > s.First {
-			rest = 0
+			upperShare = 0
 		}
-		p.splitShard(i, key.Hash+1, rest)
+		p.splitShard(i, key.Hash+1, upperShare)
 	}
 }
 
-// splitShard splits a shard before a hash; the upper part gets a share of the load.
+// splitShard splits a shard before the hash at; the upper part gets share of the load.
 func (p *planner) splitShard(i int, at uint64, share float64) {
 	upper := p.next.Shards[i]
 	lower := upper
@@ -203,8 +207,8 @@
 	p.splits = append(p.splits, Split{First: lower.First, At: at, Share: share})
 }
 
-// rebalance starts moves from the heaviest to the lightest target until the
-// goal is reached or nothing more can be gained.
+// rebalance starts moves from the most to the least loaded target until the
+// goal is reached or no move helps.
 func (p *planner) rebalance() {
 	active := p.activeTargets()
 	if len(active) < 2 {
@@ -233,30 +237,32 @@
 	}
 }
 
-// thresholds returns the load over the mean at which moves begin and end.
+// thresholds returns the ratios of load to the mean at which moves begin and end.
 //
-// Requests arrive by chance: n of them in a window vary by the root of n even
-// if nothing has changed. The heaviest of many targets stands out by two to
-// three such deviations, and moving shards after it would never end.
+// Requests arrive at random: their number n in a window has a standard deviation
+// of the square root of n even under steady load. The most loaded of many targets
+// is two to three such deviations above the mean, and moves that follow this
+// noise would never end.
 func (p *planner) thresholds(targets int) (tolerance, goal float64) {
 	tolerance, goal = p.in.Limits.Tolerance, p.in.Limits.Goal
 	if p.in.LoadWindow <= 0 {
 		return tolerance, goal
 	}
-	each := p.totalLoad() / float64(targets) * p.in.LoadWindow
-	chance := 1 + maxChanceDeviations/math.Sqrt(max(each, 1))
+	workPerTarget := p.totalLoad() / float64(targets) * p.in.LoadWindow
+	chance := 1 + maxChanceDeviations/math.Sqrt(max(workPerTarget, 1))
 	if chance <= tolerance {
 		return tolerance, goal
 	}
 	return chance, 1 + (chance-1)/2
 }
 
-// startBalancingMove moves one shard from a heavy to a light target; a shard that is too
-// heavy to be moved is divided first.
+// startBalancingMove starts the move of one shard from a target to a less loaded
+// one; a shard with too much load to be moved is split first. It reports whether
+// it started a move.
 func (p *planner) startBalancingMove(from, to int, mean, goal float64) bool {
 	excess := p.targetLoad[from] - goal*mean*slotsOf(&p.next.Targets[from])
-	room := goal*mean*slotsOf(&p.next.Targets[to]) - p.targetLoad[to]
-	want := min(excess, room)
+	headroom := goal*mean*slotsOf(&p.next.Targets[to]) - p.targetLoad[to]
+	want := min(excess, headroom)
 	if want <= minMoveGain*mean {
 		return false
 	}
@@ -282,8 +288,8 @@
 	return s.Last-s.First > 1 && p.shardWeight(s) > minSplitShare*mean && len(p.next.Shards) < p.in.Limits.MaxShards
 }
 
-// closestShard returns the target's shard whose weight is closest to want; -1 if it
-// has none that stands still.
+// closestShard returns the index of the target's shard whose weight is closest
+// to want; -1 if all its shards are moving.
 func (p *planner) closestShard(target int, want float64) int {
 	best, bestGap := -1, 0.0
 	id := p.next.Targets[target].ID
@@ -337,15 +343,16 @@
 }
 
 func (p *planner) meanLoadPerSlot(active []int) float64 {
-	load, all := 0.0, 0.0
+	load, slots := 0.0, 0.0
 	for _, i := range active {
 		load += p.targetLoad[i]
-		all += slotsOf(&p.next.Targets[i])
+		slots += slotsOf(&p.next.Targets[i])
 	}
-	return load / all
+	return load / slots
 }
 
-// Imbalance returns the largest load per slot over the mean, for active targets.
+// Imbalance returns the ratio of the largest load per slot to the mean, among
+// active targets; 1 if there are none or there is no load.
 func Imbalance(a *assignment.Assignment, loads map[uint64]float64) float64 {
 	p := &planner{in: Input{Loads: loads}, next: a}
 	p.indexTargets()
--- a/basilcross/plan/balance_test.go
+++ b/basilcross/plan/balance_test.go
@@ -16,7 +16,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// workload is a recorded load: the work of every key, which shifts and is noisy.
+// workload is a simulated load: the work of every key, which changes and is noisy.
 type workload struct {
 	random *rand.Rand
 	work   map[uint64]float64
@@ -34,7 +34,7 @@
 	return w
 }
 
-// swapHotKeys makes other keys the hottest 51.
+// swapHotKeys swaps the work of the 51 hottest keys with random keys.
 func (w *workload) swapHotKeys() {
 	for range 51 {
 		a, b := w.hashes[w.random.IntN(len(w.hashes))], w.hottest()
@@ -46,7 +46,7 @@
 	return slices.MaxFunc(w.hashes, func(a, b uint64) int { return cmp.Compare(w.work[a], w.work[b]) })
 }
 
-// shardLoads are what the shards would report, with some noise.
+// shardLoads are the loads as reported per shard, with relative noise.
 func (w *workload) shardLoads(a *assignment.Assignment, noise float64) map[uint64]float64 {
 	loads := map[uint64]float64{}
 	m, _ := shard.New(a.Shards)
@@ -60,11 +60,12 @@
 	return loads
 }
 
-// run lets the planner decide once a second; every move is done by the next.
-// It returns the share of the load that moved and the last second with a move.
+// run lets the planner decide once a second; every move is complete one second
+// later. It returns the last assignment, the share of the load that moved and the
+// last second with a decision.
 func (w *workload) run(a *assignment.Assignment, in plan.Input, seconds int, noise float64) (*assignment.Assignment, float64, int) {
 	moved, last, total := 0.0, 0, 0.0
-	smooth := w.shardLoads(a, noise)
+	smoothed := w.shardLoads(a, noise)
 	for _, work := range w.work {
 		total += work
 	}
@@ -76,26 +77,26 @@
 				moved += w.shardLoads(a, 0)[s.First] / total
 			}
 		}
-		// The planning duty smooths reports over about ten seconds.
+		// The gateway's planner smooths reports over about ten seconds.
 		for first, load := range w.shardLoads(a, noise) {
-			if _, known := smooth[first]; !known {
-				smooth[first] = load
+			if _, known := smoothed[first]; !known {
+				smoothed[first] = load
 			}
-			smooth[first] += 0.1 * (load - smooth[first])
+			smoothed[first] += 0.1 * (load - smoothed[first])
 		}
-		in.Loads = smooth
+		in.Loads = smoothed
 		in.Balance = true
 		d := plan.Next(a, in)
 		if d.Next == nil {
 			continue
 		}
 		for _, s := range d.Splits {
-			smooth[s.At] = smooth[s.First] * s.Share
-			smooth[s.First] *= 1 - s.Share
+			smoothed[s.At] = smoothed[s.First] * s.Share
+			smoothed[s.First] *= 1 - s.Share
 		}
 		for _, m := range d.Merges {
-			smooth[m.First] += smooth[m.Removed]
-			delete(smooth, m.Removed)
+			smoothed[m.First] += smoothed[m.Removed]
+			delete(smoothed, m.Removed)
 		}
 		a, last = d.Next, second
 	}
@@ -110,8 +111,8 @@
 	return in
 }
 
-// leastMovedShare is the share of the load that must move to bring every target within
-// the tolerance.
+// leastMovedShare is the share of the load that must move at least to bring every
+// target within the tolerance.
 func leastMovedShare(a *assignment.Assignment, loads map[uint64]float64, tolerance float64) float64 {
 	byTarget, total := map[string]float64{}, 0.0
 	for _, s := range a.Shards {
@@ -126,10 +127,10 @@
 	return over / total
 }
 
-// The hottest 51 keys change. The planner brings the heaviest target back to
-// 110% of the mean within a minute, and with steady, noisy load it then moves
-// nothing. Plain rendezvous hashing and consistent hashing with bounded loads
-// face the same load.
+// Guards against slow or endless balancing: after the 51 hottest keys change, the
+// most loaded target must be at 110% of the mean or less within a minute, and
+// steady, noisy load must then cause no moves. For comparison the same load is
+// given to rendezvous hashing and to consistent hashing with bounded loads.
 func TestBalanceIsRestoredAfterHotKeysChange(t *testing.T) {
 	w := newWorkload(20_000)
 	in := shardedInput(20, 80)
@@ -153,8 +154,8 @@
 	assert.Equal(t, idle, 0.0)
 }
 
-// boundedLoads assigns each shard to the next target on a ring that has room
-// for it at 110% of the mean.
+// boundedLoads assigns each shard to the next target on a hash ring whose load
+// stays within 110% of the mean.
 func boundedLoads(a *assignment.Assignment, loads map[uint64]float64) map[uint64]string {
 	type point struct {
 		at uint64
@@ -214,9 +215,8 @@
 	return slices.Max(load) * float64(targets) / total
 }
 
-// A competitor's customers arrive: twice the load and five more targets within
-// a minute. The targets there before give load away and take none from each
-// other.
+// Guards against moves between the former targets when five targets are added:
+// the moved load must be within 1.2 times the least that is needed.
 func TestAddedTargetsCauseNoExcessMoves(t *testing.T) {
 	w := newWorkload(20_000)
 	in := shardedInput(20, 80)
@@ -243,14 +243,14 @@
 	for b.Loop() {
 		began := time.Now()
 		if plan.Next(a, in).Next == nil {
-			b.Fatal("nothing was decided")
+			b.Fatal("no decision")
 		}
 		b.ReportMetric(float64(time.Since(began).Microseconds())/1000, "ms")
 	}
 }
 
-// Hot keys had shards of their own and have cooled down. The light shards are
-// joined again over time, a few per decision, and the balance holds.
+// Guards against shards that remain forever after their keys were hot: they must
+// be merged over time, a few per decision, and the load must stay balanced.
 func TestLightShardsAreMerged(t *testing.T) {
 	w := newWorkload(20_000)
 	in := shardedInput(20, 80)
@@ -259,11 +259,11 @@
 		in.HotKeys = append(in.HotKeys, plan.HotKey{Hash: h, Work: 1e9})
 	}
 	a, _, _ = w.run(a, in, 2, 0)
-	many := len(a.Shards)
+	shardsBefore := len(a.Shards)
 	in.HotKeys = nil
 	a, _, _ = w.run(a, in, 200, 0)
-	t.Logf("%d shards, later %d", many, len(a.Shards))
-	assert.Assert(t, len(a.Shards) < many/2)
+	t.Logf("%d shards, later %d", shardsBefore, len(a.Shards))
+	assert.Assert(t, len(a.Shards) < shardsBefore/2)
 	assert.Assert(t, plan.Imbalance(a, w.shardLoads(a, 0)) <= 1.10)
 	_, err := shard.New(a.Shards)
 	assert.NilError(t, err)
--- a/basilcross/plan/join.go
+++ b/basilcross/plan/merge.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Merge says that the shard that began at Gone was joined to the one that
+// Merge says that the shard that began at Removed was merged into the one that
 // begins at First.
 type Merge struct {
 	First   uint64
@@ -10,20 +10,20 @@
 }
 
 const (
-	// mergeThreshold is how many times the first number of shards there must be
-	// before any are joined.
+	// mergeThreshold is the multiple of the initial number of shards above which
+	// shards are merged.
 	mergeThreshold = 2
-	// maxMergedShare is the part of a mean target's load that two shards may have
-	// together. It is well below splitShare, so that nothing is divided and
-	// joined in turn.
+	// maxMergedShare is the fraction of the mean load per target that two merged
+	// shards may have together. It is well below minSplitShare, so that shards
+	// are not split and merged in turn.
 	maxMergedShare = 0.01
-	// maxMerges bounds the joins of one decision. Each one raises an epoch
-	// where the two differ, and requests on their way are sent again.
+	// maxMerges is the number of merges per decision. A merge of shards with
+	// different epochs raises the epoch, and requests in flight are sent again.
 	maxMerges = 4
 )
 
-// mergeShards puts light neighbours of one owner together again. Without it the keys
-// that were once hot would leave shards behind for ever.
+// mergeShards merges adjacent shards of one owner that have little load.
+// Otherwise the shards of keys that are no longer hot would remain forever.
 func (p *planner) mergeShards() {
 	if p.in.InitialShards == 0 || len(p.next.Shards) <= mergeThreshold*p.in.InitialShards {
 		return
@@ -37,7 +37,7 @@
 	for i := len(p.next.Shards) - 2; i >= 0 && len(p.merges) < maxMerges; i-- {
 		if p.canMerge(i, limit) {
 			p.mergeWithNext(i)
-			// The joined shard is not joined again at once.
+			// The merged shard is not merged again in this decision.
 			i--
 		}
 	}
@@ -48,10 +48,10 @@
 
 func (p *planner) canMerge(i int, limit float64) bool {
 	a, b := p.next.Shards[i], p.next.Shards[i+1]
-	still := a.MovingTo == "" && b.MovingTo == ""
+	notMoving := a.MovingTo == "" && b.MovingTo == ""
 	sameOwner := a.Owner != "" && a.Owner == b.Owner
-	untouched := a.Since < p.next.Version && b.Since < p.next.Version
-	return still && sameOwner && untouched && p.in.Loads[a.First]+p.in.Loads[b.First] <= limit
+	unchanged := a.Since < p.next.Version && b.Since < p.next.Version
+	return notMoving && sameOwner && unchanged && p.in.Loads[a.First]+p.in.Loads[b.First] <= limit
 }
 
 func (p *planner) mergeWithNext(i int) {
--- a/basilcross/plan/plan.go
+++ b/basilcross/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan decides the next version of a service's assignment. It is a
-// pure function of what is known: the same input gives the same decision.
+// Package plan computes the next version of a service's assignment. It is
+// deterministic: the same input gives the same decision.
 package plan
 
 import (
@@ -16,73 +16,73 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ListedTarget is a target as the platform's instance list shows it.
+// ListedTarget is an entry of the platform's list of targets.
 type ListedTarget struct {
 	Target  assignment.Target
 	Leaving bool
 }
 
-// Input is all that a decision rests on.
+// Input is everything that a decision depends on.
 type Input struct {
+	// Sharded says that the service has shards, each with one owner.
 	Sharded bool
-	// InitialShards is the number a divided service starts with.
+	// InitialShards is the number of shards that a sharded service starts with.
 	InitialShards int
-	// Listed are the service's targets; Complete says that the list was read
-	// and that absent targets are gone.
+	// Listed are the service's targets. ListComplete says that the list was
+	// read, so that targets missing from it no longer exist.
 	Listed       []ListedTarget
 	ListComplete bool
-	// Draining names targets that an operator's exception drains.
+	// Draining has the IDs of targets that an operator's exception drains.
 	Draining map[string]bool
-	// Released and Returned are reports of zone leaders, valid in the term
+	// Released and Returned are reports of zone leaders, valid in the terms
 	// that the write is conditional on.
 	Released []zone.Release
 	Returned []zone.Release
 	Drained  []zone.Drain
-	// LedZones names the zones with a leader that reports; targets elsewhere get no
-	// shards, since nobody would renew their leases. Nil means all.
+	// LedZones are the zones with a leader that reports; targets elsewhere get
+	// no shards, since their leases would not be renewed. Nil means all.
 	LedZones map[string]bool
-	// StartupDone is set when the reports of every leader should be in. Before,
-	// a new service is not divided yet, lest it all go to the first zone.
+	// StartupDone is set when every leader has had time to report. Until then a
+	// new service may get no shards, or the first zone would get all of them.
 	StartupDone bool
-	// Balance allows moves for balance alone.
+	// Balance allows moves that only balance the load.
 	Balance bool
-	// EvictedZones names zones whose seat is taken away in the same transaction.
+	// EvictedZones are zones whose leader is evicted in the same transaction.
 	EvictedZones map[string]bool
-	// QuietVersion is the version that every gateway has had in force for longer
-	// than any request sent under an earlier one can take.
+	// QuietVersion is the version that every gateway has had in force for
+	// longer than any request sent under an earlier one can take.
 	QuietVersion uint64
-	// Loads are work units per second by the first hash of each shard, smoothed.
+	// Loads are smoothed work units per second by the first hash of each shard.
 	Loads map[uint64]float64
-	// LoadWindow is the time over which Loads were averaged, in seconds. It bounds
-	// what of a difference may be chance; 0 takes the loads as exact.
+	// LoadWindow is the time over which Loads were averaged, in seconds. The
+	// random variation is estimated from it; 0 takes the loads as exact.
 	LoadWindow float64
-	// HotKeys are keys whose work is known one by one; it is also part of Loads.
+	// HotKeys are keys whose work was measured; it is also part of Loads.
 	HotKeys []HotKey
-	// Limits bound the moves; see Limits.
-	Limits Limits
+	Limits  Limits
 }
 
 // Decision is the outcome of Next.
 type Decision struct {
 	// Next is nil if nothing changes.
 	Next *assignment.Assignment
-	// Zones are those whose releases the decision rests on. The write must
-	// be conditional on their terms.
+	// Zones are those whose leaders' reports, or whose eviction, the decision
+	// depends on. The write must be conditional on their terms.
 	Zones []string
-	// Splits are the shards that were divided, for whoever keeps the loads.
+	// Splits and Merges are the shards that were split, and those merged into
+	// the one before, so that the caller can adjust its loads.
 	Splits []Split
-	// Merges are the shards that were joined to the one before them.
 	Merges []Merge
-	// Causes are short sentences for the audit trail.
+	// Causes are short sentences for the audit log.
 	Causes []string
 }
 
-// planner carries one decision while it is made.
+// planner is the state of one decision.
 type planner struct {
-	in           Input
-	next         *assignment.Assignment
-	releaseZones map[string]bool
-	// causes also serves as the mark that something changed.
+	in             Input
+	next           *assignment.Assignment
+	conditionZones map[string]bool
+	// causes is empty if nothing changed.
 	causes        []string
 	splits        []Split
 	merges        []Merge
@@ -91,13 +91,13 @@
 	meanShardLoad float64
 }
 
-// Next returns the decision for the version that follows a.
+// Next decides on the version that follows a.
 func Next(a *assignment.Assignment, in Input) Decision {
-	p := &planner{in: in, next: a.Clone(), releaseZones: map[string]bool{}}
+	p := &planner{in: in, next: a.Clone(), conditionZones: map[string]bool{}}
 	p.indexTargets()
 	p.in.Limits = in.Limits.withDefaults()
 	if in.Balance {
-		// Divided shards divide their loads too, and the input is the caller's.
+		// Splitting and merging shards changes their loads.
 		p.in.Loads = maps.Clone(in.Loads)
 	}
 	p.next.Version++
@@ -121,21 +121,21 @@
 	}
 	p.markChangedGrants(a)
 	p.next.Cause = strings.Join(p.causes, "; ")
-	return Decision{Next: p.next, Zones: sortedKeys(p.releaseZones), Splits: p.splits, Merges: p.merges, Causes: p.causes}
+	return Decision{Next: p.next, Zones: sortedKeys(p.conditionZones), Splits: p.splits, Merges: p.merges, Causes: p.causes}
 }
 
-// markChangedGrants notes this version at every target whose grants it changes.
+// markChangedGrants records this version at every target whose grants it changes.
 func (p *planner) markChangedGrants(before *assignment.Assignment) {
-	old, now := grantHashes(before), grantHashes(p.next)
+	previous, current := grantHashes(before), grantHashes(p.next)
 	for i := range p.next.Targets {
 		t := &p.next.Targets[i]
-		if old[t.ID] != now[t.ID] || t.Grants == 0 {
+		if previous[t.ID] != current[t.ID] || t.Grants == 0 {
 			t.Grants = p.next.Version
 		}
 	}
 }
 
-// grantHashes returns a hash of what each target is granted.
+// grantHashes returns a hash of each target's grants.
 func grantHashes(a *assignment.Assignment) map[string]uint64 {
 	sums := make(map[string]uint64, len(a.Targets))
 	var field [8]byte
@@ -158,7 +158,7 @@
 	p.causes = append(p.causes, fmt.Sprintf(format, args...))
 }
 
-// syncTargets follows the platform's list and the operators' drains.
+// syncTargets applies the platform's list and the operators' drains.
 func (p *planner) syncTargets() {
 	listed := map[string]bool{}
 	for _, l := range p.in.Listed {
@@ -173,11 +173,11 @@
 		owns[s.Owner] = true
 	}
 	p.next.Targets = slices.DeleteFunc(p.next.Targets, func(t assignment.Target) bool {
-		gone := !listed[t.ID] && !owns[t.ID]
-		if gone {
+		remove := !listed[t.ID] && !owns[t.ID]
+		if remove {
 			p.addCause("target %s is no longer listed", t.ID)
 		}
-		return gone
+		return remove
 	})
 	p.indexTargets()
 	for i := range p.next.Targets {
@@ -220,7 +220,7 @@
 	return &p.next.Targets[i]
 }
 
-// indexTargets notes where each target stands.
+// indexTargets maps each target's ID to its position.
 func (p *planner) indexTargets() {
 	p.targetIndex = make(map[string]int, len(p.next.Targets))
 	for i, t := range p.next.Targets {
@@ -228,10 +228,10 @@
 	}
 }
 
-func (p *planner) setState(t *assignment.Target, s assignment.State, why string) {
+func (p *planner) setState(t *assignment.Target, s assignment.State, reason string) {
 	t.State = s
 	t.Since = p.next.Version
-	p.addCause("target %s is %s: %s", t.ID, s, why)
+	p.addCause("target %s is %s: %s", t.ID, s, reason)
 }
 
 func (p *planner) applyReleased() {
@@ -254,12 +254,13 @@
 }
 
 // markLost marks a target as lost. A fenced target has no lease any more, so its
-// shards are free at once. A target that does not check may still get requests
-// from gateways that have not heard; its shards wait for Quiet.
-func (p *planner) markLost(t *assignment.Target, why string) {
+// shards can be reassigned at once. A target that is not fenced may still get
+// requests from gateways with an earlier version; its shards are reassigned once
+// QuietVersion has reached this version.
+func (p *planner) markLost(t *assignment.Target, reason string) {
 	t.Generation++
-	p.releaseZones[t.Zone] = true
-	p.setState(t, assignment.Lost, why)
+	p.conditionZones[t.Zone] = true
+	p.setState(t, assignment.Lost, reason)
 }
 
 func (p *planner) applyReturned() {
@@ -269,7 +270,7 @@
 			continue
 		}
 		t.Generation++
-		p.releaseZones[t.Zone] = true
+		p.conditionZones[t.Zone] = true
 		p.setState(t, assignment.Active, "answers again")
 	}
 }
@@ -285,12 +286,12 @@
 	p.addCause("divided into %d shards", len(p.next.Shards))
 }
 
-// isReassignable tells whether a target's shards may go to another at once.
+// isReassignable reports whether a target's shards may get another owner at once.
 func (p *planner) isReassignable(t *assignment.Target) bool {
 	return t == nil || t.State == assignment.Lost && (t.Fenced || p.in.QuietVersion >= t.Since)
 }
 
-// finishMoves gives shards whose revocation is complete to their next owner.
+// finishMoves assigns shards whose revocation is complete to their next owner.
 func (p *planner) finishMoves() {
 	done := map[zone.Drain]bool{}
 	for _, d := range p.in.Drained {
@@ -324,7 +325,7 @@
 	s.Since = p.next.Version
 }
 
-// placeOrphans gives every free shard to the least loaded target.
+// placeOrphans assigns every shard without a usable owner to the least loaded target.
 func (p *planner) placeOrphans() {
 	p.computeLoads()
 	var orphans []*shard.Shard
@@ -334,7 +335,7 @@
 			orphans = append(orphans, s)
 		}
 	}
-	// The heaviest first: the light ones then even out what is left.
+	// Heaviest first, so that the lighter shards even out the differences.
 	slices.SortStableFunc(orphans, func(x, y *shard.Shard) int {
 		return cmp.Compare(p.shardWeight(*y), p.shardWeight(*x))
 	})
--- a/basilcross/plan/plan_test.go
+++ b/basilcross/plan/plan_test.go
@@ -26,7 +26,7 @@
 func mustDecide(t *testing.T, a *assignment.Assignment, in plan.Input) *assignment.Assignment {
 	t.Helper()
 	d := plan.Next(a, in)
-	assert.Assert(t, d.Next != nil, "nothing was decided")
+	assert.Assert(t, d.Next != nil, "no decision")
 	return d.Next
 }
 
@@ -50,9 +50,9 @@
 	assert.Assert(t, plan.Next(a, fourTargets()).Next == nil)
 }
 
-// A target's lease has ended. Its shards, and no others, get new owners and
-// higher epochs, on condition that the zone's leader is still the one that
-// said so. A report about an earlier generation changes nothing.
+// Guards against changes to other shards when a target's lease has ended, and
+// against a report of an earlier generation that is applied again. The decision
+// must be conditional on the term of the zone's leader.
 func TestOnlyShardsOfLostTargetAreReassigned(t *testing.T) {
 	a := initialAssignment(t)
 	in := fourTargets()
@@ -70,7 +70,7 @@
 	lost, _ := d.Next.Target("a1")
 	assert.Equal(t, lost.State, assignment.Lost)
 	assert.Equal(t, lost.Grants, d.Next.Version)
-	assert.Assert(t, plan.Next(d.Next, in).Next == nil, "the old report must not count again")
+	assert.Assert(t, plan.Next(d.Next, in).Next == nil, "the report of an earlier generation must be ignored")
 	in.Released = nil
 	in.Returned = []zone.Release{{Target: "a1", Generation: 2}}
 	back, _ := mustDecide(t, d.Next, in).Target("a1")
@@ -78,8 +78,9 @@
 	assert.Equal(t, back.Generation, uint64(3))
 }
 
-// A target that does not check is lost. Gateways may still be sending to it,
-// so its shards wait until every gateway has had the news for long enough.
+// Guards against two owners of a shard: gateways may still send requests to a
+// lost target that is not fenced, so its shards must keep their owner until the
+// version is quiet.
 func TestUnfencedTargetKeepsShardsUntilQuietVersion(t *testing.T) {
 	in := fourTargets()
 	in.Listed[0].Target.Fenced = false
@@ -92,8 +93,8 @@
 	assert.Equal(t, shardsByOwner(mustDecide(t, a, in))["a1"], 0)
 }
 
-// A zone's seat is taken away. All its shards move in the same decision, which
-// rests on the eviction itself.
+// Guards against shards that stay without an owner after a zone's eviction: they
+// must all move in the decision that evicts it.
 func TestShardsOfEvictedZoneMoveInOneDecision(t *testing.T) {
 	in := fourTargets()
 	in.EvictedZones = map[string]bool{"wien": true}
@@ -102,8 +103,9 @@
 	assert.DeepEqual(t, shardsByOwner(d.Next), map[string]int{"a1": 8, "a2": 8})
 }
 
-// A target leaves. Its shards are first marked as moving, keep their owner
-// until it has finished, and then go over with a higher epoch.
+// Guards against a drain that interrupts service: shards of a leaving target must
+// be marked as moving first, and keep their owner until their revocation is
+// complete.
 func TestDrainingTargetKeepsShardsUntilDrained(t *testing.T) {
 	a := initialAssignment(t)
 	in := fourTargets()
@@ -117,8 +119,8 @@
 	assert.Equal(t, shardsByOwner(mustDecide(t, moving, in))["a1"], 0)
 }
 
-// The new owner dies while a shard is on its way to it. The shard must not be
-// given to the dead target when the old one has finished.
+// Guards against a shard that is assigned to a target that was lost while the
+// shard was moving to it.
 func TestMoveToLostTargetGetsAnotherOwner(t *testing.T) {
 	in := fourTargets()
 	in.Listed[0].Leaving = true
@@ -132,8 +134,8 @@
 	assert.Equal(t, shardsByOwner(after)["a1"]+shardsByOwner(after)[to]+shardsByOwner(after)[""], 0)
 }
 
-// Whatever is reported in whatever order, the shards cover the space once, no
-// epoch goes back, and only targets in use get shards.
+// Guards, with random reports, against gaps and overlaps of shards, against epochs
+// that decrease and against shards on targets that are not active.
 func TestDecisionInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := &assignment.Assignment{Service: "menus"}
@@ -187,11 +189,11 @@
 	for _, s := range after.Shards {
 		was, known := old.Find(s.First)
 		if known && (s.Epoch < was.Epoch || s.Owner != was.Owner && s.Epoch == was.Epoch) {
-			t.Fatalf("epoch %d of %v after %v", s.Epoch, s, was)
+			t.Fatalf("epoch %d of shard %v is not valid after %v", s.Epoch, s, was)
 		}
 		owner, ok := after.Target(s.Owner)
 		if known && s.Owner != was.Owner && (!ok && s.Owner != "" || ok && owner.State != assignment.Active) {
-			t.Fatalf("%v went to %v", s, owner)
+			t.Fatalf("shard %v was assigned to target %v, which is not active", s, owner)
 		}
 	}
 	_ = m
@@ -212,8 +214,8 @@
 	// c000000000000000 t2
 }
 
-// A target drains. Only it is sent other grants; the next owners get theirs when
-// the shards arrive, and the rest keep what they have.
+// Guards against grants that are sent again without a change: when a target
+// drains, only its own grants change until its shards have moved.
 func TestGrantsVersionChangesOnlyForTargetsWithOtherGrants(t *testing.T) {
 	in := fourTargets()
 	in.Listed[0].Leaving = true
