--- a/basilcross/lease/lease_test.go
+++ b/basilcross/lease/lease_test.go
@@ -12,7 +12,7 @@
 func ExampleLease() {
 	sent := time.Now()
 	l := lease.New(sent, time.Second)
-	// The answer took 400 ms; the lease counts from the sending all the same.
+	// The response took 400 ms; the lease still counts from the time of sending.
 	received := sent.Add(400 * time.Millisecond)
 	fmt.Println(l.Left(received))
 	fmt.Println(l.Valid(sent.Add(time.Second)))
@@ -23,9 +23,8 @@
 	// an observer waits 1.01s
 }
 
-// The machine was suspended: its monotonic clock stood still while the wall
-// clock went on. The lease is over, although little time has passed by the
-// monotonic clock.
+// Guards against a lease that stays valid after a machine was suspended: its
+// monotonic clock stopped while the wall clock continued.
 func TestLeaseEndsWhileMachineIsSuspended(t *testing.T) {
 	sent := time.Now()
 	l := lease.New(sent, time.Second)
@@ -40,5 +39,5 @@
 	assert.Equal(t, long.Within(short).Length, 500*time.Millisecond)
 	assert.Equal(t, short.Within(long), short)
 	assert.Equal(t, short.Later(long), long)
-	assert.Assert(t, !(lease.Lease{}).Valid(now), "the zero value is no authority")
+	assert.Assert(t, !(lease.Lease{}).Valid(now), "the zero value must not be valid")
 }
