--- a/basilcross/eviction/eviction_test.go
+++ b/basilcross/eviction/eviction_test.go
@@ -11,9 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Four zones, one of them silent. Its eviction needs the word of two others;
-// one of these has just promised to extend the silent holder, so that promise
-// is waited out.
+// The leader of one of four zones is unresponsive. Its eviction needs the
+// confirmations of two others, one of which has just promised to extend it, so
+// the eviction completes when that promise has expired.
 func Example() {
 	now := time.Unix(1000, 0)
 	holder := seat.Record{Zone: "wien", Holder: "gw-9", Incarnation: "a"}
@@ -33,8 +33,8 @@
 	// later: true
 }
 
-// A leader has refrained. It does not extend the holder under the row it
-// refused, but does after the holder has renewed in the table.
+// Guards against a leader that refrains forever: it must not extend the holder at
+// the row version that it refrained from, but must after the holder has renewed.
 func TestRefrainEndsWithARenewal(t *testing.T) {
 	now := time.Unix(1000, 0)
 	holder := seat.Record{Zone: "wien", Holder: "gw-9", Incarnation: "a"}
@@ -46,9 +46,9 @@
 	assert.Assert(t, b.Extend(now, request, holder, 9))
 }
 
-// A leader has just gained its seat and knows nothing of what the earlier one
-// promised. It reads an intent in the holder's row and does not extend it, and
-// its own confirmation counts only after a period.
+// Guards against an eviction that ignores promises of the former leader, of which
+// a new leader has no record: its confirmation must count only after a lease
+// duration. It must not extend a holder whose row has an intent.
 func TestNewLeaderDelaysItsConfirmation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := promise.Book{ConfirmFrom: now.Add(seat.LeaseDuration)}
@@ -58,8 +58,8 @@
 	assert.Equal(t, b.Refrain(now, "wien", 8), seat.LeaseDuration)
 }
 
-// A confirmation for an earlier attempt arrives after the holder has renewed
-// and a new attempt has begun. It does not count.
+// Guards against a confirmation that counts for a later attempt than its own,
+// when it arrives after the holder has renewed and a new attempt has begun.
 func TestConfirmationOfEarlierAttemptIsIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var e eviction.Eviction
@@ -69,7 +69,8 @@
 	assert.Assert(t, !e.Complete(now.Add(time.Hour), 1))
 }
 
-// The zones that extend and those that evict share a leader, for every size.
+// Guards against a seat that is extended and evicted at once: the quorums must
+// have a leader in common for every number of zones.
 func TestExtendAndEvictQuorumsOverlap(t *testing.T) {
 	for n := 2; n <= 20; n++ {
 		extend, ok := promise.NeededToExtend(n)
