--- a/basilcross/hotkey/hotkey.go
+++ b/basilcross/hotkey/hotkey.go
@@ -1,4 +1,4 @@
-// Package hotkey finds the keys with the most work in bounded memory.
+// Package hotkey finds the keys with the most work, in bounded memory.
 package hotkey
 
 import (
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// defaultSize is the number of counters where Size is zero. With m counters
-// every key with more than 1/m of all work is kept for certain.
+// defaultSize is the number of counters if Size is zero. With m counters every
+// key with more than 1/m of all work is guaranteed to have one.
 const defaultSize = 512
 
 // Sketch counts work by key with a fixed number of counters (the space-saving
-// algorithm of Metwally, Agrawal and El Abbadi, 2005). A key that has no
-// counter takes over the smallest one, whose count is its greatest error. The
-// zero value is empty. It is not safe for concurrent use.
+// algorithm of Metwally, Agrawal and El Abbadi, 2005). A key without a counter
+// replaces the key of the smallest one, whose count becomes the new key's maximum
+// error. The zero value is empty. It is not safe for concurrent use.
 type Sketch struct {
 	// Size is the number of counters; 0 means 512.
 	Size int
@@ -35,7 +35,7 @@
 	index int
 }
 
-// Add books work for a key.
+// Add adds work to a key's count.
 func (s *Sketch) Add(key string, work float64) {
 	if s.byKey == nil {
 		s.byKey = map[string]*counter{}
@@ -66,7 +66,7 @@
 	}
 }
 
-// Top returns the n keys with the most work, the hottest first.
+// Top returns the n keys with the most work, in descending order.
 func (s *Sketch) Top(n int) []Count {
 	all := make([]Count, 0, len(s.heap))
 	for _, c := range s.heap {
@@ -78,7 +78,7 @@
 	return all[:min(n, len(all))]
 }
 
-// Decay multiplies every count, so that keys which were hot are forgotten.
+// Decay multiplies every count by factor, so that older work counts less.
 func (s *Sketch) Decay(factor float64) {
 	for _, c := range s.heap {
 		c.Work *= factor
@@ -86,7 +86,7 @@
 	}
 }
 
-// counterHeap is a heap with the smallest count first.
+// counterHeap is a min-heap by work.
 type counterHeap []*counter
 
 func (h counterHeap) Len() int           { return len(h) }
--- a/basilcross/hotkey/hotkey_test.go
+++ b/basilcross/hotkey/hotkey_test.go
@@ -19,8 +19,8 @@
 	// Output: linzer
 }
 
-// cluster is twelve gateways whose sketches are merged every five seconds, as
-// zone leader and planner do.
+// cluster simulates twelve gateways whose sketches are merged every five seconds,
+// as zone leaders and the planner do.
 type cluster struct {
 	random   *rand.Rand
 	gateways [12]hotkey.Sketch
@@ -63,8 +63,8 @@
 	return float64(found) / hotKeyCount
 }
 
-// The hottest keys change all at once. Within a minute the merged sketch knows
-// the new ones.
+// Guards against a merged sketch that keeps former hot keys: a minute after all
+// hot keys change, it must have 90% of the new ones.
 func TestHottestKeysAreFoundAfterTheyChange(t *testing.T) {
 	f := cluster{random: rand.New(rand.NewPCG(1, 2))}
 	f.runSeconds(60)
