--- a/basilcross/table/memory.go
+++ b/basilcross/table/memory.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// Memory is a Client that keeps its rows in this process, for a single
-// instance and for tests. The zero value is empty and ready.
+// Memory is a Client that keeps its rows in memory, for a single instance and
+// for tests. The zero value is an empty table.
 type Memory struct {
 	mu       sync.Mutex
 	revision uint64
@@ -30,8 +30,8 @@
 	return res, nil
 }
 
-// Counts returns how many reads (keys and ranges) and committed writing
-// transactions there were.
+// Counts returns the number of reads (of keys and prefixes) and of committed
+// transactions with writes.
 func (m *Memory) Counts() (reads, writes uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
