--- a/basilcross/plan/balance.go
+++ b/basilcross/plan/balance.go
@@ -11,14 +11,13 @@
 
 // Limits bound how load is balanced. Zero fields take the defaults.
 type Limits struct {
-	// Tolerance is the ratio of a target's load to the mean above which moves
-	// begin; 1.08 is 8% above it.
+	// Tolerance is the ratio of load to the mean above which moves begin; 1.08
+	// is 8% above it.
 	Tolerance float64
 	// Goal is the ratio at which they end. It is below the tolerance, so that
 	// noise around the tolerance starts no moves.
 	Goal float64
-	// MaxMoves is the number of moving shards from which no more moves for
-	// balance start.
+	// MaxMoves is the number of moving shards up to which moves for balance start.
 	MaxMoves int
 	// MaxShards is how many shards a service may be split into.
 	MaxShards int
@@ -121,8 +120,7 @@
 	return active
 }
 
-// leastLoaded returns the active target with the lowest load per slot; nil if
-// there is no active target.
+// leastLoaded returns the active target with the lowest load per slot, or nil.
 func (p *planner) leastLoaded() *assignment.Target {
 	best := -1
 	for i := range p.next.Targets {
@@ -239,10 +237,9 @@
 
 // thresholds returns the ratios of load to the mean at which moves begin and end.
 //
-// Requests arrive at random: their number n in a window has a standard deviation
-// of the square root of n even under steady load. The most loaded of many targets
-// is two to three such deviations above the mean, and moves that follow this
-// noise would never end.
+// Requests arrive at random: even under steady load, n of them in a window vary by
+// the square root of n. The most loaded of many targets is two to three such
+// deviations above the mean, and moves that follow this noise would never end.
 func (p *planner) thresholds(targets int) (tolerance, goal float64) {
 	tolerance, goal = p.in.Limits.Tolerance, p.in.Limits.Goal
 	if p.in.LoadWindow <= 0 {
@@ -256,9 +253,8 @@
 	return chance, 1 + (chance-1)/2
 }
 
-// startBalancingMove starts the move of one shard from a target to a less loaded
-// one; a shard with too much load to be moved is split first. It reports whether
-// it started a move.
+// startBalancingMove starts moving one shard to a less loaded target; one with
+// too much load is split first. It reports whether a move started.
 func (p *planner) startBalancingMove(from, to int, mean, goal float64) bool {
 	excess := p.targetLoad[from] - goal*mean*slotsOf(&p.next.Targets[from])
 	headroom := goal*mean*slotsOf(&p.next.Targets[to]) - p.targetLoad[to]
@@ -351,8 +347,8 @@
 	return load / slots
 }
 
-// Imbalance returns the ratio of the largest load per slot to the mean, among
-// active targets; 1 if there are none or there is no load.
+// Imbalance returns the ratio of the largest load per slot of an active target to
+// the mean; 1 without active targets or load.
 func Imbalance(a *assignment.Assignment, loads map[uint64]float64) float64 {
 	p := &planner{in: Input{Loads: loads}, next: a}
 	p.indexTargets()
--- a/basilcross/plan/balance_test.go
+++ b/basilcross/plan/balance_test.go
@@ -60,9 +60,8 @@
 	return loads
 }
 
-// run lets the planner decide once a second; every move is complete one second
-// later. It returns the last assignment, the share of the load that moved and the
-// last second with a decision.
+// run lets the planner decide once a second; every move is complete by the next.
+// It returns the share of the load that moved and the last second with a decision.
 func (w *workload) run(a *assignment.Assignment, in plan.Input, seconds int, noise float64) (*assignment.Assignment, float64, int) {
 	moved, last, total := 0.0, 0, 0.0
 	smoothed := w.shardLoads(a, noise)
@@ -127,10 +126,10 @@
 	return over / total
 }
 
-// Guards against slow or endless balancing: after the 51 hottest keys change, the
-// most loaded target must be at 110% of the mean or less within a minute, and
-// steady, noisy load must then cause no moves. For comparison the same load is
-// given to rendezvous hashing and to consistent hashing with bounded loads.
+// Guards against slow or endless balancing: after the 51 hottest keys change, no
+// target may be above 110% of the mean after a minute, and steady, noisy load must
+// then cause no moves. Rendezvous hashing and consistent hashing with bounded
+// loads are logged for comparison.
 func TestBalanceIsRestoredAfterHotKeysChange(t *testing.T) {
 	w := newWorkload(20_000)
 	in := shardedInput(20, 80)
--- a/basilcross/plan/plan.go
+++ b/basilcross/plan/plan.go
@@ -24,7 +24,6 @@
 
 // Input is everything that a decision depends on.
 type Input struct {
-	// Sharded says that the service has shards, each with one owner.
 	Sharded bool
 	// InitialShards is the number of shards that a sharded service starts with.
 	InitialShards int
@@ -254,9 +253,8 @@
 }
 
 // markLost marks a target as lost. A fenced target has no lease any more, so its
-// shards can be reassigned at once. A target that is not fenced may still get
-// requests from gateways with an earlier version; its shards are reassigned once
-// QuietVersion has reached this version.
+// shards can be reassigned at once. One that is not fenced may get requests from
+// gateways with an earlier version, so its shards wait for QuietVersion.
 func (p *planner) markLost(t *assignment.Target, reason string) {
 	t.Generation++
 	p.conditionZones[t.Zone] = true
--- a/basilcross/seat/hints.go
+++ b/basilcross/seat/hints.go
@@ -32,9 +32,9 @@
 func (h *Hints) Add(now time.Time, term, renewals uint64, left time.Duration) {
 	h.receivedAt = now
 	end := now.Add(lease.Wait(left))
-	for i, known := range h.list {
-		if known.term == term && known.renewals == renewals {
-			if end.Before(known.end) {
+	for i, kept := range h.list {
+		if kept.term == term && kept.renewals == renewals {
+			if end.Before(kept.end) {
 				h.list[i].end = end
 			}
 			return
@@ -57,9 +57,9 @@
 // authorityEnd is when the authority from a renewal ends; ok is false if the
 // holder has not announced the renewal.
 func (h *Hints) authorityEnd(term, renewals uint64) (end time.Time, ok bool) {
-	for _, known := range h.list {
-		if known.term == term && known.renewals == renewals {
-			return known.end, true
+	for _, kept := range h.list {
+		if kept.term == term && kept.renewals == renewals {
+			return kept.end, true
 		}
 	}
 	return time.Time{}, false
--- a/basilcross/zone/zone.go
+++ b/basilcross/zone/zone.go
@@ -1,6 +1,5 @@
-// Package zone decides, for the leader of an availability zone, which
-// instances renew which targets' leases, and when a target's lease has ended
-// for certain.
+// Package zone decides, for the leader of an availability zone, which instances
+// renew which targets, and when a target's lease has ended for certain.
 //
 // The leader sends no requests to targets. Its instances poll it with reports,
 // and every response gives them authority for a time. To revoke a target's
@@ -37,8 +36,7 @@
 	Failing bool
 	// Alive is set by a response within the last interval.
 	Alive bool
-	// LeaseLeft is an upper bound of what is left of the lease that this
-	// instance last gave the target.
+	// LeaseLeft bounds what is left of the lease last given by this instance.
 	LeaseLeft time.Duration
 	// Drained lists shards whose revocation the target has completed.
 	Drained []Drain
@@ -67,8 +65,8 @@
 	Versions map[string]uint64
 }
 
-// Renewal tells an instance to renew a target's lease while the assignment
-// shows the target in this generation.
+// Renewal orders an instance to renew a target's lease while the target has
+// this generation in the assignment.
 type Renewal struct {
 	Target     string
 	Generation uint64
@@ -123,8 +121,7 @@
 // after the seat is lost. It is not safe for concurrent use.
 type Leader struct {
 	Zone string
-	// PriorLeasesEnd is the time until which leases given in earlier terms may
-	// be valid.
+	// PriorLeasesEnd is when leases given in earlier terms have ended.
 	PriorLeasesEnd time.Time
 
 	version uint64
