--- a/basilcross/plan/plan.go
+++ b/basilcross/plan/plan.go
@@ -56,7 +56,7 @@
 	// LoadWindow is the time over which Loads were averaged, in seconds. The
 	// random variation is estimated from it; 0 takes the loads as exact.
 	LoadWindow float64
-	// HotKeys are keys whose work was measured; it is also part of Loads.
+	// HotKeys are keys whose own work is known; it is also part of Loads.
 	HotKeys []HotKey
 	Limits  Limits
 }
@@ -96,7 +96,7 @@
 	p.indexTargets()
 	p.in.Limits = in.Limits.withDefaults()
 	if in.Balance {
-		// Splitting and merging shards changes their loads.
+		// Splits and merges change the loads, and the input is the caller's.
 		p.in.Loads = maps.Clone(in.Loads)
 	}
 	p.next.Version++
--- a/basilcross/plan/plan_test.go
+++ b/basilcross/plan/plan_test.go
@@ -93,8 +93,8 @@
 	assert.Equal(t, shardsByOwner(mustDecide(t, a, in))["a1"], 0)
 }
 
-// Guards against shards that stay without an owner after a zone's eviction: they
-// must all move in the decision that evicts it.
+// Guards against shards that stay in an evicted zone: they must all move in the
+// decision that evicts it, without reports of its leader.
 func TestShardsOfEvictedZoneMoveInOneDecision(t *testing.T) {
 	in := fourTargets()
 	in.EvictedZones = map[string]bool{"wien": true}
@@ -103,9 +103,9 @@
 	assert.DeepEqual(t, shardsByOwner(d.Next), map[string]int{"a1": 8, "a2": 8})
 }
 
-// Guards against a drain that interrupts service: shards of a leaving target must
-// be marked as moving first, and keep their owner until their revocation is
-// complete.
+// Guards against a shard that changes owner while the former one still serves it:
+// shards of a leaving target must be marked as moving first, and keep their owner
+// until their revocation is complete.
 func TestDrainingTargetKeepsShardsUntilDrained(t *testing.T) {
 	a := initialAssignment(t)
 	in := fourTargets()
