--- a/basilcross/eviction/eviction_test.go
+++ b/basilcross/eviction/eviction_test.go
@@ -17,15 +17,15 @@
 func Example() {
 	now := time.Unix(1000, 0)
 	holder := seat.Record{Zone: "wien", Holder: "gw-9", Incarnation: "a"}
-	var graz, salzburg promise.Book
-	graz.Extend(now, promise.Request{Zone: "wien", Holder: "gw-9", Incarnation: "a", Version: 7}, holder, 7)
+	var graz, salzburg promise.Ledger
+	graz.Extend(now, promise.ExtendRequest{Zone: "wien", Holder: "gw-9", Incarnation: "a", Version: 7}, holder, 7)
 
 	var e eviction.Eviction
 	e.Begin(8, now)
-	for zone, book := range map[string]*promise.Book{"graz": &graz, "salzburg": &salzburg} {
+	for zone, book := range map[string]*promise.Ledger{"graz": &graz, "salzburg": &salzburg} {
 		e.Confirm(now, zone, 8, book.Refrain(now, "wien", 8))
 	}
-	needed := promise.NeededToEvict(4)
+	needed := promise.EvictQuorum(4)
 	fmt.Println("at once:", e.Complete(now, needed))
 	fmt.Println("later:", e.Complete(now.Add(2*seat.LeaseDuration), needed))
 	// Output:
@@ -38,8 +38,8 @@
 func TestRefrainEndsWithARenewal(t *testing.T) {
 	now := time.Unix(1000, 0)
 	holder := seat.Record{Zone: "wien", Holder: "gw-9", Incarnation: "a"}
-	request := promise.Request{Zone: "wien", Holder: "gw-9", Incarnation: "a", Version: 8}
-	var b promise.Book
+	request := promise.ExtendRequest{Zone: "wien", Holder: "gw-9", Incarnation: "a", Version: 8}
+	var b promise.Ledger
 	b.Refrain(now, "wien", 8)
 	assert.Assert(t, !b.Extend(now, request, holder, 8))
 	request.Version = 9
@@ -51,9 +51,9 @@
 // duration. It must not extend a holder whose row has an intent.
 func TestNewLeaderDelaysItsConfirmation(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := promise.Book{ConfirmFrom: now.Add(seat.LeaseDuration)}
+	b := promise.Ledger{ConfirmFrom: now.Add(seat.LeaseDuration)}
 	evicted := seat.Record{Zone: "wien", Holder: "gw-9", Incarnation: "a", Intent: "gw-1"}
-	request := promise.Request{Zone: "wien", Holder: "gw-9", Incarnation: "a", Version: 7}
+	request := promise.ExtendRequest{Zone: "wien", Holder: "gw-9", Incarnation: "a", Version: 7}
 	assert.Assert(t, !b.Extend(now, request, evicted, 8))
 	assert.Equal(t, b.Refrain(now, "wien", 8), seat.LeaseDuration)
 }
@@ -73,10 +73,10 @@
 // have a leader in common for every number of zones.
 func TestExtendAndEvictQuorumsOverlap(t *testing.T) {
 	for n := 2; n <= 20; n++ {
-		extend, ok := promise.NeededToExtend(n)
+		extend, ok := promise.ExtendQuorum(n)
 		assert.Assert(t, ok)
-		assert.Assert(t, extend+promise.NeededToEvict(n) > n-1, "n = %d", n)
+		assert.Assert(t, extend+promise.EvictQuorum(n) > n-1, "n = %d", n)
 	}
-	_, ok := promise.NeededToExtend(1)
+	_, ok := promise.ExtendQuorum(1)
 	assert.Assert(t, !ok)
 }
--- a/basilcross/ownership/address_test.go
+++ b/basilcross/ownership/address_test.go
@@ -70,10 +70,10 @@
 
 // newcomer lists a younger target at t0's address, and t0 no more.
 func (s *spot) newcomer(service string) *roster.Target {
-	next := &roster.Target{ID: "next", Born: 2, Address: "t0:1", Slots: 3, Seen: s.now}
+	next := &roster.Target{ID: "next", Started: 2, Address: "t0:1", Slots: 3, FirstSeen: s.now}
 	s.list = s.list[1:]
 	if service != "" {
-		s.manager.Gone(roster.Life{ID: "t0", Born: 1}, true)
+		s.manager.Gone(roster.Incarnation{ID: "t0", Started: 1}, true)
 		return nil
 	}
 	s.list = append(s.list, next)
@@ -206,7 +206,7 @@
 func TestTargetThatMovesIsReleasedWhereItWas(t *testing.T) {
 	s := newSpot(nil)
 	s.play(2 * time.Second)
-	s.list[0] = &roster.Target{ID: "t0", Born: 2, Address: "t0:2", Slots: 3, Seen: s.now}
+	s.list[0] = &roster.Target{ID: "t0", Started: 2, Address: "t0:2", Slots: 3, FirstSeen: s.now}
 	since := len(s.orders)
 	s.play(400 * time.Millisecond)
 	first, ok := s.orders[since].(*ownership.Release)
@@ -270,7 +270,7 @@
 	now := time.Unix(1000, 0)
 	list := targets(2)
 	for _, target := range list {
-		target.Seen = now
+		target.FirstSeen = now
 	}
 	k := manager(now, 1, nil)
 	k.Speed("t0", time.Second)
@@ -318,7 +318,7 @@
 		}
 		s.carryOut(o)
 	}
-	next := &roster.Target{ID: "next", Born: 2, Address: "t0:1", Slots: 3, Seen: s.now}
+	next := &roster.Target{ID: "next", Started: 2, Address: "t0:1", Slots: 3, FirstSeen: s.now}
 	s.list = append(s.list, next)
 	s.play(300 * time.Millisecond)
 	assert.Assert(t, len(grantsTo(s.orders, "next")) > 0)
--- a/basilcross/ownership/assignment.go
+++ b/basilcross/ownership/assignment.go
@@ -31,7 +31,7 @@
 }
 
 // Life names the owner's lifetime.
-func (p *Piece) Life() roster.Life { return roster.Life{ID: p.Owner, Born: p.Born} }
+func (p *Piece) Life() roster.Incarnation { return roster.Incarnation{ID: p.Owner, Started: p.Born} }
 
 // Assignment is what is recorded of a service: sorted pieces that cover all
 // keys. It is written before a key is granted, so that whoever coordinates
--- a/basilcross/ownership/balance_test.go
+++ b/basilcross/ownership/balance_test.go
@@ -29,7 +29,7 @@
 	s := &loadPlay{rand: rand.New(rand.NewPCG(1, 7)), now: time.Unix(1000, 0), load: make([]float64, ownership.Keys)}
 	s.list = make([]*roster.Target, targets)
 	for i := range s.list {
-		s.list[i] = &roster.Target{ID: fmt.Sprintf("t%d", i), Born: 1, Address: fmt.Sprintf("a%d", i), Slots: 3, Seen: s.now.Add(-time.Minute)}
+		s.list[i] = &roster.Target{ID: fmt.Sprintf("t%d", i), Started: 1, Address: fmt.Sprintf("a%d", i), Slots: 3, FirstSeen: s.now.Add(-time.Minute)}
 	}
 	s.manager = manager(s.now, 1, nil)
 	// A stream of its own, so that the load of a seed does not depend on the orders.
--- a/basilcross/ownership/fleet_test.go
+++ b/basilcross/ownership/fleet_test.go
@@ -44,7 +44,7 @@
 	ended map[string]time.Time
 	// story is what happened, shown if the play fails.
 	story []string
-	told  map[roster.Life]bool
+	told  map[roster.Incarnation]bool
 }
 
 func (w *world) tell(format string, args ...any) {
@@ -261,7 +261,7 @@
 func (w *world) start(id, address string) *roster.Target {
 	w.names++
 	w.tell("%s starts at %s", id, address)
-	entry := &roster.Target{ID: id, Born: w.now.UnixMilli(), Address: address, Slots: 3}
+	entry := &roster.Target{ID: id, Started: w.now.UnixMilli(), Address: address, Slots: 3}
 	w.at[address] = &fakeTarget{
 		name: fmt.Sprintf("%s/%d", id, w.names), address: address, entry: entry,
 		seen: map[int]int64{}, until: map[int]time.Time{}, drift: 1 + 0.02*w.rand.Float64(),
@@ -271,8 +271,8 @@
 
 // list takes in an entry, or one that is newer.
 func (w *world) list(t *roster.Target) {
-	w.tell("%v is listed", t.Life())
-	t.Seen = w.now
+	w.tell("%v is listed", t.Incarnation())
+	t.FirstSeen = w.now
 	for i, old := range w.listed {
 		if old.ID == t.ID {
 			w.listed[i] = t
@@ -283,9 +283,9 @@
 }
 
 // unlist takes out an entry, unless it is another lifetime's by now.
-func (w *world) unlist(life roster.Life) {
+func (w *world) unlist(life roster.Incarnation) {
 	for i, t := range w.listed {
-		if t.Life() != life {
+		if t.Incarnation() != life {
 			continue
 		}
 		w.listed = append(w.listed[:i:i], w.listed[i+1:]...)
@@ -309,7 +309,7 @@
 		gone.Draining = true
 		w.listed[i] = &gone
 		w.later(2*time.Second, func() {
-			if p := w.at[t.Address]; p != nil && p.entry.Life() == t.Life() {
+			if p := w.at[t.Address]; p != nil && p.entry.Incarnation() == t.Incarnation() {
 				w.end(t.Address)
 			}
 		})
@@ -368,7 +368,7 @@
 				w.list(next)
 				if w.at[t.Address] != lives {
 					// It has ended meanwhile.
-					w.later(unlistAfter, func() { w.whenBack(func() { w.unlist(next.Life()) }) })
+					w.later(unlistAfter, func() { w.whenBack(func() { w.unlist(next.Incarnation()) }) })
 				}
 			})
 		})
@@ -402,7 +402,7 @@
 	w.tell("%s ends", p.name)
 	delete(w.at, address)
 	w.ended[address] = w.now
-	w.later(unlistAfter, func() { w.whenBack(func() { w.unlist(p.entry.Life()) }) })
+	w.later(unlistAfter, func() { w.whenBack(func() { w.unlist(p.entry.Incarnation()) }) })
 }
 
 // noteReplaced is what the manager is told of other services' targets that live
@@ -414,7 +414,7 @@
 			named = named || t.ID == life.ID
 		}
 		for _, t := range w.others {
-			if t.Address == owner.Address && t.Born > life.Born && (owner.Silent || !named) {
+			if t.Address == owner.Address && t.Started > life.Started && (owner.Silent || !named) {
 				if !w.told[life] {
 					w.told[life] = true
 					w.tell("%v is gone, %s is at %s", life, t.ID, t.Address)
@@ -430,7 +430,7 @@
 func (w *world) takeOver() {
 	w.term++
 	w.tell("term %d begins", w.term)
-	w.told = map[roster.Life]bool{}
+	w.told = map[roster.Incarnation]bool{}
 	w.manager = manager(w.now, w.term, w.written)
 	// Seeds play alike.
 	w.manager.Jitter = w.within
@@ -461,7 +461,7 @@
 	for seed := range uint64(150) {
 		w := &world{
 			t: t, seed: seed, rand: rand.New(rand.NewPCG(seed, 1)), now: began,
-			at: map[string]*fakeTarget{}, had: map[int]map[*fakeTarget]int64{}, told: map[roster.Life]bool{},
+			at: map[string]*fakeTarget{}, had: map[int]map[*fakeTarget]int64{}, told: map[roster.Incarnation]bool{},
 			ended: map[string]time.Time{},
 		}
 		for i := range 8 {
--- a/basilcross/ownership/holder.go
+++ b/basilcross/ownership/holder.go
@@ -25,7 +25,7 @@
 	gone, strays bool
 }
 
-func (m *Manager) holder(l roster.Life) *holder {
+func (m *Manager) holder(l roster.Incarnation) *holder {
 	h := m.holders[l]
 	if h == nil {
 		h = &holder{}
--- a/basilcross/ownership/loss_test.go
+++ b/basilcross/ownership/loss_test.go
@@ -54,7 +54,7 @@
 	const giveUp = 450 * time.Millisecond
 	switch order := order.(type) {
 	case *ownership.Grant:
-		if order.Owner.ID == o.lost && order.Owner.Born == 1 && o.silent {
+		if order.Owner.ID == o.lost && order.Owner.Started == 1 && o.silent {
 			// Its connection hangs, and no other one can be opened.
 			sent, out := o.now, ownership.Unsent
 			if order.Channel != 0 {
@@ -64,7 +64,7 @@
 			return
 		}
 	case *ownership.Release:
-		if order.Owner.ID == o.lost && order.Owner.Born == 1 && o.silent {
+		if order.Owner.ID == o.lost && order.Owner.Started == 1 && o.silent {
 			o.later(order.Until.Sub(o.now)+100*time.Millisecond, func() { o.manager.Released(o.now, order, "", ownership.Unknown) })
 			return
 		}
@@ -85,7 +85,7 @@
 	}{
 		{"it leaves", func(o *outage) { o.find().Draining = true }, time.Second, 0},
 		{"its entry is gone, and it answers", func(o *outage) { o.drop() }, time.Second, 0},
-		{"it starts again under its name", func(o *outage) { o.silent = true; o.find().Born = 2 }, 2 * time.Second, 0},
+		{"it starts again under its name", func(o *outage) { o.silent = true; o.find().Started = 2 }, 2 * time.Second, 0},
 		{"it falls silent", func(o *outage) { o.silent = true }, 7 * time.Second, 0},
 		{"it falls silent, and its entry goes after 2.6 s", func(o *outage) {
 			o.silent = true
@@ -94,20 +94,20 @@
 		{"it falls silent, and another target has its address", func(o *outage) {
 			o.silent = true
 			o.later(time.Second, func() {
-				o.list = append(o.list, &roster.Target{ID: "next", Born: 2, Address: o.find().Address, Slots: 3, Seen: o.now})
+				o.list = append(o.list, &roster.Target{ID: "next", Started: 2, Address: o.find().Address, Slots: 3, FirstSeen: o.now})
 			})
 		}, 2 * time.Second, 0},
 		{"it falls silent, and another service has its address after 2.4 s", func(o *outage) {
 			o.silent = true
-			o.later(2400*time.Millisecond, func() { o.manager.Gone(roster.Life{ID: o.lost, Born: 1}, true) })
+			o.later(2400*time.Millisecond, func() { o.manager.Gone(roster.Incarnation{ID: o.lost, Started: 1}, true) })
 		}, 3 * time.Second, 9 * time.Second},
 		{"it falls silent, and an undivided service has its address after 2.4 s", func(o *outage) {
 			o.silent = true
-			o.later(2400*time.Millisecond, func() { o.manager.Gone(roster.Life{ID: o.lost, Born: 1}, false) })
+			o.later(2400*time.Millisecond, func() { o.manager.Gone(roster.Incarnation{ID: o.lost, Started: 1}, false) })
 		}, 3 * time.Second, 0},
 		{"the same, and its answers have only begun", func(o *outage) {
 			o.silent = true
-			o.later(2400*time.Millisecond, func() { o.manager.Gone(roster.Life{ID: o.lost, Born: 1}, true) })
+			o.later(2400*time.Millisecond, func() { o.manager.Gone(roster.Incarnation{ID: o.lost, Started: 1}, true) })
 		}, 7 * time.Second, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/basilcross/ownership/manager.go
+++ b/basilcross/ownership/manager.go
@@ -66,7 +66,7 @@
 	balanceAt time.Time
 	// shifted is when busy keys were last seen to have changed.
 	shifted time.Time
-	holders map[roster.Life]*holder
+	holders map[roster.Incarnation]*holder
 	speeds  map[string]time.Duration
 	clock   storeClock
 	// long is set while the store is in doubt.
@@ -75,7 +75,7 @@
 	Moved Moved
 	// Inherited, if set, is told of pieces that a younger target at their
 	// owner's address gets.
-	Inherited func(p Piece, to roster.Life)
+	Inherited func(p Piece, to roster.Incarnation)
 }
 
 // Moved counts pieces that were given to another owner.
@@ -176,7 +176,7 @@
 	if m.Epochs == nil {
 		m.Epochs = &Epochs{Term: m.Term}
 	}
-	m.holders = map[roster.Life]*holder{}
+	m.holders = map[roster.Incarnation]*holder{}
 	until := now.Add(bound(longest))
 	if recorded == nil {
 		m.pieces = []*piece{{Piece: Piece{First: 0, Last: Keys - 1}, phase: free}}
--- a/basilcross/ownership/manager_test.go
+++ b/basilcross/ownership/manager_test.go
@@ -18,7 +18,7 @@
 func targets(n int) []*roster.Target {
 	list := make([]*roster.Target, n)
 	for i := range list {
-		list[i] = &roster.Target{ID: fmt.Sprintf("t%d", i), Born: 1, Address: fmt.Sprintf("t%d:1", i), Slots: 3}
+		list[i] = &roster.Target{ID: fmt.Sprintf("t%d", i), Started: 1, Address: fmt.Sprintf("t%d:1", i), Slots: 3}
 	}
 	return list
 }
@@ -154,11 +154,11 @@
 	list := targets(2)
 	k := manager(now, 1, nil)
 	before := grantsTo(step(k, now, list), "t0")
-	list[0].Born = 2
+	list[0].Started = 2
 	after := grantsTo(step(k, now.Add(time.Millisecond), list), "t0")
 	assert.Assert(t, len(after) > 0)
 	assert.Assert(t, after[0].Epoch > before[0].Epoch)
-	assert.Equal(t, after[0].Owner.Born, int64(2))
+	assert.Equal(t, after[0].Owner.Started, int64(2))
 }
 
 // The coordinator is lost. Its successor reads what was recorded and grants
--- a/basilcross/ownership/order.go
+++ b/basilcross/ownership/order.go
@@ -15,7 +15,7 @@
 	First, Last int
 	Epoch       int64
 	Hold        time.Duration
-	Owner       roster.Life
+	Owner       roster.Incarnation
 	Address     string
 	Handover    string
 	// Channel is the connection that the epoch belongs to, and the order may go
@@ -33,7 +33,7 @@
 type Release struct {
 	First, Last int
 	Epoch       int64
-	Owner       roster.Life
+	Owner       roster.Incarnation
 	Address     string
 	// Until is when the answer is of no more use.
 	Until time.Time
@@ -164,8 +164,8 @@
 
 // Owners returns the lifetimes that have pieces, with their addresses, and
 // whether they leave orders unanswered.
-func (m *Manager) Owners() map[roster.Life]Owner {
-	owners := map[roster.Life]Owner{}
+func (m *Manager) Owners() map[roster.Incarnation]Owner {
+	owners := map[roster.Incarnation]Owner{}
 	for _, p := range m.pieces {
 		if p.Owner != "" {
 			owners[p.Life()] = Owner{Address: p.Address, Silent: !m.holder(p.Life()).silent.IsZero()}
@@ -185,14 +185,14 @@
 // is divided, strays may be in its hands: what was sent since nobody of this
 // service was known to live there. One of an undivided service holds no keys.
 // Gone tells whether this is news.
-func (m *Manager) Gone(l roster.Life, divided bool) bool {
+func (m *Manager) Gone(l roster.Incarnation, divided bool) bool {
 	h := m.holder(l)
 	news := !h.gone
 	h.gone, h.strays = true, divided
 	return news
 }
 
-func (m *Manager) find(first, last int, owner roster.Life) *piece {
+func (m *Manager) find(first, last int, owner roster.Incarnation) *piece {
 	for _, p := range m.pieces {
 		if p.First == first && p.Last == last && p.Life() == owner {
 			return p
--- a/basilcross/ownership/plan.go
+++ b/basilcross/ownership/plan.go
@@ -84,7 +84,7 @@
 			continue
 		}
 		slots := float64(t.Slots) * m.speed(t.ID)
-		if now.Sub(t.Seen) < t.Warming {
+		if now.Sub(t.FirstSeen) < t.WarmupLeft {
 			slots *= coldShare
 		}
 		rooms[t.ID] = &room{target: t, slots: slots}
@@ -108,7 +108,7 @@
 
 // mayHold tells whether a target may be given keys.
 func (m *Manager) mayHold(now time.Time, t *roster.Target) bool {
-	h := m.holder(t.Life())
+	h := m.holder(t.Incarnation())
 	if !h.silent.IsZero() && now.Sub(h.silent) > min(forgiveAfter<<min(h.forgiven, 8), mostForgive) {
 		h.silent = time.Time{}
 		h.forgiven++
@@ -157,7 +157,7 @@
 // gathered tells whether the targets are likely all there.
 func (m *Manager) gathered(now time.Time, targets []*roster.Target) bool {
 	for _, t := range targets {
-		if now.Sub(t.Seen) < gatherFor {
+		if now.Sub(t.FirstSeen) < gatherFor {
 			return false
 		}
 	}
@@ -234,7 +234,7 @@
 
 func (m *Manager) give(p *piece, to *room, work float64) {
 	to.load += work
-	p.Owner, p.Born, p.Address = to.target.ID, to.target.Born, to.target.Address
+	p.Owner, p.Born, p.Address = to.target.ID, to.target.Started, to.target.Address
 	p.phase, p.wanted = recording, ""
 	m.dirty = true
 	switch p.cause {
--- a/basilcross/ownership/step.go
+++ b/basilcross/ownership/step.go
@@ -27,7 +27,7 @@
 	resident := make(map[string]*roster.Target, len(targets))
 	for _, t := range targets {
 		named[t.ID] = t
-		if at := resident[t.Address]; at == nil || at.Born < t.Born {
+		if at := resident[t.Address]; at == nil || at.Started < t.Started {
 			resident[t.Address] = t
 		}
 	}
@@ -63,7 +63,7 @@
 	if p.phase == free || p.phase == recording {
 		return
 	}
-	if resident != nil && resident.Born > p.Born {
+	if resident != nil && resident.Started > p.Born {
 		m.inherit(now, p, resident)
 		return
 	}
@@ -81,7 +81,7 @@
 		m.dirty = true
 	case t == nil || t.Draining:
 		p.phase, p.cause, p.tries = leaving, OwnerLeaving, 0
-	case t.Born > p.Born:
+	case t.Started > p.Born:
 		// It lives elsewhere now. Its former address may have gone to another
 		// one, which may have taken what was meant for it.
 		p.phase, p.cause, p.tries = leaving, OwnerLost, 0
@@ -100,10 +100,10 @@
 		return
 	}
 	if m.Inherited != nil {
-		m.Inherited(p.Piece, to.Life())
+		m.Inherited(p.Piece, to.Incarnation())
 	}
 	delete(m.speeds, to.ID)
-	p.Owner, p.Born = to.ID, to.Born
+	p.Owner, p.Born = to.ID, to.Started
 	p.cause, p.wanted = OwnerLost, ""
 	p.usable = time.Time{}
 	m.dirty = true
--- a/basilcross/plan/plan.go
+++ b/basilcross/plan/plan.go
@@ -128,8 +128,8 @@
 	previous, current := grantHashes(before), grantHashes(p.next)
 	for i := range p.next.Targets {
 		t := &p.next.Targets[i]
-		if previous[t.ID] != current[t.ID] || t.Grants == 0 {
-			t.Grants = p.next.Version
+		if previous[t.ID] != current[t.ID] || t.GrantsVersion == 0 {
+			t.GrantsVersion = p.next.Version
 		}
 	}
 }
@@ -196,7 +196,7 @@
 		t := l.Target
 		t.State = want
 		t.Generation = 1
-		t.Since = p.next.Version
+		t.StateSince = p.next.Version
 		p.next.SetTarget(t)
 		p.targetIndex[t.ID] = len(p.next.Targets) - 1
 		p.addCause("target %s joined", t.ID)
@@ -229,7 +229,7 @@
 
 func (p *planner) setState(t *assignment.Target, s assignment.State, reason string) {
 	t.State = s
-	t.Since = p.next.Version
+	t.StateSince = p.next.Version
 	p.addCause("target %s is %s: %s", t.ID, s, reason)
 }
 
@@ -286,7 +286,7 @@
 
 // isReassignable reports whether a target's shards may get another owner at once.
 func (p *planner) isReassignable(t *assignment.Target) bool {
-	return t == nil || t.State == assignment.Lost && (t.Fenced || p.in.QuietVersion >= t.Since)
+	return t == nil || t.State == assignment.Lost && (t.Fenced || p.in.QuietVersion >= t.StateSince)
 }
 
 // finishMoves assigns shards whose revocation is complete to their next owner.
@@ -304,7 +304,7 @@
 		}
 		drained := done[zone.Drain{First: s.First, Epoch: s.Epoch}]
 		if owner := p.target(s.Owner); owner != nil && !owner.Fenced {
-			drained = p.in.QuietVersion >= s.Since
+			drained = p.in.QuietVersion >= s.OwnerSince
 		}
 		if drained {
 			p.setOwner(s, s.MovingTo)
@@ -320,7 +320,7 @@
 	s.Owner = to
 	s.MovingTo = ""
 	s.Epoch++
-	s.Since = p.next.Version
+	s.OwnerSince = p.next.Version
 }
 
 // placeOrphans assigns every shard without a usable owner to the least loaded target.
@@ -377,7 +377,7 @@
 
 func (p *planner) startMove(s *shard.Shard, to *assignment.Target) {
 	s.MovingTo = to.ID
-	s.Since = p.next.Version
+	s.OwnerSince = p.next.Version
 	p.targetLoad[p.targetIndex[to.ID]] += p.shardWeight(*s)
 	if from, ok := p.targetIndex[s.Owner]; ok {
 		p.targetLoad[from] -= p.shardWeight(*s)
--- a/basilcross/plan/plan_test.go
+++ b/basilcross/plan/plan_test.go
@@ -69,7 +69,7 @@
 	}
 	lost, _ := d.Next.Target("a1")
 	assert.Equal(t, lost.State, assignment.Lost)
-	assert.Equal(t, lost.Grants, d.Next.Version)
+	assert.Equal(t, lost.GrantsVersion, d.Next.Version)
 	assert.Assert(t, plan.Next(d.Next, in).Next == nil, "the report of an earlier generation must be ignored")
 	in.Released = nil
 	in.Returned = []zone.Release{{Target: "a1", Generation: 2}}
@@ -112,7 +112,7 @@
 	in.Listed[0].Leaving = true
 	moving := mustDecide(t, a, in)
 	assert.Equal(t, shardsByOwner(moving)["a1"], 4)
-	for _, s := range moving.Owned("a1") {
+	for _, s := range moving.OwnedBy("a1") {
 		assert.Assert(t, s.MovingTo != "")
 		in.Drained = append(in.Drained, zone.Drain{Service: "menus", First: s.First, Epoch: s.Epoch, Version: moving.Version})
 	}
@@ -125,8 +125,8 @@
 	in := fourTargets()
 	in.Listed[0].Leaving = true
 	moving := mustDecide(t, initialAssignment(t), in)
-	to := moving.Owned("a1")[0].MovingTo
-	for _, s := range moving.Owned("a1") {
+	to := moving.OwnedBy("a1")[0].MovingTo
+	for _, s := range moving.OwnedBy("a1") {
 		in.Drained = append(in.Drained, zone.Drain{Service: "menus", First: s.First, Epoch: s.Epoch, Version: moving.Version})
 	}
 	in.Released = []zone.Release{{Target: to, Generation: 1}}
@@ -223,6 +223,6 @@
 	after := mustDecide(t, before, in)
 	for _, target := range after.Targets {
 		was, _ := before.Target(target.ID)
-		assert.Equal(t, target.Grants != was.Grants, target.ID == "a1", "%s", target.ID)
+		assert.Equal(t, target.GrantsVersion != was.GrantsVersion, target.ID == "a1", "%s", target.ID)
 	}
 }
--- a/gateway/broker/broker.go
+++ b/gateway/broker/broker.go
@@ -58,7 +58,7 @@
 	group    errgroup.Group
 	mu       sync.Mutex
 	seq      uint64
-	pending  map[uint64]chan *peers.Reserved
+	pending  map[uint64]chan *peers.ReserveResponse
 	remotes  map[remoteKey]*remote
 	suspects map[string]suspicion
 	full     map[fullKey]time.Time
@@ -87,7 +87,7 @@
 	return &Broker{
 		// Numbers that begin anew with each life would let replies to a former
 		// one find a request of this one.
-		Options: o, seq: uint64(rand.Uint32()), pending: map[uint64]chan *peers.Reserved{}, remotes: map[remoteKey]*remote{},
+		Options: o, seq: uint64(rand.Uint32()), pending: map[uint64]chan *peers.ReserveResponse{}, remotes: map[remoteKey]*remote{},
 		suspects: map[string]suspicion{}, full: map[fullKey]time.Time{},
 		transits: map[string]time.Duration{},
 	}
@@ -115,7 +115,7 @@
 		if b.isFull(a.Service, zone) && zone != b.Self.Zone {
 			continue
 		}
-		a.Zone, a.OnTime = zone, true
+		a.Zone, a.RejectLate = zone, true
 		p, err := b.at(ctx, a)
 		if err == nil || ctx.Err() != nil {
 			return p, err
@@ -124,7 +124,7 @@
 			b.noteFull(a.Service, zone)
 		}
 	}
-	a.Zone, a.OnTime = zones[0], false
+	a.Zone, a.RejectLate = zones[0], false
 	return b.at(ctx, a)
 }
 
@@ -132,7 +132,7 @@
 func (b *Broker) zones(service string) []string {
 	var tiers [3][]string
 	seen := map[string]bool{}
-	for _, t := range b.Roster.Load().Services[service] {
+	for _, t := range b.Roster.Load().ByService[service] {
 		if t.Draining || seen[t.Zone] {
 			continue
 		}
@@ -231,7 +231,7 @@
 	b.mu.Lock()
 	b.seq++
 	seq := b.seq
-	replies := make(chan *peers.Reserved, 4)
+	replies := make(chan *peers.ReserveResponse, 4)
 	b.pending[seq] = replies
 	b.mu.Unlock()
 	defer func() {
@@ -239,7 +239,7 @@
 		delete(b.pending, seq)
 		b.mu.Unlock()
 	}()
-	b.Peers.Send(scheduler, &peers.Message{Reserve: encode(seq, &a)})
+	b.Peers.Send(scheduler, &peers.Message{ReserveRequest: encode(seq, &a)})
 	timer := time.NewTimer(resendAfter)
 	defer timer.Stop()
 	for silent := 0; ; {
@@ -259,7 +259,7 @@
 				b.done(scheduler, seq, schedule.Abandoned, 0)
 				return nil, &SilentError{Scheduler: scheduler}
 			}
-			b.Peers.Send(scheduler, &peers.Message{Reserve: encode(seq, &a)})
+			b.Peers.Send(scheduler, &peers.Message{ReserveRequest: encode(seq, &a)})
 			timer.Reset(resendAfter)
 		case <-ctx.Done():
 			b.done(scheduler, seq, schedule.Abandoned, 0)
@@ -277,7 +277,7 @@
 // isForeign tells whether a reply answers another request: of this instance's former
 // life, under the same number. Its target would run the request, since it is
 // called by its own name, though the request's service has no part in it.
-func (b *Broker) isForeign(a *schedule.Request, r *peers.Reserved) bool {
+func (b *Broker) isForeign(a *schedule.Request, r *peers.ReserveResponse) bool {
 	if r.Target == "" {
 		return false
 	}
@@ -285,15 +285,15 @@
 	return a.Target != "" && r.Target != a.Target || t != nil && t.Service != a.Service
 }
 
-func (b *Broker) replied(scheduler string, seq uint64, a *schedule.Request, r *peers.Reserved) (*Reservation, error) {
+func (b *Broker) replied(scheduler string, seq uint64, a *schedule.Request, r *peers.ReserveResponse) (*Reservation, error) {
 	switch {
 	case r.NoTarget:
 		return nil, &schedule.NoTargetError{Service: a.Service}
 	case r.Target == "":
-		return nil, &schedule.BusyError{Service: a.Service, Wait: time.Duration(r.WaitMs) * time.Millisecond, Queued: r.Waiting}
+		return nil, &schedule.BusyError{Service: a.Service, Wait: time.Duration(r.WaitMs) * time.Millisecond, Queued: r.QueueLength}
 	}
 	t := b.Roster.Load().Targets[r.Target]
-	if t == nil || t.Born != r.Born || a.Target == "" && t.Draining {
+	if t == nil || t.Started != r.Started || a.Target == "" && t.Draining {
 		b.done(scheduler, seq, schedule.Abandoned, 0)
 		return nil, &schedule.NoTargetError{Service: a.Service}
 	}
@@ -302,13 +302,13 @@
 }
 
 func (b *Broker) done(scheduler string, seq uint64, out schedule.Result, took time.Duration) {
-	b.Peers.Send(scheduler, &peers.Message{Release: &peers.Release{Seq: seq, Result: int(out), TookUs: took.Microseconds()}})
+	b.Peers.Send(scheduler, &peers.Message{Release: &peers.Release{Seq: seq, Result: int(out), HeldUs: took.Microseconds()}})
 }
 
-func encode(seq uint64, a *schedule.Request) *peers.Reserve {
+func encode(seq uint64, a *schedule.Request) *peers.ReserveRequest {
 	now := time.Now()
-	w := &peers.Reserve{
-		Seq: seq, Service: a.Service, Kind: a.Kind, Target: a.Target, Zone: a.Zone, Priority: a.Priority, OnTime: a.OnTime,
+	w := &peers.ReserveRequest{
+		Seq: seq, Service: a.Service, Kind: a.Kind, Target: a.Target, Zone: a.Zone, Priority: a.Priority, RejectLate: a.RejectLate,
 		ObjectiveMs: a.Objective.Sub(now).Milliseconds(), DeadlineMs: a.Deadline.Sub(now).Milliseconds(),
 	}
 	for id := range a.Excluded {
--- a/gateway/broker/broker_test.go
+++ b/gateway/broker/broker_test.go
@@ -32,7 +32,7 @@
 func nodes(t *testing.T, names ...string) map[string]*node {
 	t.Helper()
 	list := &roster.Roster{}
-	list.Replace(time.Now(), []*roster.Target{{ID: "t", Born: 1, Service: "s", Zone: "z", Slots: 1}}, 1)
+	list.Replace(time.Now(), []*roster.Target{{ID: "t", Started: 1, Service: "s", Zone: "z", Slots: 1}}, 1)
 	all, known := map[string]*node{}, map[string]peers.Instance{}
 	log := slog.New(slog.DiscardHandler)
 	for _, name := range names {
@@ -41,7 +41,7 @@
 		address := c.LocalAddr().String()
 		assert.NilError(t, c.Close())
 		n := &node{list: list}
-		n.peers = &peers.Peers{Self: peers.Instance{Name: name, Life: "1", Zone: "z", Datagram: address}, Log: log}
+		n.peers = &peers.Peers{Self: peers.Instance{Name: name, Incarnation: "1", Zone: "z", Datagram: address}, Log: log}
 		n.peers.Receive = func(m *peers.Message) {
 			if f := n.instead.Load(); f != nil {
 				(*f)(m)
@@ -61,7 +61,7 @@
 		all[name], known[name] = n, n.peers.Self
 	}
 	for _, n := range all {
-		n.peers.Know(known)
+		n.peers.SetInstances(known)
 	}
 	return all
 }
@@ -147,7 +147,7 @@
 	}
 	all["strong"] = peers.Instance{Name: "strong", Zone: "z", Cores: 0.8, Datagram: "127.0.0.1:9"}
 	p := &peers.Peers{Self: all["a"], Log: slog.New(slog.DiscardHandler)}
-	p.Know(all)
+	p.SetInstances(all)
 	b := broker.New(broker.Options{Self: p.Self, Peers: p})
 	schedulers := map[string]bool{}
 	for _, id := range []string{"t1", "t2", "t3", "t4", "t5", "t6", "t7", "t8"} {
@@ -164,9 +164,9 @@
 	var sent atomic.Int64
 	scheduler := all["scheduler"].peers
 	queue := func(m *peers.Message) {
-		if m.Reserve != nil {
+		if m.ReserveRequest != nil {
 			sent.Add(1)
-			scheduler.Send(m.From, &peers.Message{Reserved: &peers.Reserved{Seq: m.Reserve.Seq, Queued: true}})
+			scheduler.Send(m.From, &peers.Message{ReserveResponse: &peers.ReserveResponse{Seq: m.ReserveRequest.Seq, Queued: true}})
 		}
 	}
 	all["scheduler"].instead.Store(&queue)
@@ -176,7 +176,7 @@
 			id = a.Target
 		}
 	}
-	all["a"].list.Replace(time.Now(), []*roster.Target{{ID: id, Born: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
+	all["a"].list.Replace(time.Now(), []*roster.Target{{ID: id, Started: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
 	ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
 	defer cancel()
 	began := time.Now()
@@ -193,21 +193,21 @@
 // service. That target would run the request, since it is called by its own
 // name. The reply is passed over, and the right one is waited for.
 func TestReplyToAFormerLifeIsPassedOver(t *testing.T) {
-	for name, stray := range map[string]*peers.Reserved{
-		"another service's target": {Target: "other", Born: 7},
-		"another target":           {Target: "second", Born: 1},
+	for name, stray := range map[string]*peers.ReserveResponse{
+		"another service's target": {Target: "other", Started: 7},
+		"another target":           {Target: "second", Started: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			all := nodes(t, "a", "scheduler")
 			scheduler := all["scheduler"].peers
 			answer := func(m *peers.Message) {
-				if m.Reserve == nil {
+				if m.ReserveRequest == nil {
 					return
 				}
 				r := *stray
-				r.Seq = m.Reserve.Seq
-				scheduler.Send(m.From, &peers.Message{Reserved: &r})
-				scheduler.Send(m.From, &peers.Message{Reserved: &peers.Reserved{Seq: m.Reserve.Seq, Target: m.Reserve.Target, Born: 1}})
+				r.Seq = m.ReserveRequest.Seq
+				scheduler.Send(m.From, &peers.Message{ReserveResponse: &r})
+				scheduler.Send(m.From, &peers.Message{ReserveResponse: &peers.ReserveResponse{Seq: m.ReserveRequest.Seq, Target: m.ReserveRequest.Target, Started: 1}})
 			}
 			all["scheduler"].instead.Store(&answer)
 			a := request(time.Second, time.Minute)
@@ -215,9 +215,9 @@
 				a.Target = "t" + strconv.Itoa(i)
 			}
 			all["a"].list.Replace(time.Now(), []*roster.Target{
-				{ID: a.Target, Born: 1, Service: "s", Zone: "z", Slots: 1},
-				{ID: "second", Born: 1, Service: "s", Zone: "z", Slots: 1},
-				{ID: "other", Born: 7, Service: "elsewhere", Zone: "z", Slots: 1},
+				{ID: a.Target, Started: 1, Service: "s", Zone: "z", Slots: 1},
+				{ID: "second", Started: 1, Service: "s", Zone: "z", Slots: 1},
+				{ID: "other", Started: 7, Service: "elsewhere", Zone: "z", Slots: 1},
 			}, 2)
 			p, err := all["a"].broker.Acquire(t.Context(), a)
 			assert.NilError(t, err)
@@ -234,9 +234,9 @@
 		all := nodes(t, "a", "scheduler")
 		seen := make(chan uint64, 1)
 		note := func(m *peers.Message) {
-			if m.Reserve != nil {
+			if m.ReserveRequest != nil {
 				select {
-				case seen <- m.Reserve.Seq:
+				case seen <- m.ReserveRequest.Seq:
 				default:
 				}
 			}
@@ -246,7 +246,7 @@
 		for i := 0; a.Target == "" || all["a"].broker.Scheduler(&a) != "scheduler"; i++ {
 			a.Target = "t" + strconv.Itoa(i)
 		}
-		all["a"].list.Replace(time.Now(), []*roster.Target{{ID: a.Target, Born: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
+		all["a"].list.Replace(time.Now(), []*roster.Target{{ID: a.Target, Started: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		_, err := all["a"].broker.Acquire(ctx, a)
 		cancel()
--- a/gateway/broker/scheduler.go
+++ b/gateway/broker/scheduler.go
@@ -21,7 +21,7 @@
 type remote struct {
 	cancel      context.CancelFunc
 	reservation *dispatch.Reservation
-	reply       *peers.Reserved
+	reply       *peers.ReserveResponse
 	// replied is when the reply was sent.
 	replied time.Time
 }
@@ -29,10 +29,10 @@
 // Receive takes in a datagram about slots, and tells whether it was one.
 func (b *Broker) Receive(m *peers.Message) bool {
 	switch {
-	case m.Reserve != nil:
+	case m.ReserveRequest != nil:
 		b.handleReserve(m)
-	case m.Reserved != nil:
-		b.handleReserved(m.Reserved)
+	case m.ReserveResponse != nil:
+		b.handleReserved(m.ReserveResponse)
 	case m.Release != nil:
 		b.handleRelease(m)
 	default:
@@ -41,7 +41,7 @@
 	return true
 }
 
-func (b *Broker) handleReserved(r *peers.Reserved) {
+func (b *Broker) handleReserved(r *peers.ReserveResponse) {
 	b.mu.Lock()
 	replies := b.pending[r.Seq]
 	b.mu.Unlock()
@@ -56,24 +56,24 @@
 }
 
 func (b *Broker) handleReserve(m *peers.Message) {
-	key := remoteKey{m.From, m.Life, m.Reserve.Seq}
+	key := remoteKey{m.From, m.Incarnation, m.ReserveRequest.Seq}
 	b.mu.Lock()
 	r := b.remotes[key]
 	if r != nil {
 		reply := r.reply
 		b.mu.Unlock()
 		if reply == nil {
-			reply = &peers.Reserved{Seq: m.Reserve.Seq, Queued: true}
+			reply = &peers.ReserveResponse{Seq: m.ReserveRequest.Seq, Queued: true}
 		}
-		b.Peers.Send(m.From, &peers.Message{Reserved: reply})
+		b.Peers.Send(m.From, &peers.Message{ReserveResponse: reply})
 		return
 	}
 	now := time.Now()
-	a := decode(now, m.Reserve)
+	a := decode(now, m.ReserveRequest)
 	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline)
 	r = &remote{cancel: cancel}
 	b.remotes[key] = r
-	a.Transit = b.transits[m.From]
+	a.OneWayDelay = b.transits[m.From]
 	b.mu.Unlock()
 	time.AfterFunc(time.Until(a.Deadline)+keptBeyond, func() { b.end(key, schedule.Abandoned) })
 	b.group.Go(func() error {
@@ -83,9 +83,9 @@
 }
 
 // decode returns the request that another instance asks a slot for.
-func decode(now time.Time, m *peers.Reserve) schedule.Request {
+func decode(now time.Time, m *peers.ReserveRequest) schedule.Request {
 	a := schedule.Request{
-		Service: m.Service, Kind: m.Kind, Target: m.Target, Zone: m.Zone, Priority: m.Priority, OnTime: m.OnTime,
+		Service: m.Service, Kind: m.Kind, Target: m.Target, Zone: m.Zone, Priority: m.Priority, RejectLate: m.RejectLate,
 		Objective: now.Add(time.Duration(m.ObjectiveMs) * time.Millisecond),
 		Deadline:  now.Add(time.Duration(m.DeadlineMs) * time.Millisecond),
 	}
@@ -101,14 +101,14 @@
 // decide finds a slot for another instance's request and tells it.
 func (b *Broker) decide(ctx context.Context, key remoteKey, r *remote, a schedule.Request) {
 	p, err := b.Dispatcher.Acquire(ctx, a)
-	reply := &peers.Reserved{Seq: key.seq}
+	reply := &peers.ReserveResponse{Seq: key.seq}
 	var busy *schedule.BusyError
 	var none *schedule.NoTargetError
 	switch {
 	case err == nil:
-		reply.Target, reply.Born = p.Target.ID, p.Target.Born
+		reply.Target, reply.Started = p.Target.ID, p.Target.Started
 	case errors.As(err, &busy):
-		reply.WaitMs, reply.Waiting = busy.Wait.Milliseconds(), busy.Queued
+		reply.WaitMs, reply.QueueLength = busy.Wait.Milliseconds(), busy.Queued
 	case errors.As(err, &none):
 		reply.NoTarget = true
 	}
@@ -123,13 +123,13 @@
 	}
 	r.reservation, r.reply, r.replied = p, reply, time.Now()
 	b.mu.Unlock()
-	b.Peers.Send(key.from, &peers.Message{Reserved: reply})
+	b.Peers.Send(key.from, &peers.Message{ReserveResponse: reply})
 }
 
 func (b *Broker) handleRelease(m *peers.Message) {
-	key, out := remoteKey{m.From, m.Life, m.Release.Seq}, schedule.Result(m.Release.Result)
+	key, out := remoteKey{m.From, m.Incarnation, m.Release.Seq}, schedule.Result(m.Release.Result)
 	if out == schedule.Answered {
-		b.learnTransit(key, time.Duration(m.Release.TookUs)*time.Microsecond)
+		b.learnTransit(key, time.Duration(m.Release.HeldUs)*time.Microsecond)
 	}
 	b.end(key, out)
 }
--- a/gateway/instance/catchup.go
+++ b/gateway/instance/catchup.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// catchUpEvery is how often copies are compared with what others told.
-	catchUpEvery = 250 * time.Millisecond
-	// behindFor is how long a copy may be behind others before something is
+	// catchUpInterval is how often copies are compared with what others told.
+	catchUpInterval = 250 * time.Millisecond
+	// lagTolerance is how long a copy may be behind others before something is
 	// done: usually the feed brings the news a moment later.
-	behindFor = 300 * time.Millisecond
-	// askTimeout bounds a call to another instance.
-	askTimeout = 800 * time.Millisecond
+	lagTolerance = 300 * time.Millisecond
+	// peerCallTimeout bounds a call to another instance.
+	peerCallTimeout = 800 * time.Millisecond
 )
 
-// told is what another instance said about how far its copies go.
-type told struct {
+// revisionReport is what another instance said about how far its copies go.
+type revisionReport struct {
 	from      string
 	revisions map[string]uint64
 }
 
-func (s *state) noteRevisions(from string, revisions map[string]uint64) {
+func (s *state) recordRevisions(from string, revisions map[string]uint64) {
 	if revisions == nil {
 		return
 	}
-	s.told.Store(&told{from, revisions})
+	s.revisionReport.Store(&revisionReport{from, revisions})
 }
 
 // catchUp looks after copies that are behind others, or that the store does
@@ -41,16 +41,16 @@
 
 // Serve compares until the context ends.
 func (c *catchUp) Serve(ctx context.Context) error {
-	tick := time.NewTicker(catchUpEvery)
+	tick := time.NewTicker(catchUpInterval)
 	defer tick.Stop()
 	behind := map[string]time.Time{}
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case f := <-c.replicator.fetches:
-			c.ask(ctx, c.peers.Find(f.from).Control, []*mirror.Mirror{f.of})
+		case f := <-c.replicator.copyRequests:
+			c.requestState(ctx, c.peers.Find(f.from).Control, []*mirror.Mirror{f.mirror})
 		case <-tick.C:
-			if wanted := c.wanted(time.Now(), behind); len(wanted) > 0 {
+			if wanted := c.mirrorsToFetch(time.Now(), behind); len(wanted) > 0 {
 				c.fetch(ctx, wanted)
 			}
 		}
@@ -58,9 +58,9 @@
 	return ctx.Err()
 }
 
-// wanted returns the copies that are to be asked for. Behind is since when each
+// mirrorsToFetch returns the copies that are to be asked for. Behind is since when each
 // table's copy is behind.
-func (c *catchUp) wanted(now time.Time, behind map[string]time.Time) (wanted []*mirror.Mirror) {
+func (c *catchUp) mirrorsToFetch(now time.Time, behind map[string]time.Time) (wanted []*mirror.Mirror) {
 	joined := c.replicator.joined.Load()
 	for _, m := range c.mirrors {
 		if !c.isBehind(m) {
@@ -71,11 +71,11 @@
 		switch {
 		case !ok:
 			behind[m.Table] = now
-			if m.OnDemand && joined && !c.replicator.listens.Load() {
+			if m.OnDemand && joined && !c.replicator.passive.Load() {
 				m.Again()
 			}
 		case !joined:
-		case now.Sub(since) >= behindFor, m.OnDemand && c.aheadOf(m) != "":
+		case now.Sub(since) >= lagTolerance, m.OnDemand && c.upToDateReader(m) != "":
 			behind[m.Table] = now
 			wanted = append(wanted, m)
 		}
@@ -83,11 +83,11 @@
 	return wanted
 }
 
-// aheadOf returns the address of a reader of the zone that has what others have
+// upToDateReader returns the address of a reader of the zone that has what others have
 // told of a table; empty if there is none, or if this instance does not listen.
-func (c *catchUp) aheadOf(m *mirror.Mirror) string {
-	t := c.state.told.Load()
-	if t == nil || !c.replicator.listens.Load() {
+func (c *catchUp) upToDateReader(m *mirror.Mirror) string {
+	t := c.state.revisionReport.Load()
+	if t == nil || !c.replicator.passive.Load() {
 		return ""
 	}
 	return c.peers.Find(c.replicator.readerAhead(m.Table, t.revisions[m.Table])).Control
@@ -100,7 +100,7 @@
 	if m.Failing() && m.Newest() == 0 {
 		return true
 	}
-	t := c.state.told.Load()
+	t := c.state.revisionReport.Load()
 	return t != nil && t.revisions[m.Table] > max(m.Newest(), m.Reached())
 }
 
@@ -109,8 +109,8 @@
 func (c *catchUp) fetch(ctx context.Context, wanted []*mirror.Mirror) {
 	var rest []*mirror.Mirror
 	for _, m := range wanted {
-		if near := c.aheadOf(m); near != "" {
-			c.ask(ctx, near, []*mirror.Mirror{m})
+		if near := c.upToDateReader(m); near != "" {
+			c.requestState(ctx, near, []*mirror.Mirror{m})
 			continue
 		}
 		// Also while it fails: a call that the store took while it was silent
@@ -119,12 +119,12 @@
 		rest = append(rest, m)
 	}
 	if len(rest) > 0 {
-		c.ask(ctx, c.askWhom(), rest)
+		c.requestState(ctx, c.choosePeer(), rest)
 	}
 }
 
-// ask asks the instance at an address for its copies.
-func (c *catchUp) ask(ctx context.Context, address string, wanted []*mirror.Mirror) {
+// requestState asks the instance at an address for its copies.
+func (c *catchUp) requestState(ctx context.Context, address string, wanted []*mirror.Mirror) {
 	if address == "" {
 		return
 	}
@@ -132,9 +132,9 @@
 	for _, m := range wanted {
 		request.Tables = append(request.Tables, m.Table)
 	}
-	callCtx, cancel := context.WithTimeout(ctx, askTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	answer, err := fleet.NewFleetProtobufClient("http://"+address, c.calls).State(callCtx, request)
+	answer, err := fleet.NewFleetProtobufClient("http://"+address, c.peerClient).State(callCtx, request)
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		// Another one's copy has come.
@@ -144,15 +144,15 @@
 		return
 	}
 	for _, t := range answer.Tables {
-		c.take(t, address)
+		c.applyPeerTable(t, address)
 	}
 }
 
-// askWhom names an instance: the one that told of newer copies, or any of the
+// choosePeer names an instance: the one that told of newer copies, or any of the
 // nearest that are known; without any, a seed. Bytes between zones and regions
 // are paid.
-func (c *catchUp) askWhom() string {
-	if t := c.state.told.Load(); t != nil {
+func (c *catchUp) choosePeer() string {
+	if t := c.state.revisionReport.Load(); t != nil {
 		if control := c.peers.Find(t.from).Control; control != "" {
 			return control
 		}
@@ -164,7 +164,7 @@
 			tiers[n] = append(tiers[n], p.Control)
 		}
 	}
-	for _, s := range c.tunable.Load().Seeds {
+	for _, s := range c.liveSettings.Load().Seeds {
 		if s != c.settings.ControlListen {
 			tiers[2] = append(tiers[2], s)
 		}
@@ -188,7 +188,7 @@
 	return 2
 }
 
-func (c *catchUp) take(t *fleet.Table, from string) {
+func (c *catchUp) applyPeerTable(t *fleet.Table, from string) {
 	for _, m := range c.mirrors {
 		if m.Table != t.Name {
 			continue
--- a/gateway/instance/duties.go
+++ b/gateway/instance/duties.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// reportEvery is the time between two reports to the coordinator.
-	reportEvery = 500 * time.Millisecond
-	// housekeepEvery is the time between two clearings of what is over.
-	housekeepEvery = 2 * time.Second
-	// introduceRetry is the pause after a row could not be written.
-	introduceRetry = 500 * time.Millisecond
-	// introduceTimeout bounds the write of that row: a fleet's rows are written one
+	// reportInterval is the time between two reports to the coordinator.
+	reportInterval = 500 * time.Millisecond
+	// housekeepingInterval is the time between two clearings of what is over.
+	housekeepingInterval = 2 * time.Second
+	// registerRetryDelay is the pause after a row could not be written.
+	registerRetryDelay = 500 * time.Millisecond
+	// registerTimeout bounds the write of that row: a fleet's rows are written one
 	// after the other.
-	introduceTimeout = 1500 * time.Millisecond
+	registerTimeout = 1500 * time.Millisecond
 )
 
 // registrar writes this instance's row, by which others find it.
@@ -40,14 +40,14 @@
 		Table: coordinator.InstanceTable, Key: i.peers.Self.Name, Value: text,
 	}}}
 	for ctx.Err() == nil {
-		callCtx, cancel := context.WithTimeout(ctx, introduceTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
 		_, err := i.store.Transact(callCtx, tx)
 		cancel()
 		if err == nil {
 			break
 		}
 		event.StoreCallFailed.Log(i.log, "call", "introduce", "error", err)
-		sleep(ctx, introduceRetry/2+rand.N(introduceRetry))
+		sleep(ctx, registerRetryDelay/2+rand.N(registerRetryDelay))
 	}
 	i.registered.Store(true)
 	// Whoever came before is read from the store; whoever comes later does the
@@ -64,17 +64,17 @@
 // away, so it does not wait for its row to be written.
 type announcer struct{ *Instance }
 
-// helloAgain are the pauses between its hellos: datagrams may get lost, and
+// helloDelays are the pauses between its hellos: datagrams may get lost, and
 // others become known during the first seconds. In a large fleet that starts at
 // once each is a datagram from all to all, so there are few.
-var helloAgain = []time.Duration{900 * time.Millisecond, 2 * time.Second}
+var helloDelays = []time.Duration{900 * time.Millisecond, 2 * time.Second}
 
 // Serve says hello as soon as others are known, and again while the platform's
 // table may not have told them of this instance.
 func (g *announcer) Serve(ctx context.Context) error {
 	g.awaitInstances(ctx)
 	g.peers.Broadcast(&peers.Message{Hello: &g.peers.Self})
-	for n, pause := range helloAgain {
+	for n, pause := range helloDelays {
 		sleep(ctx, pause)
 		if n == 0 || !g.registered.Load() {
 			g.peers.Broadcast(&peers.Message{Hello: &g.peers.Self})
@@ -100,18 +100,18 @@
 func (r *reporter) Serve(ctx context.Context) error {
 	rounds := 0
 	for ctx.Err() == nil {
-		sleep(ctx, reportEvery)
-		reports := r.loads.Take()
+		sleep(ctx, reportInterval)
+		reports := r.loads.TakeReports()
 		if len(reports) == 0 {
 			reports = []*peers.Report{{}}
 		}
-		if rounds++; rounds%speedsEvery == 0 {
-			reports[0].Speeds = r.speeds()
+		if rounds++; rounds%latencyReportEvery == 0 {
+			reports[0].Latencies = r.targetLatencies()
 		}
-		lead := r.lead.Load()
+		lead := r.coordinatorName.Load()
 		for _, report := range reports {
 			if lead == nil || *lead == r.settings.Instance {
-				r.coordinator.TakeLoads(report)
+				r.coordinator.ApplyReport(report)
 				continue
 			}
 			r.peers.Send(*lead, &peers.Message{Report: report})
@@ -121,61 +121,61 @@
 }
 
 const (
-	// speedsEvery is how many reports come with speeds.
-	speedsEvery = 2
-	// speedsAtOnce bounds the speeds in one datagram.
-	speedsAtOnce = 12
+	// latencyReportEvery is how many reports come with speeds.
+	latencyReportEvery = 2
+	// maxReportedLatencies bounds the speeds in one datagram.
+	maxReportedLatencies = 12
 )
 
-// speeds returns the speeds of the targets of sharded services.
-func (r *reporter) speeds() []peers.Speed {
-	table := r.state.table.Load()
+// targetLatencies returns the speeds of the targets of sharded services.
+func (r *reporter) targetLatencies() []peers.TargetLatency {
+	table := r.state.routes.Load()
 	if table == nil {
 		return nil
 	}
-	var list []peers.Speed
-	for _, s := range r.dispatcher.Speeds() {
+	var list []peers.TargetLatency
+	for _, s := range r.dispatcher.TargetLatencies() {
 		if service := table.Service(s.Service); service == nil || !service.Sharded {
 			continue
 		}
-		list = append(list, peers.Speed{Service: s.Service, Target: s.Target, Ms: int(s.Latency.Milliseconds())})
+		list = append(list, peers.TargetLatency{Service: s.Service, Target: s.Target, Ms: int(s.Latency.Milliseconds())})
 	}
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:min(len(list), speedsAtOnce)]
+	return list[:min(len(list), maxReportedLatencies)]
 }
 
 // receive takes in a datagram.
 func (i *Instance) receive(m *peers.Message) {
-	if i.broker.Receive(m) || i.replicator.receive(m) {
+	if i.broker.Receive(m) || i.replicator.handleMessage(m) {
 		return
 	}
-	if m.Beat != nil && !m.Beat.Resigned {
-		i.takeBeat(m)
+	if m.Heartbeat != nil && !m.Heartbeat.Resigned {
+		i.receiveCoordinatorHeartbeat(m)
 	}
 	switch {
-	case m.News != nil:
-		i.takeNews(m.News)
+	case m.AssignmentUpdate != nil:
+		i.applyAssignmentUpdate(m.AssignmentUpdate)
 	case m.Hello != nil:
 		i.peers.Add(*m.Hello)
-	case m.Bye:
+	case m.Leaving:
 		i.peers.Remove(m.From)
 	case m.Report != nil && i.peers.Find(m.From).Name == "":
 		i.instances.Again()
 	}
-	i.state.noteRevisions(m.From, m.Revisions)
-	i.coordinator.Hear(m)
+	i.state.recordRevisions(m.From, m.Revisions)
+	i.coordinator.Receive(m)
 }
 
-// takeBeat takes in a coordinator's sign of life.
-func (i *Instance) takeBeat(m *peers.Message) {
-	wasHeard := i.replicator.hearsCoordinator()
-	i.noteLead(m.From, m.Beat.Members)
-	if m.Beat.InDoubt {
+// receiveCoordinatorHeartbeat takes in a coordinator's sign of life.
+func (i *Instance) receiveCoordinatorHeartbeat(m *peers.Message) {
+	wasHeard := i.replicator.coordinatorAlive()
+	i.recordCoordinator(m.From, m.Heartbeat.Members)
+	if m.Heartbeat.InDoubt {
 		// Whoever listens to readers must not rely on its way to the store.
-		i.beatAt.Store(nil)
+		i.lastHeartbeat.Store(nil)
 		return
 	}
-	if wasHeard || i.replicator.rank() >= readersOf(i.replicator.zoneSize()) {
+	if wasHeard || i.replicator.rank() >= readerCount(i.replicator.zoneSize()) {
 		return
 	}
 	// The store answers a coordinator again: what fails at those who read for the
@@ -187,55 +187,55 @@
 	}
 }
 
-// leads notes that this instance coordinates. While the store does not answer, its
+// recordLeading notes that this instance coordinates. While the store does not answer, its
 // authority proves nothing of its copies.
-func (i *Instance) leads(members int, answers bool) {
-	i.noteLead(i.settings.Instance, members)
+func (i *Instance) recordLeading(members int, answers bool) {
+	i.recordCoordinator(i.settings.Instance, members)
 	if !answers {
-		i.beatAt.Store(nil)
+		i.lastHeartbeat.Store(nil)
 	}
 }
 
-// noteLead notes who coordinates, and how many instances report to it.
-func (i *Instance) noteLead(name string, members int) {
+// recordCoordinator notes who coordinates, and how many instances report to it.
+func (i *Instance) recordCoordinator(name string, members int) {
 	now := time.Now()
-	i.lead.Store(&name)
-	i.beatAt.Store(&now)
-	i.members.Store(int64(members))
+	i.coordinatorName.Store(&name)
+	i.lastHeartbeat.Store(&now)
+	i.memberCount.Store(int64(members))
 }
 
-// takeNews lays a recorded change over the assignment that it is a change of.
-func (i *Instance) takeNews(n *peers.News) {
-	next, known := i.state.changed(n)
+// applyAssignmentUpdate lays a recorded change over the assignment that it is a change of.
+func (i *Instance) applyAssignmentUpdate(n *peers.AssignmentUpdate) {
+	next, known := i.state.withUpdate(n)
 	if known {
 		return
 	}
 	if next == nil {
-		if !i.replicator.listens.Load() {
+		if !i.replicator.passive.Load() {
 			i.assignments.Again()
 		}
 		// A listener asks a reader, once the next beat shows that it is behind.
 		return
 	}
-	i.state.putAssignment(n.Service, next, n.Revision)
+	i.state.setAssignment(n.Service, next, n.Revision)
 	i.assignments.Inject(platform.Row{Table: coordinator.AssignmentTable, Key: n.Service, Revision: n.Revision})
 }
 
-// rowCollector forgets targets that are gone.
-type rowCollector struct{ *Instance }
+// housekeeper forgets targets that are gone.
+type housekeeper struct{ *Instance }
 
 // Serve looks after it until the context ends.
-func (h *rowCollector) Serve(ctx context.Context) error {
+func (h *housekeeper) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		sleep(ctx, housekeepEvery)
-		h.pools.Keep(h.state.roster.Load())
-		h.dispatcher.Forget()
+		sleep(ctx, housekeepingInterval)
+		h.pools.Prune(h.state.roster.Load())
+		h.dispatcher.Prune()
 	}
 	return ctx.Err()
 }
 
-// readiness answers the platform's question.
-func (i *Instance) readiness() http.Handler {
+// readinessHandler answers the platform's question.
+func (i *Instance) readinessHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		status := http.StatusServiceUnavailable
 		switch {
@@ -249,8 +249,8 @@
 	})
 }
 
-// metrics serves what monitoring asks for.
-func (i *Instance) metrics() http.Handler {
+// metricsHandler serves what monitoring asks for.
+func (i *Instance) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(i.registry, promhttp.HandlerOpts{}))
 	if i.settings.Pprof {
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -34,47 +34,47 @@
 )
 
 const (
-	// targetDial bounds the opening of a connection to a target: the way there
+	// targetDialTimeout bounds the opening of a connection to a target: the way there
 	// and back between regions, and one lost packet's repetition.
-	targetDial = 400 * time.Millisecond
-	// targetUnacked is how long sent bytes may stay unacknowledged by a
+	targetDialTimeout = 400 * time.Millisecond
+	// targetUserTimeout is how long sent bytes may stay unacknowledged by a
 	// target: longer than the repetitions of two lost packets.
-	targetUnacked = 1200 * time.Millisecond
-	// storeDial and storeUnacked are the same for the store.
-	storeDial    = time.Second
-	storeUnacked = 2 * time.Second
-	// probeEvery finds connections that went silent; the users count on three
+	targetUserTimeout = 1200 * time.Millisecond
+	// storeDialTimeout and storeUnacked are the same for the store.
+	storeDialTimeout = time.Second
+	storeUserTimeout = 2 * time.Second
+	// keepAliveInterval finds connections that went silent; the users count on three
 	// seconds for it.
-	probeEvery = time.Second
-	// usualHold is the time for which keys are granted. It outlasts the
+	keepAliveInterval = time.Second
+	// normalHold is the time for which keys are granted. It outlasts the
 	// coordinator's lease and one missed renewal; a target that falls silent
 	// keeps its keys that long.
-	usualHold = 3200 * time.Millisecond
+	normalHold = 3200 * time.Millisecond
 	// longHold is granted while the store does not answer the coordinator. With
 	// the rest of its lease it rides out outages of about eight seconds; a
 	// target that is lost meanwhile keeps its keys that long.
 	longHold = 6 * time.Second
-	// renewHolds is the time between two renewals of a grant.
-	renewHolds = 800 * time.Millisecond
-	// configPace and targetPace are the pauses after news of the tables that
+	// renewalInterval is the time between two renewals of a grant.
+	renewalInterval = 800 * time.Millisecond
+	// configBatchDelay and targetPace are the pauses after news of the tables that
 	// are followed. Targets come in series, each with several changes while it
 	// warms up; the users allow 2 s for one that leaves.
-	configPace = 60 * time.Millisecond
-	// mostConfigPace is the same while configurations follow on each other: a
+	configBatchDelay = 60 * time.Millisecond
+	// maxConfigBatchDelay is the same while configurations follow on each other: a
 	// quarter of the 2 s that the users allow until one is in force.
-	mostConfigPace = 480 * time.Millisecond
-	targetPace     = 400 * time.Millisecond
-	// quietPace is the pause after news that only tell how far targets have
+	maxConfigBatchDelay = 480 * time.Millisecond
+	targetBatchDelay    = 400 * time.Millisecond
+	// minorDelay is the pause after news that only tell how far targets have
 	// warmed up. Half of the time allowed for one that leaves.
-	quietPace = time.Second
+	minorDelay = time.Second
 	// idleTimeout closes callers' connections: longer than the operators'
 	// limits, so that no caller's request crosses the close.
 	idleTimeout = 2 * time.Minute
 	// headerTimeout is how long a caller may take for a request's head.
 	headerTimeout = 10 * time.Second
-	// maxHeader bounds what is read of a head; the configuration's own limit
+	// maxHeaderBytes bounds what is read of a head; the configuration's own limit
 	// is below.
-	maxHeader = 64 << 10
+	maxHeaderBytes = 64 << 10
 )
 
 // Instance is one gateway. Create it with New.
@@ -97,44 +97,44 @@
 	loads       *front.Loads
 	front       *front.Front
 	store       *platform.Store
-	calls       *http.Client
+	peerClient  *http.Client
 
-	// tunable are the settings last read; only some may change while running.
-	tunable atomic.Pointer[Settings]
-	members atomic.Int64
-	lead    atomic.Pointer[string]
-	beatAt  atomic.Pointer[time.Time]
+	// liveSettings are the settings last read; only some may change while running.
+	liveSettings    atomic.Pointer[Settings]
+	memberCount     atomic.Int64
+	coordinatorName atomic.Pointer[string]
+	lastHeartbeat   atomic.Pointer[time.Time]
 	// registered is set once this instance's row is in the store.
-	registered atomic.Bool
-	closing    atomic.Bool
-	wasReady   atomic.Bool
+	registered   atomic.Bool
+	shuttingDown atomic.Bool
+	wasReady     atomic.Bool
 }
 
 // New puts an instance together.
 func New(s Settings, log *slog.Logger, sink *logsink.Sink) *Instance {
 	i := &Instance{settings: s, log: log, sink: sink, registry: prometheus.NewRegistry(), loads: &front.Loads{}}
 	i.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	i.tunable.Store(&s)
+	i.liveSettings.Store(&s)
 	i.state.log = log
 	i.state.roster = &roster.Roster{}
 	i.state.zone = s.Zone
-	storeDialer := &egress.Dialer{Timeout: storeDial, UserTimeout: storeUnacked, Probe: probeEvery}
-	i.store = &platform.Store{Address: s.Store, HTTP: newClient(storeDialer)}
-	i.calls = newClient(&egress.Dialer{Timeout: storeDial, UserTimeout: storeUnacked, Probe: probeEvery})
-	targetDialer := &egress.Dialer{Timeout: targetDial, UserTimeout: targetUnacked, Probe: probeEvery, Reset: true}
+	storeDialer := &egress.Dialer{Timeout: storeDialTimeout, UserTimeout: storeUserTimeout, KeepAliveInterval: keepAliveInterval}
+	i.store = &platform.Store{Address: s.Store, HTTP: newHTTPClient(storeDialer)}
+	i.peerClient = newHTTPClient(&egress.Dialer{Timeout: storeDialTimeout, UserTimeout: storeUserTimeout, KeepAliveInterval: keepAliveInterval})
+	targetDialer := &egress.Dialer{Timeout: targetDialTimeout, UserTimeout: targetUserTimeout, KeepAliveInterval: keepAliveInterval, ResetOnClose: true}
 	i.peers = &peers.Peers{Log: log, Receive: i.receive, Self: peers.Instance{
-		Name: s.Instance, Life: rand.Text()[:lifeLength], Zone: s.Zone, Datagram: s.DatagramListen, Control: s.ControlListen,
+		Name: s.Instance, Incarnation: rand.Text()[:incarnationLength], Zone: s.Zone, Datagram: s.DatagramListen, Control: s.ControlListen,
 		Cores: s.Cores,
 	}}
 	i.buildMirrors()
 	i.coordinator = coordinator.New(coordinator.Options{
 		Self: i.peers.Self, Store: i.store,
-		Channels: &channel.Set{Dial: targetDialer.DialContext}, Releases: &platform.Grants{HTTP: newClient(targetDialer)},
-		Refresh: i.replicator.refresh,
-		Joined:  i.replicator.joined.Load,
-		Leads:   i.leads, Took: i.takeNews, Missed: i.assignments.Again,
-		Peers: i.peers, Roster: i.state.roster, Table: i.state.table.Load, Revisions: i.revisions, Log: log,
-		Holds: ownership.Holds{Usual: min(usualHold, s.LongestHold), Long: min(longHold, s.LongestHold-longMargin), Every: renewHolds, Reuse: s.AddressReuse},
+		Channels: &channel.Set{Dial: targetDialer.DialContext}, Releases: &platform.GrantClient{HTTP: newHTTPClient(targetDialer)},
+		RestartFeeds: i.replicator.restartFeeds,
+		Joined:       i.replicator.joined.Load,
+		OnLeading:    i.recordLeading, OnUpdate: i.applyAssignmentUpdate, OnOversizedUpdate: i.assignments.Again,
+		Peers: i.peers, Roster: i.state.roster, Table: i.state.routes.Load, Revisions: i.revisions, Log: log,
+		Holds: ownership.Holds{Usual: min(normalHold, s.LongestHold), Long: min(longHold, s.LongestHold-longHoldMargin), Every: renewalInterval, Reuse: s.AddressReuse},
 	})
 	i.dispatcher = &dispatch.Dispatcher{Roster: i.state.roster}
 	i.broker = broker.New(broker.Options{
@@ -142,36 +142,36 @@
 	})
 	i.pools = &front.Pools{Dial: targetDialer.DialContext}
 	i.front = front.New(front.Options{
-		Wire: platform.Wire(), Broker: i.broker, Roster: i.state.roster, Pools: i.pools, Table: i.state.table.Load,
-		Owners: i.state.owners, Moved: i.state.movedSince, Loads: i.loads, Metrics: front.NewMetrics(i.registry), Log: log,
-		Retries: func() front.Retries {
-			now := i.tunable.Load()
-			return front.Retries{Ratio: now.RetryRatio, Slack: now.RetrySlack, Members: i.countMembers()}
+		Headers: platform.HeaderNames(), Broker: i.broker, Roster: i.state.roster, Pools: i.pools, Table: i.state.routes.Load,
+		CurrentAssignment: i.state.currentAssignment, OwnerChangedSince: i.state.ownerChangedSince, Loads: i.loads, Metrics: front.NewMetrics(i.registry), Log: log,
+		RetryLimits: func() front.RetryLimits {
+			now := i.liveSettings.Load()
+			return front.RetryLimits{Ratio: now.RetryRatio, Slack: now.RetrySlack, Instances: i.countMembers()}
 		},
 	})
 	i.registerMetrics(i.registry)
 	return i
 }
 
-// lifeLength is enough to tell lifetimes of one name apart.
-const lifeLength = 8
+// incarnationLength is enough to tell lifetimes of one name apart.
+const incarnationLength = 8
 
-// longMargin keeps the longest hold under the platform's limit.
-const longMargin = 200 * time.Millisecond
+// longHoldMargin keeps the longest hold under the platform's limit.
+const longHoldMargin = 200 * time.Millisecond
 
-// newClient reaches servers whose answers are short. Feeds stay open, so there
+// newHTTPClient reaches servers whose answers are short. Feeds stay open, so there
 // are several connections to one server.
-func newClient(d *egress.Dialer) *http.Client {
+func newHTTPClient(d *egress.Dialer) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         d.DialContext,
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: 3,
-		IdleConnTimeout:     idleClient,
+		IdleConnTimeout:     clientIdleTimeout,
 	}}
 }
 
-// idleClient is below the idle timeout that targets tell.
-const idleClient = 5 * time.Second
+// clientIdleTimeout is below the idle timeout that targets tell.
+const clientIdleTimeout = 5 * time.Second
 
 func (i *Instance) buildMirrors() {
 	add := func(m *mirror.Mirror) *mirror.Mirror {
@@ -181,26 +181,26 @@
 	}
 	i.replicator = newReplicator(i)
 	for _, m := range []*mirror.Mirror{
-		{Table: platform.OperatorTable, Pace: configPace, MostPace: mostConfigPace, QuietPace: configPace, Changed: i.state.takeConfig},
+		{Table: platform.OperatorTable, Pace: configBatchDelay, MostPace: maxConfigBatchDelay, QuietPace: configBatchDelay, Changed: i.state.applyConfig},
 		{
-			Table: platform.TargetTable, Pace: targetPace, QuietPace: quietPace, Changed: i.state.takeTargets,
-			Minor: minorOfTarget,
+			Table: platform.TargetTable, Pace: targetBatchDelay, QuietPace: minorDelay, Changed: i.state.applyTargets,
+			Minor: isMinorTargetChange,
 		},
 	} {
-		m.Passed = func(p mirror.Passage) { i.replicator.pass(m.Table, p) }
-		m.AwaitOthers(joinMost)
-		m.Retry = i.replicator.retry
-		i.replicator.tables = append(i.replicator.tables, add(m))
+		m.Passed = func(p mirror.Passage) { i.replicator.forward(m.Table, p) }
+		m.AwaitOthers(maxFirstCopyDelay)
+		m.Retry = i.replicator.backoff
+		i.replicator.polledMirrors = append(i.replicator.polledMirrors, add(m))
 	}
 	i.assignments = add(&mirror.Mirror{
-		Table: coordinator.AssignmentTable, OnDemand: true, Changed: i.state.takeAssignments, Encode: i.state.encodeAssignment,
+		Table: coordinator.AssignmentTable, OnDemand: true, Changed: i.state.applyAssignments, Encode: i.state.encodeAssignment,
 	})
-	i.assignments.AwaitOthers(joinMost)
+	i.assignments.AwaitOthers(maxFirstCopyDelay)
 	i.instances = add(&mirror.Mirror{Table: coordinator.InstanceTable, OnDemand: true, Changed: func(c mirror.Change) {
-		i.peers.Know(i.state.takeInstances(c))
+		i.peers.SetInstances(i.state.applyInstances(c))
 	}})
 	if i.settings.Bootstrap {
-		i.instances.Late = introduceTimeout
+		i.instances.Late = registerTimeout
 	}
 }
 
@@ -218,16 +218,16 @@
 // coordinator has heard few reports yet: taken alone, its count would give
 // each instance a large part of the whole budget at once.
 func (i *Instance) countMembers() int {
-	return max(1, int(i.members.Load()), i.peers.Count())
+	return max(1, int(i.memberCount.Load()), i.peers.Count())
 }
 
 // Ready tells whether callers should be sent here: it knows the configuration
 // and the targets, and does not end.
 func (i *Instance) Ready() bool {
-	ready := !i.closing.Load() && i.state.table.Load() != nil && len(i.state.roster.Load().Targets) > 0
+	ready := !i.shuttingDown.Load() && i.state.routes.Load() != nil && len(i.state.roster.Load().Targets) > 0
 	if i.wasReady.Swap(ready) != ready {
-		event.NotReady.Log(i.log, "ready", ready, "closing", i.closing.Load(),
-			"config", i.state.table.Load() != nil, "targets", len(i.state.roster.Load().Targets))
+		event.NotReady.Log(i.log, "ready", ready, "closing", i.shuttingDown.Load(),
+			"config", i.state.routes.Load() != nil, "targets", len(i.state.roster.Load().Targets))
 	}
 	return ready
 }
@@ -245,7 +245,7 @@
 	dutyCtx, stopDuties := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopDuties()
 	var group errgroup.Group
-	tree := i.tree()
+	tree := i.supervisorTree()
 	group.Go(func() error {
 		if err := tree.Serve(dutyCtx); !errors.Is(err, context.Canceled) {
 			return err
@@ -260,7 +260,7 @@
 			return err
 		})
 	}
-	event.Started.Log(i.log, "life", i.peers.Self.Life, "callers", i.settings.CallersListen, "zone", i.settings.Zone,
+	event.Started.Log(i.log, "life", i.peers.Self.Incarnation, "callers", i.settings.CallersListen, "zone", i.settings.Zone,
 		"store", i.settings.Store, "seeds", i.settings.Seeds)
 	select {
 	case <-ctx.Done():
@@ -271,8 +271,8 @@
 	return errors.Join(err, group.Wait())
 }
 
-// tree is the supervisor tree: every background duty.
-func (i *Instance) tree() *suture.Supervisor {
+// supervisorTree is the supervisor tree: every background duty.
+func (i *Instance) supervisorTree() *suture.Supervisor {
 	root := suture.New("gateway", suture.Spec{EventHook: func(e suture.Event) {
 		event.DutyFailed.Log(i.log, "detail", e.String())
 	}})
@@ -287,21 +287,21 @@
 	root.Add(&reporter{i})
 	root.Add(&catchUp{i})
 	root.Add(i.replicator)
-	root.Add(&rowCollector{i})
+	root.Add(&housekeeper{i})
 	root.Add(&reloader{i})
 	return root
 }
 
 const (
-	// outOfRotation is when the platform, which asks once a second and takes
+	// outOfRotationDelay is when the platform, which asks once a second and takes
 	// an instance out after two misses, sends no new connections any more.
-	outOfRotation = 2600 * time.Millisecond
-	// endMargin is left of the stop timeout for the process's own end, and
+	outOfRotationDelay = 2600 * time.Millisecond
+	// exitMargin is left of the stop timeout for the process's own end, and
 	// giveUpMargin for the answers to requests that are given up before it: a
 	// small instance needs some milliseconds of its processor for each of a
 	// hundred. The users allow a sixth of the stop timeout.
-	endMargin    = 200 * time.Millisecond
-	giveUpMargin = 900 * time.Millisecond
+	exitMargin    = 200 * time.Millisecond
+	abandonMargin = 900 * time.Millisecond
 	// resignTimeout bounds the write by which a coordinator gives up.
 	resignTimeout = time.Second
 )
@@ -310,19 +310,19 @@
 // connections come, and lets every request in flight finish.
 func (i *Instance) shutDown(ctx context.Context, servers []*server) {
 	event.Stopping.Log(i.log)
-	ctx, cancel := context.WithTimeout(ctx, i.settings.StopTimeout-endMargin)
+	ctx, cancel := context.WithTimeout(ctx, i.settings.StopTimeout-exitMargin)
 	defer cancel()
 	began := time.Now()
-	i.closing.Store(true)
+	i.shuttingDown.Store(true)
 	i.front.Close()
-	i.peers.Broadcast(&peers.Message{Bye: true})
+	i.peers.Broadcast(&peers.Message{Leaving: true})
 	resignCtx, done := context.WithTimeout(ctx, resignTimeout)
 	i.coordinator.Resign(resignCtx)
 	done()
-	timer := time.NewTimer(outOfRotation - time.Since(began))
+	timer := time.NewTimer(outOfRotationDelay - time.Since(began))
 	defer timer.Stop()
 	<-timer.C
-	giveUp := time.AfterFunc(i.settings.StopTimeout-giveUpMargin-time.Since(began), i.front.End)
+	giveUp := time.AfterFunc(i.settings.StopTimeout-abandonMargin-time.Since(began), i.front.Abort)
 	defer giveUp.Stop()
 	var group errgroup.Group
 	for _, s := range servers {
@@ -356,9 +356,9 @@
 		handler http.Handler
 	}{
 		{i.settings.CallersListen, i.front},
-		{i.settings.ReadyListen, i.readiness()},
+		{i.settings.ReadyListen, i.readinessHandler()},
 		{i.settings.ControlListen, control},
-		{i.settings.MetricsListen, i.metrics()},
+		{i.settings.MetricsListen, i.metricsHandler()},
 	}
 	var servers []*server
 	for _, h := range handlers {
@@ -374,7 +374,7 @@
 			Handler:           h.handler,
 			ReadHeaderTimeout: headerTimeout,
 			IdleTimeout:       idleTimeout,
-			MaxHeaderBytes:    maxHeader,
+			MaxHeaderBytes:    maxHeaderBytes,
 			ErrorLog:          slog.NewLogLogger(i.log.Handler(), slog.LevelDebug),
 		}})
 	}
--- a/gateway/instance/instance_test.go
+++ b/gateway/instance/instance_test.go
@@ -65,17 +65,17 @@
 	f.t.Cleanup(server.Close)
 	f.targets[id] = target
 	f.addresses[id] = strings.TrimPrefix(server.URL, "http://")
-	f.list(id, service, "ready")
+	f.setTarget(id, service, "ready")
 }
 
-func (f *fleet) list(id, service, state string) {
+func (f *fleet) setTarget(id, service, state string) {
 	f.store.Put(platform.TargetTable, id, []byte(fmt.Sprintf(
 		`{"address":"%s","born":1,"info":{"service":"%s","version":"v1","zone":"graz","slots":3},"status":{"state":"%s","seq":%d,"warmup_left":"0ms"}}`,
 		f.addresses[id], service, state, f.requests.Add(1))))
 }
 
-// running is one instance.
-type running struct {
+// runningInstance is one instance.
+type runningInstance struct {
 	callers, ready string
 	stop           func() error
 }
@@ -90,7 +90,7 @@
 
 // start runs an instance. Its addresses are free when they are chosen, and may
 // be taken by another test until it opens them; then others are chosen.
-func (f *fleet) start(name string, seeds ...string) *running {
+func (f *fleet) start(name string, seeds ...string) *runningInstance {
 	f.t.Helper()
 	for range 20 {
 		if r := f.tryStart(name, seeds); r != nil {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func (f *fleet) tryStart(name string, seeds []string) *running {
+func (f *fleet) tryStart(name string, seeds []string) *runningInstance {
 	s := instance.Defaults()
 	s.Instance, s.Zone, s.Region, s.Regions = name, "graz", "ost", map[string]string{"graz": "ost"}
 	s.CallersListen, s.ReadyListen = freeAddress(f.t), freeAddress(f.t)
@@ -128,7 +128,7 @@
 			break
 		}
 	}
-	r := &running{callers: s.CallersListen, ready: s.ReadyListen}
+	r := &runningInstance{callers: s.CallersListen, ready: s.ReadyListen}
 	var result error
 	stopped := false
 	r.stop = func() error {
@@ -141,7 +141,7 @@
 	return r
 }
 
-func (r *running) awaitReady(t *testing.T) {
+func (r *runningInstance) awaitReady(t *testing.T) {
 	t.Helper()
 	eventually(t, func() bool {
 		res, err := http.Get("http://" + r.ready + platform.ReadyPath)
@@ -164,7 +164,7 @@
 }
 
 // call sends a request; the answer's status is 0 if there was none.
-func (f *fleet) call(r *running, path string, key int) (status int, body string) {
+func (f *fleet) call(r *runningInstance, path string, key int) (status int, body string) {
 	id := "r" + strconv.FormatInt(f.requests.Add(1), 10)
 	req, err := http.NewRequest(http.MethodGet, "http://"+r.callers+path, nil)
 	assert.NilError(f.t, err)
@@ -184,8 +184,8 @@
 	return res.StatusCode, string(text)
 }
 
-// answered retries while the fleet settles.
-func (f *fleet) answered(r *running, path string, key int, want string) {
+// awaitAnswer retries while the fleet settles.
+func (f *fleet) awaitAnswer(r *runningInstance, path string, key int, want string) {
 	f.t.Helper()
 	eventually(f.t, func() bool {
 		status, body := f.call(r, path, key)
@@ -210,17 +210,17 @@
 	one, two := f.start("one"), f.start("two")
 	one.awaitReady(t)
 	two.awaitReady(t)
-	f.answered(one, "/menus/today", 0, "m1 GET /menus/today 0")
-	f.answered(two, "/menus/today?day=2", 0, "m1 GET /menus/today?day=2 0")
+	f.awaitAnswer(one, "/menus/today", 0, "m1 GET /menus/today 0")
+	f.awaitAnswer(two, "/menus/today?day=2", 0, "m1 GET /menus/today?day=2 0")
 	for _, key := range []int{0, 30000, 65535} {
-		f.answered(one, "/lists/x", key, "l")
-		f.answered(two, "/lists/x", key, "l")
+		f.awaitAnswer(one, "/lists/x", key, "l")
+		f.awaitAnswer(two, "/lists/x", key, "l")
 	}
 	status, _ := f.call(one, "/unknown/", 0)
 	assert.Equal(t, status, http.StatusNotFound)
 }
 
-func TestConfigurationIsInForceEverywhere(t *testing.T) {
+func TestAllInstancesApplyNewestConfig(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.startTarget("m1", "menus", false)
@@ -228,31 +228,31 @@
 	one, two := f.start("one"), f.start("two")
 	one.awaitReady(t)
 	two.awaitReady(t)
-	f.answered(one, "/menus/x", 0, "m1")
+	f.awaitAnswer(one, "/menus/x", 0, "m1")
 	f.configure(3, "other")
-	f.answered(one, "/menus/x", 0, "o1")
-	f.answered(two, "/menus/x", 0, "o1")
+	f.awaitAnswer(one, "/menus/x", 0, "o1")
+	f.awaitAnswer(two, "/menus/x", 0, "o1")
 	// An older one does not come back.
 	f.configure(2, "menus")
 	f.configure(4, "other")
-	f.answered(one, "/menus/x", 0, "o1")
+	f.awaitAnswer(one, "/menus/x", 0, "o1")
 }
 
 // A target says that it leaves. Its keys go to the other one, which must hold
 // them before the first one stops.
-func TestLeavingTargetsKeysMove(t *testing.T) {
+func TestKeysOfDrainingTargetMove(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.startTarget("l1", "lists", true)
 	f.startTarget("l2", "lists", true)
 	one := f.start("one")
 	one.awaitReady(t)
-	f.answered(one, "/lists/x", 5, "l")
+	f.awaitAnswer(one, "/lists/x", 5, "l")
 	eventually(t, func() bool { return len(f.assignment().Pieces) == 2 })
 	owner := f.assignment().Find(5).Owner
 	other := map[string]string{"l1": "l2", "l2": "l1"}[owner]
-	f.list(owner, "lists", "draining")
-	f.answered(one, "/lists/x", 5, other)
+	f.setTarget(owner, "lists", "draining")
+	f.awaitAnswer(one, "/lists/x", 5, other)
 	eventually(t, func() bool { return !f.targets[owner].Holds(5) && f.targets[other].Holds(5) })
 }
 
@@ -262,10 +262,10 @@
 	t.Parallel()
 	f := newFleet(t)
 	f.startTarget("l1", "lists", true)
-	running := map[string]*running{"one": f.start("one"), "two": f.start("two")}
+	running := map[string]*runningInstance{"one": f.start("one"), "two": f.start("two")}
 	for _, r := range running {
 		r.awaitReady(t)
-		f.answered(r, "/lists/x", 5, "l1")
+		f.awaitAnswer(r, "/lists/x", 5, "l1")
 	}
 	lease := func() (l struct {
 		Term    int64
@@ -280,38 +280,38 @@
 	assert.NilError(t, running[first.Holder].stop())
 	other := map[string]string{"one": "two", "two": "one"}[first.Holder]
 	eventually(t, func() bool { l := lease(); return l.Holder == other && l.LeaseMs > 0 && l.Term > first.Term })
-	f.answered(running[other], "/lists/x", 5, "l1")
+	f.awaitAnswer(running[other], "/lists/x", 5, "l1")
 }
 
 // The store is away when an instance starts. It learns from another one what
 // it needs to serve.
-func TestInstanceStartsWithoutTheStore(t *testing.T) {
+func TestStartWhileStoreUnavailable(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.startTarget("m1", "menus", false)
 	one := f.start("one")
 	one.awaitReady(t)
-	f.answered(one, "/menus/x", 0, "m1")
+	f.awaitAnswer(one, "/menus/x", 0, "m1")
 	var i struct{ Control string }
 	eventually(t, func() bool {
 		return json.Unmarshal(f.store.Row(coordinator.InstanceTable, "one").Value, &i) == nil
 	})
-	f.store.Refuse(http.StatusServiceUnavailable)
+	f.store.SetRefusal(http.StatusServiceUnavailable)
 	two := f.start("two", i.Control)
 	two.awaitReady(t)
-	f.answered(two, "/menus/x", 0, "m1")
-	f.store.Refuse(0)
+	f.awaitAnswer(two, "/menus/x", 0, "m1")
+	f.store.SetRefusal(0)
 }
 
 // Requests are under way when the process is told to stop. All are answered.
-func TestShutdownCutsNothing(t *testing.T) {
+func TestShutdownFinishesRequestsInFlight(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.startTarget("m1", "menus", false)
-	f.targets["m1"].Run = func(*http.Request) { time.Sleep(300 * time.Millisecond) }
+	f.targets["m1"].OnRun = func(*http.Request) { time.Sleep(300 * time.Millisecond) }
 	one := f.start("one")
 	one.awaitReady(t)
-	f.answered(one, "/menus/x", 0, "m1")
+	f.awaitAnswer(one, "/menus/x", 0, "m1")
 	got := make(chan int, 3)
 	for range 3 {
 		go func() {
@@ -319,7 +319,7 @@
 			got <- status
 		}()
 	}
-	eventually(t, func() bool { return f.store.Calls() > 0 })
+	eventually(t, func() bool { return f.store.CallCount() > 0 })
 	assert.NilError(t, one.stop())
 	for range 3 {
 		assert.Equal(t, <-got, http.StatusOK)
@@ -329,7 +329,7 @@
 // An instance ends and starts again while the store is away for it alone. The
 // others forgot it when it ended, so it must say hello without having written
 // its row: else it serves an old configuration until its first call times out.
-func TestRestartedInstanceHearsOfNewsWithoutTheStore(t *testing.T) {
+func TestRestartedInstanceReceivesUpdatesWithoutStore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.startTarget("m1", "menus", false)
@@ -348,7 +348,7 @@
 	two := f.start("two", i.Control)
 	f.address = whole
 	two.awaitReady(t)
-	f.answered(two, "/menus/x", 0, "m1")
+	f.awaitAnswer(two, "/menus/x", 0, "m1")
 	f.configure(3, "other")
-	f.answered(two, "/menus/x", 0, "o1")
+	f.awaitAnswer(two, "/menus/x", 0, "o1")
 }
--- a/gateway/instance/join.go
+++ b/gateway/instance/join.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// joinFor is how long an instance that starts tries to get its first copies
+	// joinTimeout is how long an instance that starts tries to get its first copies
 	// from others before it reads the store.
-	joinFor = 500 * time.Millisecond
-	// joinRetry is the pause between two tries: others of the zone may be
+	joinTimeout = 500 * time.Millisecond
+	// joinRetryDelay is the pause between two tries: others of the zone may be
 	// starting too.
-	joinRetry = 50 * time.Millisecond
-	// joinAsk bounds a try. While one instance has not answered for joinNext, the
+	joinRetryDelay = 50 * time.Millisecond
+	// joinAttemptTimeout bounds a try. While one instance has not answered for joinNext, the
 	// next one is asked too: the first may be dead.
-	joinAsk  = 300 * time.Millisecond
-	joinNext = 50 * time.Millisecond
-	// joinSources is how many instances are asked.
-	joinSources = 3
-	// listFor is how long the list of instances is waited for. firstListFor is the
+	joinAttemptTimeout = 300 * time.Millisecond
+	joinHedgeDelay     = 50 * time.Millisecond
+	// maxJoinSources is how many instances are asked.
+	maxJoinSources = 3
+	// instanceListTimeout is how long the list of instances is waited for. firstListFor is the
 	// same at the first start of the fleet, when all write their rows at once, which
 	// the store takes one after the other.
-	listFor      = 250 * time.Millisecond
-	firstListFor = 1500 * time.Millisecond
-	// listPoll is how often the list is looked for.
-	listPoll = 10 * time.Millisecond
-	// joinMost is when a copy is read from the store at the latest.
-	joinMost = firstListFor + joinFor + 500*time.Millisecond
+	instanceListTimeout  = 250 * time.Millisecond
+	bootstrapListTimeout = 1500 * time.Millisecond
+	// listPollInterval is how often the list is looked for.
+	listPollInterval = 10 * time.Millisecond
+	// maxFirstCopyDelay is when a copy is read from the store at the latest.
+	maxFirstCopyDelay = bootstrapListTimeout + joinTimeout + 500*time.Millisecond
 )
 
 // join gets the first copies of the tables: from those who read for the zone, or,
@@ -40,50 +40,50 @@
 func (s *replicator) join(ctx context.Context) {
 	defer s.joined.Store(true)
 	known := s.awaitInstances(ctx)
-	ctx, cancel := context.WithTimeout(ctx, joinFor)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	for known && ctx.Err() == nil && s.rank() >= readersOf(s.zoneSize()) {
+	for known && ctx.Err() == nil && s.rank() >= readerCount(s.zoneSize()) {
 		if s.copyFromReaders(ctx) {
-			s.listens.Store(true)
+			s.passive.Store(true)
 			// Signs of life come as soon as the readers know of this instance.
-			s.alone = time.Now().Add(readerFor)
+			s.noReaderSince = time.Now().Add(readerTimeout)
 			return
 		}
-		sleep(ctx, joinRetry)
+		sleep(ctx, joinRetryDelay)
 	}
-	s.listen(false)
+	s.setPassive(false)
 	s.assignments.Again()
 }
 
 // awaitInstances waits for the list of instances, and tells whether it has come.
 func (i *Instance) awaitInstances(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, i.listFor())
+	ctx, cancel := context.WithTimeout(ctx, i.listTimeout())
 	defer cancel()
 	for ctx.Err() == nil && i.instances.Failing() {
-		sleep(ctx, listPoll)
+		sleep(ctx, listPollInterval)
 	}
 	return !i.instances.Failing()
 }
 
-func (i *Instance) listFor() time.Duration {
+func (i *Instance) listTimeout() time.Duration {
 	if i.settings.Bootstrap {
-		return firstListFor
+		return bootstrapListTimeout
 	}
-	return listFor
+	return instanceListTimeout
 }
 
 // copyFromReaders asks those who should read for the zone for their copies, and
 // tells whether all that a listener needs has come.
 func (s *replicator) copyFromReaders(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, joinAsk)
+	ctx, cancel := context.WithTimeout(ctx, joinAttemptTimeout)
 	defer cancel()
-	wanted := slices.Concat(s.tables, []*mirror.Mirror{s.assignments})
+	wanted := slices.Concat(s.polledMirrors, []*mirror.Mirror{s.assignments})
 	var group errgroup.Group
 	for n, source := range s.sources() {
 		group.Go(func() error {
-			sleep(ctx, time.Duration(n)*joinNext)
+			sleep(ctx, time.Duration(n)*joinHedgeDelay)
 			if ctx.Err() == nil {
-				(&catchUp{s.Instance}).ask(ctx, source.Control, wanted)
+				(&catchUp{s.Instance}).requestState(ctx, source.Control, wanted)
 			}
 			if s.hasCopies() {
 				cancel()
@@ -96,7 +96,7 @@
 }
 
 func (s *replicator) hasCopies() bool {
-	for _, m := range s.tables {
+	for _, m := range s.polledMirrors {
 		if m.Reached() == 0 {
 			return false
 		}
@@ -114,13 +114,13 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b peers.Instance) int {
-		if goesBefore(a, b) {
+		if ranksBefore(a, b) {
 			return -1
 		}
 		return 1
 	})
-	list = list[:min(len(list), joinSources)]
-	if n := min(len(list), readersOf(s.zoneSize())); n > 1 && s.rank()%n == 1 {
+	list = list[:min(len(list), maxJoinSources)]
+	if n := min(len(list), readerCount(s.zoneSize())); n > 1 && s.rank()%n == 1 {
 		list[0], list[1] = list[1], list[0]
 	}
 	return list
--- a/gateway/instance/metrics.go
+++ b/gateway/instance/metrics.go
@@ -14,7 +14,7 @@
 		r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 	}
 	gauge("basilcross_config_version", "Version of the configuration in force; 0 for none.", func() float64 {
-		if table := i.state.table.Load(); table != nil {
+		if table := i.state.routes.Load(); table != nil {
 			return float64(table.Config.Version)
 		}
 		return 0
@@ -26,13 +26,13 @@
 		return float64(i.countMembers())
 	})
 	gauge("basilcross_leading", "1 if this instance coordinates, as far as it knows.", func() float64 {
-		if i.replicator.leads() {
+		if i.replicator.isCoordinator() {
 			return 1
 		}
 		return 0
 	})
 	gauge("basilcross_coordinator_silence_seconds", "Time since the coordinator's last sign of life; -1 if none was heard.", func() float64 {
-		at := i.beatAt.Load()
+		at := i.lastHeartbeat.Load()
 		if at == nil {
 			return -1
 		}
@@ -51,9 +51,9 @@
 		Name: "basilcross_store_calls_total", Help: "Calls to the platform's store by kind, table and outcome.",
 	}, []string{"call", "table", "outcome"})
 	r.MustRegister(calls)
-	i.store.Called = func(c platform.Call) {
+	i.store.OnCall = func(c platform.Call) {
 		calls.WithLabelValues(c.Kind, c.Table, c.Outcome).Inc()
-		event.StoreCalled.Log(i.log, "call", c.Kind, "table", c.Table, "outcome", c.Outcome, "tookMs", c.Took.Milliseconds())
+		event.StoreCalled.Log(i.log, "call", c.Kind, "table", c.Table, "outcome", c.Outcome, "tookMs", c.Duration.Milliseconds())
 	}
 	r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "basilcross_log_bytes_total", Help: "Bytes of log lines written.",
--- a/gateway/instance/metrics_test.go
+++ b/gateway/instance/metrics_test.go
@@ -34,12 +34,12 @@
 
 // Guards against profiles that anybody can ask for, and against a setting that does
 // nothing.
-func TestProfilesAreServedOnlyIfAskedFor(t *testing.T) {
+func TestProfilesAreServedOnlyIfEnabled(t *testing.T) {
 	for _, on := range []bool{false, true} {
 		i := testInstance()
 		i.settings.Pprof = on
 		answer := httptest.NewRecorder()
-		i.metrics().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/debug/pprof/heap", nil))
+		i.metricsHandler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/debug/pprof/heap", nil))
 		assert.Equal(t, answer.Code == http.StatusOK, on)
 	}
 }
--- a/gateway/instance/passage.go
+++ b/gateway/instance/passage.go
@@ -8,82 +8,82 @@
 	"basilcross.example/platform"
 )
 
-// passBytes bounds the rows in one datagram.
-const passBytes = 1100
+// maxUpdateBytes bounds the rows in one datagram.
+const maxUpdateBytes = 1100
 
-// pass tells the zone what the feed brought, and the last changes before it
+// forward tells the zone what the feed brought, and the last changes before it
 // once more: datagrams get lost, and a gap costs each listener a call. Rows too
 // large for a datagram are asked for.
-func (s *replicator) pass(table string, p mirror.Passage) {
+func (s *replicator) forward(table string, p mirror.Passage) {
 	if s.zoneSize() <= 1 {
 		return
 	}
-	parts := datagrams(table, s.again.with(table, p))
+	parts := splitUpdate(table, s.recent.withPrevious(table, p))
 	if parts == nil {
-		parts = []*peers.Rows{{Table: table, From: p.From, To: p.To, Newest: p.Newest, Fetch: true}}
+		parts = []*peers.TableUpdate{{Table: table, From: p.From, To: p.To, NewestChange: p.Newest, Fetch: true}}
 	}
 	for _, m := range parts {
-		s.tell(&peers.Message{Rows: m})
+		s.sendToZone(&peers.Message{TableUpdate: m})
 	}
 }
 
-// datagrams cuts a passage into pieces that fit; none if a row does not.
-func datagrams(table string, p mirror.Passage) []*peers.Rows {
-	var parts []*peers.Rows
-	part := &peers.Rows{Table: table, From: p.From}
+// splitUpdate cuts a passage into pieces that fit; none if a row does not.
+func splitUpdate(table string, p mirror.Passage) []*peers.TableUpdate {
+	var parts []*peers.TableUpdate
+	part := &peers.TableUpdate{Table: table, From: p.From}
 	size := 0
 	flush := func(to, newest uint64) {
-		part.To, part.Newest = to, newest
+		part.To, part.NewestChange = to, newest
 		parts = append(parts, part)
-		part = &peers.Rows{Table: table, From: to}
+		part = &peers.TableUpdate{Table: table, From: to}
 		size = 0
 	}
 	for i, r := range p.Rows {
 		n := len(r.Key) + len(r.Value)
-		if n > passBytes {
+		if n > maxUpdateBytes {
 			return nil
 		}
 		// Rows of one revision belong together.
-		if size > 0 && size+n > passBytes && r.Revision != p.Rows[i-1].Revision {
+		if size > 0 && size+n > maxUpdateBytes && r.Revision != p.Rows[i-1].Revision {
 			flush(p.Rows[i-1].Revision, p.Rows[i-1].Revision)
 		}
-		part.Rows = append(part.Rows, peers.Row{Key: r.Key, Value: r.Value, Revision: r.Revision, Removed: r.Removed})
+		part.Changes = append(part.Changes, peers.RowChange{Key: r.Key, Value: r.Value, Revision: r.Revision, Removed: r.Removed})
 		size += n
 	}
 	flush(p.To, p.Newest)
 	return parts
 }
 
-// againRows is how many rows are told once more at most: four datagrams' worth.
-const againRows = 20
+// maxResentRows is how many rows are told once more at most: four datagrams' worth.
+const maxResentRows = 20
 
-// again keeps the last passages of each table that follow on each other.
-type again struct {
-	mu   sync.Mutex
-	last map[string][]mirror.Passage
+// recentUpdates keeps the last passages of each table that follow on each other.
+type recentUpdates struct {
+	mu      sync.Mutex
+	byTable map[string][]mirror.Passage
 }
 
-// with returns a passage together with the last ones before it.
-func (a *again) with(table string, p mirror.Passage) mirror.Passage {
+// withPrevious returns a passage together with the last ones before it.
+func (a *recentUpdates) withPrevious(table string, p mirror.Passage) mirror.Passage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.last == nil {
-		a.last = map[string][]mirror.Passage{}
+	if a.byTable == nil {
+		a.byTable = map[string][]mirror.Passage{}
 	}
-	list := a.last[table]
+	list := a.byTable[table]
 	if n := len(list); n > 0 && list[n-1].To != p.From {
 		list = nil
 	}
 	rows := len(p.Rows)
 	for i := len(list) - 1; i >= 0; i-- {
-		if rows += len(list[i].Rows); rows > againRows {
+		if rows += len(list[i].Rows); rows > maxResentRows {
 			list = list[i+1:]
 			break
 		}
 	}
 	list = append(list, p)
-	list = list[max(0, len(list)-againRows):]
-	a.last[table] = list
+	list = list[max(0, len(list)-maxResentRows):]
+	a.byTable[table] = list
 	whole := mirror.Passage{From: list[0].From, To: p.To, Newest: p.Newest}
 	for _, l := range list {
 		whole.Rows = append(whole.Rows, l.Rows...)
@@ -91,18 +91,18 @@
 	return whole
 }
 
-func (s *replicator) take(from string, r *peers.Rows) {
+func (s *replicator) receiveTableUpdate(from string, r *peers.TableUpdate) {
 	if r.Fetch {
-		s.fetchFrom(from, r)
+		s.requestIfBehind(from, r)
 		return
 	}
-	passage := mirror.Passage{From: r.From, To: r.To, Newest: r.Newest}
-	for _, row := range r.Rows {
+	passage := mirror.Passage{From: r.From, To: r.To, Newest: r.NewestChange}
+	for _, row := range r.Changes {
 		passage.Rows = append(passage.Rows, platform.Row{
 			Table: r.Table, Key: row.Key, Value: row.Value, Revision: row.Revision, Removed: row.Removed,
 		})
 	}
-	for _, m := range s.tables {
+	for _, m := range s.polledMirrors {
 		if m.Table != r.Table {
 			continue
 		}
@@ -112,32 +112,32 @@
 	}
 }
 
-// fetchFrom has a reader asked for its copy.
-func (s *replicator) fetchFrom(from string, r *peers.Rows) {
-	if !s.listens.Load() {
+// requestIfBehind has a reader asked for its copy.
+func (s *replicator) requestIfBehind(from string, r *peers.TableUpdate) {
+	if !s.passive.Load() {
 		return
 	}
-	for _, m := range s.tables {
+	for _, m := range s.polledMirrors {
 		if m.Table == r.Table && m.Reached() < r.To {
-			s.askFor(from, m)
+			s.requestCopy(from, m)
 		}
 	}
 }
 
-// askFor has an instance asked for its copy. If others wait to be asked for, the
+// requestCopy has an instance asked for its copy. If others wait to be asked for, the
 // readers' signs of life will tell again.
-func (s *replicator) askFor(from string, m *mirror.Mirror) {
+func (s *replicator) requestCopy(from string, m *mirror.Mirror) {
 	select {
-	case s.fetches <- fetch{from, m}:
+	case s.copyRequests <- copyRequest{from, m}:
 	default:
 	}
 }
 
-// fetch is a copy to be asked for.
-type fetch struct {
-	from string
-	of   *mirror.Mirror
+// copyRequest is a copy to be asked for.
+type copyRequest struct {
+	from   string
+	mirror *mirror.Mirror
 }
 
-// fetchRoom bounds the copies that wait to be asked for.
-const fetchRoom = 8
+// maxCopyRequests bounds the copies that wait to be asked for.
+const maxCopyRequests = 8
--- a/gateway/instance/reader_test.go
+++ b/gateway/instance/reader_test.go
@@ -17,11 +17,11 @@
 // answer them.
 type gate struct {
 	http.Handler
-	shut atomic.Bool
+	blocked atomic.Bool
 }
 
 func (g *gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if g.shut.Load() {
+	if g.blocked.Load() {
 		// The end of the connection is noticed only once the body is read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
@@ -30,8 +30,8 @@
 	g.Handler.ServeHTTP(w, r)
 }
 
-// startBehind starts an instance that reaches the store through a gate of its own.
-func (f *fleet) startBehind(name string, cores float64) (*running, *gate) {
+// startBehindGate starts an instance that reaches the store through a gate of its own.
+func (f *fleet) startBehindGate(name string, cores float64) (*runningInstance, *gate) {
 	f.t.Helper()
 	g := &gate{Handler: f.store}
 	server := httptest.NewServer(g)
@@ -44,44 +44,44 @@
 
 // Guards against a start of which each instance reads everything: of 195 that
 // start together that is over 2,000 calls.
-func TestStartedInstanceTakesTheCopiesOfItsZone(t *testing.T) {
+func TestStartCopiesTablesFromZone(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.startTarget("m1", "menus", false)
 	f.startTarget("l1", "lists", true)
-	one, _ := f.startBehind("one", 0.8)
+	one, _ := f.startBehindGate("one", 0.8)
 	one.awaitReady(t)
-	f.answered(one, "/lists/x", 5, "l1")
+	f.awaitAnswer(one, "/lists/x", 5, "l1")
 	eventually(t, func() bool { return f.store.Row(coordinator.InstanceTable, "one").Revision > 0 })
-	op, targets := f.store.Reads(platform.OperatorTable), f.store.Reads(platform.TargetTable)
+	op, targets := f.store.RangeCount(platform.OperatorTable), f.store.RangeCount(platform.TargetTable)
 	for _, name := range []string{"two", "three", "four"} {
-		r, _ := f.startBehind(name, 0.1)
+		r, _ := f.startBehindGate(name, 0.1)
 		r.awaitReady(t)
-		f.answered(r, "/menus/x", 0, "m1")
-		f.answered(r, "/lists/x", 5, "l1")
+		f.awaitAnswer(r, "/menus/x", 0, "m1")
+		f.awaitAnswer(r, "/lists/x", 5, "l1")
 	}
-	assert.Equal(t, f.store.Reads(platform.OperatorTable), op)
-	assert.Equal(t, f.store.Reads(platform.TargetTable), targets)
+	assert.Equal(t, f.store.RangeCount(platform.OperatorTable), op)
+	assert.Equal(t, f.store.RangeCount(platform.TargetTable), targets)
 }
 
 // Guards against a zone that does not hear of a configuration since the store
 // refuses its only reader without a word.
-func TestZoneOfARefusedReaderHearsOfConfigurations(t *testing.T) {
+func TestZoneReceivesConfigWhenReaderLosesStore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.startTarget("m1", "menus", false)
 	f.startTarget("o1", "other", false)
-	one, way := f.startBehind("one", 0.8)
+	one, way := f.startBehindGate("one", 0.8)
 	one.awaitReady(t)
-	two, _ := f.startBehind("two", 0.1)
-	three, _ := f.startBehind("three", 0.1)
-	for _, r := range []*running{one, two, three} {
+	two, _ := f.startBehindGate("two", 0.1)
+	three, _ := f.startBehindGate("three", 0.1)
+	for _, r := range []*runningInstance{one, two, three} {
 		r.awaitReady(t)
-		f.answered(r, "/menus/x", 0, "m1")
+		f.awaitAnswer(r, "/menus/x", 0, "m1")
 	}
-	way.shut.Store(true)
+	way.blocked.Store(true)
 	f.configure(3, "other")
-	for _, r := range []*running{two, three, one} {
-		f.answered(r, "/menus/x", 0, "o1")
+	for _, r := range []*runningInstance{two, three, one} {
+		f.awaitAnswer(r, "/menus/x", 0, "o1")
 	}
 }
--- a/gateway/instance/reloader.go
+++ b/gateway/instance/reloader.go
@@ -12,9 +12,9 @@
 	"basilcross.example/basilcross/event"
 )
 
-// lookAtFile is how often the settings file is looked at: it may change without
+// fileCheckInterval is how often the settings file is looked at: it may change without
 // a signal.
-const lookAtFile = 2 * time.Second
+const fileCheckInterval = 2 * time.Second
 
 // reloader reads the settings anew on SIGHUP and when the file has changed.
 // Seeds and the limits on retries change at once; the rest takes a restart.
@@ -25,18 +25,18 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	tick := time.NewTicker(lookAtFile)
+	tick := time.NewTicker(fileCheckInterval)
 	defer tick.Stop()
-	last := r.modified()
+	last := r.modTime()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-hup:
-			last = r.modified()
+			last = r.modTime()
 			r.reload("signal")
 		case <-tick.C:
-			if now := r.modified(); !now.Equal(last) {
+			if now := r.modTime(); !now.Equal(last) {
 				last = now
 				r.reload("file")
 			}
@@ -44,8 +44,8 @@
 	}
 }
 
-// modified returns when the file changed last; zero if there is none.
-func (r *reloader) modified() time.Time {
+// modTime returns when the file changed last; zero if there is none.
+func (r *reloader) modTime() time.Time {
 	info, err := os.Stat(r.settings.File)
 	if err != nil {
 		return time.Time{}
@@ -53,12 +53,12 @@
 	return info.ModTime()
 }
 
-// errNoReload is for instances that were started without a way to do it.
-var errNoReload = errors.New("settings cannot be read anew")
+// errReloadUnsupported is for instances that were started without a way to do it.
+var errReloadUnsupported = errors.New("settings cannot be read anew")
 
 // reload puts new settings in force, or keeps the old ones if any is faulty.
 func (r *reloader) reload(why string) {
-	next, err := Settings{}, errNoReload
+	next, err := Settings{}, errReloadUnsupported
 	if r.settings.Reload != nil {
 		next, err = r.settings.Reload()
 	}
@@ -66,7 +66,7 @@
 		event.Reloaded.Log(r.log, "reason", why, "kept", true, "error", err)
 		return
 	}
-	old := r.tunable.Swap(&next)
+	old := r.liveSettings.Swap(&next)
 	event.Reloaded.Log(r.log, "reason", why, "seedsChanged", !slices.Equal(old.Seeds, next.Seeds),
 		"retryRatio", next.RetryRatio, "retrySlack", next.RetrySlack, "needsRestart", needsRestart(r.settings, next))
 }
--- a/gateway/instance/reloader_test.go
+++ b/gateway/instance/reloader_test.go
@@ -21,12 +21,12 @@
 	r := &reloader{i}
 	next.Seeds, next.RetrySlack = []string{"10.0.0.9:1"}, 7
 	r.reload("signal")
-	assert.DeepEqual(t, i.tunable.Load().Seeds, []string{"10.0.0.9:1"})
-	assert.Equal(t, i.tunable.Load().RetrySlack, 7.0)
+	assert.DeepEqual(t, i.liveSettings.Load().Seeds, []string{"10.0.0.9:1"})
+	assert.Equal(t, i.liveSettings.Load().RetrySlack, 7.0)
 	failure, next = errors.New("faulty"), Defaults()
 	r.reload("file")
-	assert.Equal(t, i.tunable.Load().RetrySlack, 7.0)
-	assert.Assert(t, !needsRestart(s, *i.tunable.Load()))
+	assert.Equal(t, i.liveSettings.Load().RetrySlack, 7.0)
+	assert.Assert(t, !needsRestart(s, *i.liveSettings.Load()))
 	next.Store = "10.0.0.1:1"
 	assert.Assert(t, needsRestart(s, next))
 }
--- a/gateway/instance/replicator.go
+++ b/gateway/instance/replicator.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// smallZone is the number of instances in a zone up to which one follows the
+	// maxSingleReaderZone is the number of instances in a zone up to which one follows the
 	// feeds. In a larger one a second covers its loss.
-	smallZone = 6
-	// checkEvery is how often an instance looks whether it has to read.
-	checkEvery = 100 * time.Millisecond
-	// readerBeat is the time between a reader's signs of life, and readerFor
+	maxSingleReaderZone = 6
+	// checkInterval is how often an instance looks whether it has to read.
+	checkInterval = 100 * time.Millisecond
+	// readerHeartbeatInterval is the time between a reader's signs of life, and readerFor
 	// how long one counts after the last: the users allow two seconds until
 	// news is in force, and the feed must be read in it too.
-	readerBeat = 300 * time.Millisecond
-	readerFor  = 1000 * time.Millisecond
-	// provedFor is how long an answer of the store proves the way to it.
-	provedFor = 1200 * time.Millisecond
-	// proveAfter is how long a reader goes without any proof before it asks the store
+	readerHeartbeatInterval = 300 * time.Millisecond
+	readerTimeout           = 1000 * time.Millisecond
+	// freshnessTTL is how long an answer of the store proves the way to it.
+	freshnessTTL = 1200 * time.Millisecond
+	// freshnessCheckDelay is how long a reader goes without any proof before it asks the store
 	// for one.
-	proveAfter = 600 * time.Millisecond
-	// turn is how much later each next instance of a zone begins to read when no
+	freshnessCheckDelay = 600 * time.Millisecond
+	// takeoverDelayStep is how much later each next instance of a zone begins to read when no
 	// reader is heard any more, mostTurn the longest wait: the first one is
 	// usually heard before the others' turn, each of whose calls is paid.
-	turn     = 100 * time.Millisecond
-	mostTurn = 1200 * time.Millisecond
+	takeoverDelayStep = 100 * time.Millisecond
+	maxTakeoverDelay  = 1200 * time.Millisecond
 )
 
 // replicator lets one or two instances of a zone follow the store's feeds and pass
@@ -41,32 +41,32 @@
 // to the store is proved; when none is heard, others begin to read, one by one.
 type replicator struct {
 	*Instance
-	tables []*mirror.Mirror
-
-	mu      sync.Mutex
-	heard   map[string]time.Time
-	reached map[string]map[string]uint64
-	// behind are the listener's copies that are behind a reader's.
-	behind  map[string]gap
-	listens atomic.Bool
+	polledMirrors []*mirror.Mirror
+
+	mu              sync.Mutex
+	lastSeen        map[string]time.Time
+	readerRevisions map[string]map[string]uint64
+	// gaps are the listener's copies that are behind a reader's.
+	gaps    map[string]gap
+	passive atomic.Bool
 	// joined is set once the first copies have come or are being read.
 	joined atomic.Bool
-	// alone is since when no reader is heard, and nextBeat when the next sign of
+	// noReaderSince is since when no reader is heard, and nextBeat when the next sign of
 	// life is due. Both belong to Serve.
-	alone    time.Time
-	nextBeat time.Time
-	// unlike counts the signs of life of readers in a row that know other
+	noReaderSince time.Time
+	nextHeartbeat time.Time
+	// digestMismatches counts the signs of life of readers in a row that know other
 	// targets than this instance.
-	unlike int
+	digestMismatches int
 
-	again   again
-	fetches chan fetch
+	recent       recentUpdates
+	copyRequests chan copyRequest
 }
 
 func newReplicator(i *Instance) *replicator {
 	return &replicator{
-		Instance: i, heard: map[string]time.Time{}, reached: map[string]map[string]uint64{}, behind: map[string]gap{},
-		fetches: make(chan fetch, fetchRoom),
+		Instance: i, lastSeen: map[string]time.Time{}, readerRevisions: map[string]map[string]uint64{}, gaps: map[string]gap{},
+		copyRequests: make(chan copyRequest, maxCopyRequests),
 	}
 }
 
@@ -75,172 +75,172 @@
 	s.join(ctx)
 	for ctx.Err() == nil {
 		s.check(time.Now())
-		sleep(ctx, checkEvery)
+		sleep(ctx, checkInterval)
 	}
 	return ctx.Err()
 }
 
 func (s *replicator) check(now time.Time) {
-	if wanted := s.mayListen(now); wanted != s.listens.Load() {
-		s.listen(wanted)
+	if wanted := s.shouldBePassive(now); wanted != s.passive.Load() {
+		s.setPassive(wanted)
 	}
-	if s.listens.Load() {
-		s.checkReached(now)
+	if s.passive.Load() {
+		s.checkGaps(now)
 		return
 	}
-	for _, m := range s.tables {
+	for _, m := range s.polledMirrors {
 		switch {
-		case s.heardCoordinator(proveAfter):
+		case s.coordinatorSeenWithin(freshnessCheckDelay):
 			m.Prove(false)
-		case now.Sub(m.Answered()) > proveAfter:
+		case now.Sub(m.Answered()) > freshnessCheckDelay:
 			m.Prove(true)
 		}
 	}
-	reads := s.current() && s.certain(now)
+	reads := s.feedsHealthy() && s.isFresh(now)
 	switch {
-	case reads && !now.Before(s.nextBeat):
-		s.nextBeat = now.Add(readerBeat)
-		s.beat()
-	case !reads && !s.nextBeat.IsZero():
+	case reads && !now.Before(s.nextHeartbeat):
+		s.nextHeartbeat = now.Add(readerHeartbeatInterval)
+		s.sendHeartbeat()
+	case !reads && !s.nextHeartbeat.IsZero():
 		// Who listens need not wait until this instance counts as silent.
-		s.nextBeat = time.Time{}
-		s.tell(&peers.Message{Reader: &peers.Reader{}})
+		s.nextHeartbeat = time.Time{}
+		s.sendToZone(&peers.Message{ReaderHeartbeat: &peers.ReaderHeartbeat{}})
 	}
 }
 
-// mayListen tells whether others follow the feeds for this instance. The
+// shouldBePassive tells whether others follow the feeds for this instance. The
 // coordinator always reads for itself.
-func (s *replicator) mayListen(now time.Time) bool {
-	before, all := s.count()
+func (s *replicator) shouldBePassive(now time.Time) bool {
+	before, all := s.countReaders()
 	switch {
-	case s.leads():
+	case s.isCoordinator():
 		return false
 	case all > 0:
-		s.alone = time.Time{}
+		s.noReaderSince = time.Time{}
 		// Whoever is refused by the store itself is better off listening, and does
 		// not press the store.
-		return s.listens.Load() || before >= readersOf(s.zoneSize()) || !s.current()
-	case !s.listens.Load():
+		return s.passive.Load() || before >= readerCount(s.zoneSize()) || !s.feedsHealthy()
+	case !s.passive.Load():
 		return false
-	case s.alone.IsZero():
-		s.alone = now
+	case s.noReaderSince.IsZero():
+		s.noReaderSince = now
 	}
-	return now.Sub(s.alone) < min(time.Duration(s.rank())*turn, mostTurn)
+	return now.Sub(s.noReaderSince) < min(time.Duration(s.rank())*takeoverDelayStep, maxTakeoverDelay)
 }
 
-// readersOf returns how many follow the feeds in a zone of so many instances.
-func readersOf(size int) int {
-	if size <= smallZone {
+// readerCount returns how many follow the feeds in a zone of so many instances.
+func readerCount(size int) int {
+	if size <= maxSingleReaderZone {
 		return 1
 	}
 	return 2
 }
 
-// certain tells whether this instance's copies are known to be kept up. The store
+// isFresh tells whether this instance's copies are known to be kept up. The store
 // may refuse a reader without a word; the coordinator's signs of life tell how far
 // its copies go, and its lease proves its way to the store. Without it the store's
 // own answers are the proof.
-func (s *replicator) certain(now time.Time) bool {
-	if s.hearsCoordinator() {
+func (s *replicator) isFresh(now time.Time) bool {
+	if s.coordinatorAlive() {
 		return true
 	}
-	for _, m := range s.tables {
-		if now.Sub(m.Answered()) > provedFor {
+	for _, m := range s.polledMirrors {
+		if now.Sub(m.Answered()) > freshnessTTL {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *replicator) hearsCoordinator() bool { return s.heardCoordinator(readerFor) }
+func (s *replicator) coordinatorAlive() bool { return s.coordinatorSeenWithin(readerTimeout) }
 
-// heardCoordinator tells whether the coordinator gave a sign of life within a time.
-func (s *replicator) heardCoordinator(within time.Duration) bool {
-	at := s.beatAt.Load()
+// coordinatorSeenWithin tells whether the coordinator gave a sign of life within a time.
+func (s *replicator) coordinatorSeenWithin(within time.Duration) bool {
+	at := s.lastHeartbeat.Load()
 	return at != nil && time.Since(*at) < within
 }
 
-// leads tells whether this instance coordinates, as far as it knows.
-func (s *replicator) leads() bool {
-	lead := s.lead.Load()
+// isCoordinator tells whether this instance coordinates, as far as it knows.
+func (s *replicator) isCoordinator() bool {
+	lead := s.coordinatorName.Load()
 	return lead != nil && *lead == s.settings.Instance
 }
 
 func (s *replicator) zoneSize() int { return len(s.peers.Zone(s.settings.Zone)) }
 
-// goesBefore orders instances as readers: those with more of a processor first,
+// ranksBefore orders instances as readers: those with more of a processor first,
 // since a reader sends each change to its whole zone; alike ones by chance, but
 // for all in the same way.
-func goesBefore(a, b peers.Instance) bool {
+func ranksBefore(a, b peers.Instance) bool {
 	if a.Cores != b.Cores {
 		return a.Cores > b.Cores
 	}
 	return xxhash.Sum64String("reader\x00"+a.Name) < xxhash.Sum64String("reader\x00"+b.Name)
 }
 
-// before tells whether another instance goes before this one as a reader: the
+// outrankedBy tells whether another instance goes before this one as a reader: the
 // coordinator does, since it follows the feeds anyway.
-func (s *replicator) before(other peers.Instance) bool {
-	lead := s.lead.Load()
-	return lead != nil && *lead == other.Name || goesBefore(other, s.peers.Self)
+func (s *replicator) outrankedBy(other peers.Instance) bool {
+	lead := s.coordinatorName.Load()
+	return lead != nil && *lead == other.Name || ranksBefore(other, s.peers.Self)
 }
 
 const (
-	// readerRetry and mostReaderRetry are the first and the longest pause of a
+	// readerBackoff and mostReaderRetry are the first and the longest pause of a
 	// reader after a call that the store did not answer.
-	readerRetry     = 100 * time.Millisecond
-	mostReaderRetry = 1600 * time.Millisecond
-	// otherRetry is the first pause of the zone's other instances, and rankRetry
+	readerBackoff    = 100 * time.Millisecond
+	maxReaderBackoff = 1600 * time.Millisecond
+	// passiveBackoff is the first pause of the zone's other instances, and rankRetry
 	// how much longer the longest one is for each next of them: one that is
 	// answered is enough for all.
-	otherRetry = 800 * time.Millisecond
-	rankRetry  = 200 * time.Millisecond
+	passiveBackoff = 800 * time.Millisecond
+	backoffStep    = 200 * time.Millisecond
 )
 
-// retry returns the pauses after calls to the store that failed.
-func (s *replicator) retry() (first, most time.Duration) {
+// backoff returns the pauses after calls to the store that failed.
+func (s *replicator) backoff() (first, most time.Duration) {
 	rank := s.rank()
-	if rank < readersOf(s.zoneSize()) {
-		return readerRetry, mostReaderRetry
+	if rank < readerCount(s.zoneSize()) {
+		return readerBackoff, maxReaderBackoff
 	}
-	return otherRetry, mostReaderRetry + time.Duration(rank)*rankRetry
+	return passiveBackoff, maxReaderBackoff + time.Duration(rank)*backoffStep
 }
 
 // rank is how many instances of the zone go before this one as readers.
 func (s *replicator) rank() int {
 	n := 0
 	for _, i := range s.peers.Zone(s.settings.Zone) {
-		if i.Name != s.settings.Instance && s.before(i) {
+		if i.Name != s.settings.Instance && s.outrankedBy(i) {
 			n++
 		}
 	}
 	return n
 }
 
-// count returns how many readers that go before this instance were heard, and
+// countReaders returns how many readers that go before this instance were heard, and
 // how many in all.
-func (s *replicator) count() (before, all int) {
+func (s *replicator) countReaders() (before, all int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	for name, at := range s.heard {
-		if now.Sub(at) > readerFor {
-			delete(s.heard, name)
+	for name, at := range s.lastSeen {
+		if now.Sub(at) > readerTimeout {
+			delete(s.lastSeen, name)
 			continue
 		}
 		all++
 		other := s.peers.Find(name)
 		other.Name = name
-		if s.before(other) {
+		if s.outrankedBy(other) {
 			before++
 		}
 	}
 	return before, all
 }
 
-// current tells whether this instance's own feeds are in order.
-func (s *replicator) current() bool {
-	for _, m := range s.tables {
+// feedsHealthy tells whether this instance's own feeds are in order.
+func (s *replicator) feedsHealthy() bool {
+	for _, m := range s.polledMirrors {
 		if m.Failing() {
 			return false
 		}
@@ -248,25 +248,25 @@
 	return true
 }
 
-func (s *replicator) listen(on bool) {
-	s.listens.Store(on)
+func (s *replicator) setPassive(on bool) {
+	s.passive.Store(on)
 	event.Reading.Log(s.log, "listens", on)
-	for _, m := range s.tables {
+	for _, m := range s.polledMirrors {
 		m.Listen(on)
 	}
 }
 
-func (s *replicator) beat() {
-	r := &peers.Reader{Reached: map[string]uint64{}, Targets: s.state.roster.Load().Digest}
-	for _, m := range s.tables {
-		r.Reached[m.Table] = m.Reached()
+func (s *replicator) sendHeartbeat() {
+	r := &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}, TargetsDigest: s.state.roster.Load().Digest}
+	for _, m := range s.polledMirrors {
+		r.MirrorRevisions[m.Table] = m.Reached()
 	}
-	r.Reached[s.assignments.Table] = s.assignments.Newest()
-	s.tell(&peers.Message{Reader: r})
+	r.MirrorRevisions[s.assignments.Table] = s.assignments.Newest()
+	s.sendToZone(&peers.Message{ReaderHeartbeat: r})
 }
 
-// tell sends a message to the zone's other instances.
-func (s *replicator) tell(m *peers.Message) {
+// sendToZone sends a message to the zone's other instances.
+func (s *replicator) sendToZone(m *peers.Message) {
 	zone := s.peers.Zone(s.settings.Zone)
 	names := make([]string, 0, len(zone))
 	for _, i := range zone {
@@ -277,47 +277,47 @@
 	s.peers.SendAll(names, m)
 }
 
-// refresh begins the feeds anew.
-func (s *replicator) refresh() {
-	for _, m := range s.tables {
+// restartFeeds begins the feeds anew.
+func (s *replicator) restartFeeds() {
+	for _, m := range s.polledMirrors {
 		m.Again()
 	}
 }
 
 const (
-	// gapFor is how long a listener is behind a reader before it asks for its copy:
+	// gapTimeout is how long a listener is behind a reader before it asks for its copy:
 	// the rows are told once more with the next ones, and come a moment later than
 	// the reader's sign of life if its processor is busy.
-	gapFor = 400 * time.Millisecond
-	// copyFor is how long it waits for that copy before it calls the store: the
+	gapTimeout = 400 * time.Millisecond
+	// copyTimeout is how long it waits for that copy before it calls the store: the
 	// whole zone may ask one reader.
-	copyFor = 600 * time.Millisecond
+	copyTimeout = 600 * time.Millisecond
 )
 
 // gap is a copy that is behind a reader's.
 type gap struct {
-	since time.Time
-	asked bool
+	since     time.Time
+	requested bool
 }
 
-// checkReached sees to what no datagram brought.
-func (s *replicator) checkReached(now time.Time) {
-	for _, m := range s.tables {
+// checkGaps sees to what no datagram brought.
+func (s *replicator) checkGaps(now time.Time) {
+	for _, m := range s.polledMirrors {
 		ahead := s.readerAhead(m.Table, m.Reached()+1)
 		if ahead == "" {
-			delete(s.behind, m.Table)
+			delete(s.gaps, m.Table)
 			continue
 		}
-		g, ok := s.behind[m.Table]
+		g, ok := s.gaps[m.Table]
 		switch {
 		case !ok:
-			s.behind[m.Table] = gap{since: now}
-		case !g.asked && now.Sub(g.since) < gapFor, g.asked && now.Sub(g.since) < copyFor:
-		case !g.asked:
-			s.behind[m.Table] = gap{since: now, asked: true}
-			s.askFor(ahead, m)
+			s.gaps[m.Table] = gap{since: now}
+		case !g.requested && now.Sub(g.since) < gapTimeout, g.requested && now.Sub(g.since) < copyTimeout:
+		case !g.requested:
+			s.gaps[m.Table] = gap{since: now, requested: true}
+			s.requestCopy(ahead, m)
 		default:
-			delete(s.behind, m.Table)
+			delete(s.gaps, m.Table)
 			m.Again()
 		}
 	}
@@ -328,61 +328,61 @@
 func (s *replicator) readerAhead(table string, revision uint64) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name, at := range s.heard {
-		if time.Since(at) <= readerFor && s.reached[name][table] >= revision {
+	for name, at := range s.lastSeen {
+		if time.Since(at) <= readerTimeout && s.readerRevisions[name][table] >= revision {
 			return name
 		}
 	}
 	return ""
 }
 
-// receive takes in a datagram about feeds, and tells whether it was one.
-func (s *replicator) receive(m *peers.Message) bool {
+// handleMessage takes in a datagram about feeds, and tells whether it was one.
+func (s *replicator) handleMessage(m *peers.Message) bool {
 	switch {
-	case m.Reader != nil:
-		s.hear(m.From, m.Reader)
-	case m.Rows != nil:
-		s.take(m.From, m.Rows)
+	case m.ReaderHeartbeat != nil:
+		s.receiveReaderHeartbeat(m.From, m.ReaderHeartbeat)
+	case m.TableUpdate != nil:
+		s.receiveTableUpdate(m.From, m.TableUpdate)
 	default:
 		return false
 	}
 	return true
 }
 
-func (s *replicator) hear(from string, r *peers.Reader) {
+func (s *replicator) receiveReaderHeartbeat(from string, r *peers.ReaderHeartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r.Reached == nil {
-		delete(s.heard, from)
+	if r.MirrorRevisions == nil {
+		delete(s.lastSeen, from)
 		return
 	}
-	s.heard[from] = time.Now()
-	s.reached[from] = r.Reached
-	s.compare(r)
+	s.lastSeen[from] = time.Now()
+	s.readerRevisions[from] = r.MirrorRevisions
+	s.compareDigest(r)
 }
 
-// unlikeTries is how many signs of life of readers in a row must tell of other
+// maxDigestMismatches is how many signs of life of readers in a row must tell of other
 // targets than are known here: news may be on their way.
-const unlikeTries = 6
+const maxDigestMismatches = 6
 
-// compare reads all targets if they are not those of the zone's readers. A
+// compareDigest reads all targets if they are not those of the zone's readers. A
 // reader passes on what is new to itself, and its feed tells only the last of
 // several changes: a target that left and came back between two answers is
 // nothing new, while a listener had its leaving from the other reader.
-func (s *replicator) compare(r *peers.Reader) {
-	alike := r.Targets == 0 || r.Targets == s.state.roster.Load().Digest
-	for _, m := range s.tables {
-		alike = alike || m.Table == platform.TargetTable && m.Reached() < r.Reached[m.Table]
+func (s *replicator) compareDigest(r *peers.ReaderHeartbeat) {
+	alike := r.TargetsDigest == 0 || r.TargetsDigest == s.state.roster.Load().Digest
+	for _, m := range s.polledMirrors {
+		alike = alike || m.Table == platform.TargetTable && m.Reached() < r.MirrorRevisions[m.Table]
 	}
-	if alike || !s.listens.Load() {
-		s.unlike = 0
+	if alike || !s.passive.Load() {
+		s.digestMismatches = 0
 		return
 	}
-	if s.unlike++; s.unlike < unlikeTries {
+	if s.digestMismatches++; s.digestMismatches < maxDigestMismatches {
 		return
 	}
-	s.unlike = 0
-	for _, m := range s.tables {
+	s.digestMismatches = 0
+	for _, m := range s.polledMirrors {
 		if m.Table == platform.TargetTable {
 			m.Reload()
 		}
--- a/gateway/instance/replicator_test.go
+++ b/gateway/instance/replicator_test.go
@@ -22,65 +22,65 @@
 
 // Guards against a zone that goes on listening to readers which the store refuses
 // without a word: nobody would hear of a configuration.
-func TestReaderWithoutProofIsSilent(t *testing.T) {
+func TestReaderWithoutConfirmationIsNotFresh(t *testing.T) {
 	i := testInstance()
 	s := i.replicator
 	now := time.Now()
-	assert.Assert(t, !s.certain(now), "no coordinator was heard, and the store has answered nothing")
-	i.noteLead("c", 3)
-	assert.Assert(t, s.certain(now))
-	long := now.Add(-readerFor)
-	i.beatAt.Store(&long)
-	assert.Assert(t, !s.certain(now), "the coordinator fell silent")
-	i.leads(3, true)
-	assert.Assert(t, s.certain(now), "it coordinates")
-	i.leads(3, false)
-	assert.Assert(t, !s.certain(now), "it coordinates, and the store does not answer")
+	assert.Assert(t, !s.isFresh(now), "no coordinator was heard, and the store has answered nothing")
+	i.recordCoordinator("c", 3)
+	assert.Assert(t, s.isFresh(now))
+	long := now.Add(-readerTimeout)
+	i.lastHeartbeat.Store(&long)
+	assert.Assert(t, !s.isFresh(now), "the coordinator fell silent")
+	i.recordLeading(3, true)
+	assert.Assert(t, s.isFresh(now), "it coordinates")
+	i.recordLeading(3, false)
+	assert.Assert(t, !s.isFresh(now), "it coordinates, and the store does not answer")
 }
 
 // Guards against a zone whose only reader coordinates and loses the store: its
 // listeners waited until it counted as silent, and heard of a configuration 2.3 s
 // after it was acknowledged.
-func TestReaderInDoubtIsLeftAtOnce(t *testing.T) {
+func TestPassiveInstanceLeavesReaderThatLostStore(t *testing.T) {
 	i := testInstance()
 	s := i.replicator
-	s.listens.Store(true)
+	s.passive.Store(true)
 	now := time.Now()
-	assert.Assert(t, s.receive(&peers.Message{From: "a", Reader: &peers.Reader{Reached: map[string]uint64{}}}))
-	assert.Assert(t, s.mayListen(now))
-	assert.Assert(t, s.receive(&peers.Message{From: "a", Reader: &peers.Reader{}}))
-	assert.Assert(t, !s.mayListen(now))
+	assert.Assert(t, s.handleMessage(&peers.Message{From: "a", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}}}))
+	assert.Assert(t, s.shouldBePassive(now))
+	assert.Assert(t, s.handleMessage(&peers.Message{From: "a", ReaderHeartbeat: &peers.ReaderHeartbeat{}}))
+	assert.Assert(t, !s.shouldBePassive(now))
 }
 
 // Guards against listeners that stay with silent readers, and against all of them
 // calling the store at the same moment.
-func TestListenersLeaveSilentReadersInTurn(t *testing.T) {
+func TestPassiveInstancesTakeOverInRankOrder(t *testing.T) {
 	i := testInstance()
 	s := i.replicator
-	s.listens.Store(true)
-	hear := func(m *peers.Message) { assert.Assert(t, s.receive(m)) }
-	hear(&peers.Message{From: "a", Reader: &peers.Reader{Reached: map[string]uint64{}}})
+	s.passive.Store(true)
+	hear := func(m *peers.Message) { assert.Assert(t, s.handleMessage(m)) }
+	hear(&peers.Message{From: "a", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}}})
 	now := time.Now()
-	assert.Assert(t, s.mayListen(now))
-	i.noteLead(i.settings.Instance, 3)
-	assert.Assert(t, !s.mayListen(now), "the coordinator reads itself")
-	i.noteLead("c", 3)
-	silent := func() { s.heard = map[string]time.Time{"a": now.Add(-readerFor)} }
+	assert.Assert(t, s.shouldBePassive(now))
+	i.recordCoordinator(i.settings.Instance, 3)
+	assert.Assert(t, !s.shouldBePassive(now), "the coordinator reads itself")
+	i.recordCoordinator("c", 3)
+	silent := func() { s.lastSeen = map[string]time.Time{"a": now.Add(-readerTimeout)} }
 	silent()
-	assert.Assert(t, !s.mayListen(now), "the readers fell silent, and it is the first of its zone")
+	assert.Assert(t, !s.shouldBePassive(now), "the readers fell silent, and it is the first of its zone")
 
 	zone := map[string]peers.Instance{i.settings.Instance: i.peers.Self}
 	for _, name := range []string{"d", "e", "f"} {
 		zone[name] = peers.Instance{Name: name, Zone: i.settings.Zone, Cores: 1, Datagram: "127.0.0.1:9"}
 	}
-	i.peers.Know(zone)
-	s.alone = time.Time{}
+	i.peers.SetInstances(zone)
+	s.noReaderSince = time.Time{}
 	silent()
-	assert.Assert(t, s.mayListen(now), "three go before it")
-	assert.Assert(t, s.mayListen(now.Add(3*turn-1)))
-	assert.Assert(t, !s.mayListen(now.Add(3*turn)))
-	hear(&peers.Message{From: "d", Reader: &peers.Reader{Reached: map[string]uint64{}}})
-	assert.Assert(t, s.mayListen(now.Add(3*turn)), "another one reads")
+	assert.Assert(t, s.shouldBePassive(now), "three go before it")
+	assert.Assert(t, s.shouldBePassive(now.Add(3*takeoverDelayStep-1)))
+	assert.Assert(t, !s.shouldBePassive(now.Add(3*takeoverDelayStep)))
+	hear(&peers.Message{From: "d", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}}})
+	assert.Assert(t, s.shouldBePassive(now.Add(3*takeoverDelayStep)), "another one reads")
 }
 
 // Guards against a reader too many: one of a small zone is enough, the coordinator
@@ -88,14 +88,14 @@
 func TestCoordinatorReadsForItsZone(t *testing.T) {
 	i := testInstance()
 	s := i.replicator
-	for _, m := range s.tables {
+	for _, m := range s.polledMirrors {
 		m.Inject(platform.Row{Table: m.Table, Key: "x", Revision: 1})
 	}
-	assert.Assert(t, s.current())
-	i.noteLead("c", 3)
-	assert.Assert(t, !s.mayListen(time.Now()), "there is no reader")
-	assert.Assert(t, s.receive(&peers.Message{From: "c", Reader: &peers.Reader{Reached: map[string]uint64{}}}))
-	assert.Assert(t, s.mayListen(time.Now()))
+	assert.Assert(t, s.feedsHealthy())
+	i.recordCoordinator("c", 3)
+	assert.Assert(t, !s.shouldBePassive(time.Now()), "there is no reader")
+	assert.Assert(t, s.handleMessage(&peers.Message{From: "c", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}}}))
+	assert.Assert(t, s.shouldBePassive(time.Now()))
 }
 
 func testInstance() *Instance {
@@ -112,7 +112,7 @@
 // All targets of a fleet start together and report how far they have warmed up.
 // Passed on to every instance, that filled the small links, and readers' words
 // were lost behind it; a target that leaves must still be told at once.
-func TestWarmingUpIsNotPassedOn(t *testing.T) {
+func TestWarmupProgressIsMinor(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		old, next platform.Row
@@ -124,41 +124,41 @@
 		{"cannot be read any more", targetRow("a", "ready", "4s", 1), platform.Row{Key: "a", Value: []byte("{")}, false},
 		{"could not be read", platform.Row{Key: "a", Value: []byte("{")}, targetRow("a", "ready", "4s", 1), false},
 	} {
-		assert.Equal(t, minorOfTarget(c.old, c.next), c.minor, c.name)
+		assert.Equal(t, isMinorTargetChange(c.old, c.next), c.minor, c.name)
 	}
 }
 
 // One datagram of a series is lost. The next one tells its rows once more, so
 // the listeners need not call the store, all at the same moment.
-func TestLostPassageIsToldAgain(t *testing.T) {
-	var a again
+func TestLostUpdateIsResent(t *testing.T) {
+	var a recentUpdates
 	first := mirror.Passage{From: 10, To: 12, Newest: 12, Rows: []platform.Row{targetRow("a", "ready", "0s", 12)}}
 	second := mirror.Passage{From: 12, To: 15, Newest: 14, Rows: []platform.Row{targetRow("b", "ready", "0s", 14)}}
-	a.with("t", first)
-	both := a.with("t", second)
+	a.withPrevious("t", first)
+	both := a.withPrevious("t", second)
 	assert.Equal(t, both.From, uint64(10))
 	assert.Equal(t, both.To, uint64(15))
 	assert.Equal(t, both.Newest, uint64(14))
 	assert.Equal(t, len(both.Rows), 2)
-	parts := datagrams("t", both)
+	parts := splitUpdate("t", both)
 	assert.Equal(t, parts[0].From, uint64(10))
 	assert.Equal(t, parts[len(parts)-1].To, uint64(15))
 	// What follows on nothing stands alone: the reader has read the table anew.
 	alone := mirror.Passage{From: 20, To: 21}
-	assert.DeepEqual(t, a.with("t", alone), alone)
+	assert.DeepEqual(t, a.withPrevious("t", alone), alone)
 }
 
 // A target leaves and comes back. One reader passes the leaving on; the other
 // one's feed tells only that it is there, which is nothing new to it. Whoever
 // listens would go on without the target for good.
-func TestListenerUnlikeItsReadersReadsAnew(t *testing.T) {
+func TestPassiveInstanceReloadsOnDigestMismatch(t *testing.T) {
 	fake := &standin.Store{}
 	server := httptest.NewServer(fake)
 	defer server.Close()
 	i := testInstance()
 	i.store.Address = strings.TrimPrefix(server.URL, "http://")
 	fake.Put(platform.TargetTable, "a", targetRow("a", "ready", "0s", 1).Value)
-	targets := i.replicator.tables[1]
+	targets := i.replicator.polledMirrors[1]
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
 	group.Go(func() error { return targets.Serve(ctx) })
@@ -173,16 +173,16 @@
 	}
 	poll.WaitOn(t, knows(1))
 	readers := i.state.roster.Load().Digest
-	i.replicator.listen(true)
+	i.replicator.setPassive(true)
 	reached := targets.Reached()
-	assert.Assert(t, i.replicator.receive(&peers.Message{Rows: &peers.Rows{
-		Table: platform.TargetTable, From: reached, To: reached + 1, Newest: reached + 1,
-		Rows: []peers.Row{{Key: "a", Revision: reached + 1, Removed: true}},
+	assert.Assert(t, i.replicator.handleMessage(&peers.Message{TableUpdate: &peers.TableUpdate{
+		Table: platform.TargetTable, From: reached, To: reached + 1, NewestChange: reached + 1,
+		Changes: []peers.RowChange{{Key: "a", Revision: reached + 1, Removed: true}},
 	}}))
 	poll.WaitOn(t, knows(0))
-	for range unlikeTries {
-		beat := &peers.Reader{Targets: readers, Reached: map[string]uint64{platform.TargetTable: reached + 1}}
-		assert.Assert(t, i.replicator.receive(&peers.Message{From: "r", Reader: beat}))
+	for range maxDigestMismatches {
+		beat := &peers.ReaderHeartbeat{TargetsDigest: readers, MirrorRevisions: map[string]uint64{platform.TargetTable: reached + 1}}
+		assert.Assert(t, i.replicator.handleMessage(&peers.Message{From: "r", ReaderHeartbeat: beat}))
 	}
 	fake.Put("other", "x", nil)
 	fake.Put("other", "y", nil)
@@ -192,102 +192,102 @@
 // A configuration is too large for a datagram. Its reader says so, and each
 // listener asks for its copy, once, instead of calling the store: there would be
 // a call of each instance for each configuration.
-func TestLargeRowsAreAskedFor(t *testing.T) {
-	large := mirror.Passage{From: 3, To: 5, Newest: 5, Rows: []platform.Row{{Key: "config", Value: make([]byte, 3*passBytes), Revision: 5}}}
-	assert.Assert(t, datagrams("op", large) == nil)
+func TestOversizedRowsAreFetchedFromReader(t *testing.T) {
+	large := mirror.Passage{From: 3, To: 5, Newest: 5, Rows: []platform.Row{{Key: "config", Value: make([]byte, 3*maxUpdateBytes), Revision: 5}}}
+	assert.Assert(t, splitUpdate("op", large) == nil)
 	i := testInstance()
 	s := i.replicator
-	said := &peers.Message{From: "reader", Rows: &peers.Rows{Table: platform.OperatorTable, From: 3, To: 5, Fetch: true}}
-	assert.Assert(t, s.receive(said))
-	assert.Equal(t, len(s.fetches), 0, "it follows the feed itself")
-	s.listen(true)
-	assert.Assert(t, s.receive(said))
-	assert.DeepEqual(t, (<-s.fetches).from, "reader")
+	said := &peers.Message{From: "reader", TableUpdate: &peers.TableUpdate{Table: platform.OperatorTable, From: 3, To: 5, Fetch: true}}
+	assert.Assert(t, s.handleMessage(said))
+	assert.Equal(t, len(s.copyRequests), 0, "it follows the feed itself")
+	s.setPassive(true)
+	assert.Assert(t, s.handleMessage(said))
+	assert.DeepEqual(t, (<-s.copyRequests).from, "reader")
 }
 
 // A listener missed a datagram. It asks a reader for its copy, and calls the
 // store only if that brings nothing.
-func TestGapIsFilledByAReader(t *testing.T) {
+func TestGapIsFilledByReader(t *testing.T) {
 	i := testInstance()
 	s := i.replicator
-	s.listen(true)
-	s.receive(&peers.Message{From: "reader", Reader: &peers.Reader{Reached: map[string]uint64{platform.TargetTable: 7}}})
+	s.setPassive(true)
+	s.handleMessage(&peers.Message{From: "reader", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{platform.TargetTable: 7}}})
 	now := time.Now()
-	s.checkReached(now)
-	assert.Equal(t, len(s.fetches), 0, "its rows may be on their way")
-	s.checkReached(now.Add(gapFor))
-	assert.Equal(t, (<-s.fetches).from, "reader")
-	s.checkReached(now.Add(2 * gapFor))
-	assert.Equal(t, len(s.fetches), 0, "asked once")
-	_, waits := s.behind[platform.TargetTable]
+	s.checkGaps(now)
+	assert.Equal(t, len(s.copyRequests), 0, "its rows may be on their way")
+	s.checkGaps(now.Add(gapTimeout))
+	assert.Equal(t, (<-s.copyRequests).from, "reader")
+	s.checkGaps(now.Add(2 * gapTimeout))
+	assert.Equal(t, len(s.copyRequests), 0, "asked once")
+	_, waits := s.gaps[platform.TargetTable]
 	assert.Assert(t, waits, "the copy may be on its way")
-	s.checkReached(now.Add(gapFor + copyFor))
-	_, waits = s.behind[platform.TargetTable]
+	s.checkGaps(now.Add(gapTimeout + copyTimeout))
+	_, waits = s.gaps[platform.TargetTable]
 	assert.Assert(t, !waits, "the store is called")
 }
 
 // A reader sends each change to its whole zone: 52 new targets filled the link
 // of a small one, and what homes said was lost behind it.
-func TestStrongInstancesReadFirst(t *testing.T) {
+func TestInstancesWithMoreCoresReadFirst(t *testing.T) {
 	small, other, strong := peers.Instance{Name: "a", Cores: 0.16}, peers.Instance{Name: "b", Cores: 0.16}, peers.Instance{Name: "c", Cores: 0.8}
-	assert.Assert(t, goesBefore(strong, small) && goesBefore(strong, other))
-	assert.Assert(t, !goesBefore(small, strong))
-	assert.Assert(t, goesBefore(small, other) != goesBefore(other, small))
+	assert.Assert(t, ranksBefore(strong, small) && ranksBefore(strong, other))
+	assert.Assert(t, !ranksBefore(small, strong))
+	assert.Assert(t, ranksBefore(small, other) != ranksBefore(other, small))
 }
 
 // Guards against readers that rely on a coordinator whose writes are not answered
 // any more, though its signs of life go on for the rest of its lease.
-func TestCoordinatorInDoubtProvesNothing(t *testing.T) {
+func TestCoordinatorInDoubtConfirmsNothing(t *testing.T) {
 	i := testInstance()
 	s := i.replicator
-	i.receive(&peers.Message{From: "c", Beat: &peers.Beat{Term: 1, Lease: 7, LeaseMs: 2000, Members: 3}})
-	assert.Assert(t, s.certain(time.Now()))
-	i.receive(&peers.Message{From: "c", Beat: &peers.Beat{Term: 1, Lease: 7, LeaseMs: 2000, Members: 3, InDoubt: true}})
-	assert.Assert(t, !s.certain(time.Now()))
+	i.receive(&peers.Message{From: "c", Heartbeat: &peers.Heartbeat{Term: 1, LeaseRevision: 7, LeaseMs: 2000, Members: 3}})
+	assert.Assert(t, s.isFresh(time.Now()))
+	i.receive(&peers.Message{From: "c", Heartbeat: &peers.Heartbeat{Term: 1, LeaseRevision: 7, LeaseMs: 2000, Members: 3, InDoubt: true}})
+	assert.Assert(t, !s.isFresh(time.Now()))
 }
 
 // The store refuses this instance alone. It listens to its zone's readers,
 // though it is strong enough to be one.
-func TestRefusedInstanceListens(t *testing.T) {
+func TestInstanceRefusedByStoreIsPassive(t *testing.T) {
 	i := testInstance()
 	s := i.replicator
-	i.noteLead("c", 3)
-	assert.Assert(t, !s.current(), "nothing was read yet")
-	assert.Assert(t, !s.mayListen(time.Now()), "there is no reader")
-	s.receive(&peers.Message{From: "reader", Reader: &peers.Reader{Reached: map[string]uint64{}}})
-	assert.Assert(t, s.mayListen(time.Now()))
+	i.recordCoordinator("c", 3)
+	assert.Assert(t, !s.feedsHealthy(), "nothing was read yet")
+	assert.Assert(t, !s.shouldBePassive(time.Now()), "there is no reader")
+	s.handleMessage(&peers.Message{From: "reader", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}}})
+	assert.Assert(t, s.shouldBePassive(time.Now()))
 }
 
 // An instance that restarts while the store is away asks others for their
 // copies: one of its own zone if it knows any, since bytes further off are paid.
-func TestNearInstancesAreAskedFirst(t *testing.T) {
+func TestNearestInstanceIsQueriedFirst(t *testing.T) {
 	i := testInstance()
 	i.settings.Regions = map[string]string{"local": "local", "near": "local", "far": "abroad"}
 	c := &catchUp{i}
-	i.tunable.Load().Seeds = []string{"10.0.0.1:1"}
-	assert.Equal(t, c.askWhom(), "10.0.0.1:1")
+	i.liveSettings.Load().Seeds = []string{"10.0.0.1:1"}
+	assert.Equal(t, c.choosePeer(), "10.0.0.1:1")
 	known := map[string]peers.Instance{}
 	for _, step := range []struct{ name, zone, want string }{
 		{"f", "far", ""}, {"n", "near", "10.0.0.3:1"}, {"z", "local", "10.0.0.4:1"},
 	} {
 		known[step.name] = peers.Instance{Name: step.name, Zone: step.zone, Control: step.want, Datagram: "127.0.0.1:9"}
-		i.peers.Know(known)
+		i.peers.SetInstances(known)
 		if step.want != "" {
-			assert.Equal(t, c.askWhom(), step.want)
+			assert.Equal(t, c.choosePeer(), step.want)
 		}
 	}
 }
 
 // Guards against a copy that counts as behind for good, and is read each second: a
 // target was removed before it was read whole, so no row has that revision.
-func TestCopyReadAfterARemovalIsNotBehind(t *testing.T) {
+func TestCopyReadAfterRemovalIsNotBehind(t *testing.T) {
 	i := testInstance()
-	targets := i.replicator.tables[1]
+	targets := i.replicator.polledMirrors[1]
 	row := targetRow("a", "ready", "0s", 7)
 	assert.Assert(t, targets.Offer(mirror.State{Table: platform.TargetTable, Revision: 12, Rows: []platform.Row{row}}))
 	c := &catchUp{i}
-	i.state.noteRevisions("c", map[string]uint64{platform.TargetTable: 9})
+	i.state.recordRevisions("c", map[string]uint64{platform.TargetTable: 9})
 	assert.Assert(t, !c.isBehind(targets))
-	i.state.noteRevisions("c", map[string]uint64{platform.TargetTable: 13})
+	i.state.recordRevisions("c", map[string]uint64{platform.TargetTable: 13})
 	assert.Assert(t, c.isBehind(targets))
 }
--- a/gateway/instance/settings_test.go
+++ b/gateway/instance/settings_test.go
@@ -28,7 +28,7 @@
 	return s, err
 }
 
-func TestFlagsGoBeforeEnvironmentBeforeFile(t *testing.T) {
+func TestSettingsPrecedence(t *testing.T) {
 	s, err := load(t, []string{"--zone=flag"},
 		map[string]string{"BASILCROSS_ZONE": "env", "BASILCROSS_REGION": "env"},
 		"# comment\nBASILCROSS_ZONE=file\nBASILCROSS_REGION=file\nBASILCROSS_INSTANCE=file\nBASILCROSS_SEEDS=10.0.0.1:1,10.0.0.2:1\nBASILCROSS_REGIONS=a=x,b=y\nUNKNOWN=1\n")
@@ -40,7 +40,7 @@
 	assert.DeepEqual(t, s.Regions, map[string]string{"a": "x", "b": "y"})
 }
 
-func TestFaultsNameTheField(t *testing.T) {
+func TestErrorsNameTheField(t *testing.T) {
 	_, err := load(t, nil, nil, "BASILCROSS_LONGEST_HOLD=soon\n")
 	assert.ErrorContains(t, err, "longest-hold")
 	s, err := load(t, nil, nil, "BASILCROSS_STORE=nowhere\nBASILCROSS_RETRY_RATIO=7\nBASILCROSS_LOG_LEVEL=loud\nBASILCROSS_MEMORY_MB=-1\n")
--- a/gateway/instance/state.go
+++ b/gateway/instance/state.go
@@ -20,67 +20,67 @@
 
 // state is what an instance believes, decoded from its copies of the tables.
 type state struct {
-	log    *slog.Logger
-	zone   string
-	table  atomic.Pointer[routing.Table]
-	roster *roster.Roster
-	told   atomic.Pointer[told]
+	log            *slog.Logger
+	zone           string
+	routes         atomic.Pointer[routing.Table]
+	roster         *roster.Roster
+	revisionReport atomic.Pointer[revisionReport]
 
-	mu          sync.Mutex
-	assignments map[string]*assigned
-	instances   map[string]peers.Instance
-	parts       map[int]*peers.News
-	partsOf     uint64
+	mu                  sync.Mutex
+	assignments         map[string]*versionedAssignment
+	instances           map[string]peers.Instance
+	updateParts         map[int]*peers.AssignmentUpdate
+	updatePartsRevision uint64
 }
 
-// assigned is a service's assignment, and who waits for the next one.
-type assigned struct {
+// versionedAssignment is a service's assignment, and who waits for the next one.
+type versionedAssignment struct {
 	assignment *ownership.Assignment
 	revision   uint64
-	newer      chan struct{}
-	// moves are the latest changes of owners, the oldest first.
-	moves []move
+	superseded chan struct{}
+	// ownerChanges are the latest changes of owners, the oldest first.
+	ownerChanges []ownerChange
 }
 
-// move is a range of keys that got another owner.
-type move struct {
+// ownerChange is a range of keys that got another owner.
+type ownerChange struct {
 	first, last int
 	at          time.Time
 }
 
-// movesFor is how long changes of owners are kept: longer than any request may be
+// ownerChangeRetention is how long changes of owners are kept: longer than any request may be
 // sent once more.
-const movesFor = 15 * time.Second
+const ownerChangeRetention = 15 * time.Second
 
-// noteMoves returns the moves with those that lead to the next assignment.
-func (a *assigned) noteMoves(now time.Time, next *ownership.Assignment) []move {
+// ownerChangesTo returns the moves with those that lead to the next assignment.
+func (a *versionedAssignment) ownerChangesTo(now time.Time, next *ownership.Assignment) []ownerChange {
 	old := 0
-	for old < len(a.moves) && now.Sub(a.moves[old].at) > movesFor {
+	for old < len(a.ownerChanges) && now.Sub(a.ownerChanges[old].at) > ownerChangeRetention {
 		old++
 	}
 	// Whoever reads the former list does not see what is appended.
-	moves := a.moves[old:]
+	moves := a.ownerChanges[old:]
 	for _, p := range a.assignment.Moved(next) {
-		moves = append(moves, move{p.First, p.Last, now})
+		moves = append(moves, ownerChange{p.First, p.Last, now})
 	}
 	return moves
 }
 
-// movedSince tells whether a key got another owner after a time.
-func (s *state) movedSince(service string, key int, since time.Time) bool {
+// ownerChangedSince tells whether a key got another owner after a time.
+func (s *state) ownerChangedSince(service string, key int, since time.Time) bool {
 	s.mu.Lock()
 	a := s.assignments[service]
 	s.mu.Unlock()
 	if a == nil {
 		return false
 	}
-	return slices.ContainsFunc(a.moves, func(m move) bool {
+	return slices.ContainsFunc(a.ownerChanges, func(m ownerChange) bool {
 		return m.first <= key && key <= m.last && m.at.After(since)
 	})
 }
 
-// takeConfig puts a newer configuration in force. An older one never follows.
-func (s *state) takeConfig(c mirror.Change) {
+// applyConfig puts a newer configuration in force. An older one never follows.
+func (s *state) applyConfig(c mirror.Change) {
 	for _, r := range c.Rows {
 		if r.Key != platform.ConfigKey || r.Removed {
 			continue
@@ -90,17 +90,17 @@
 			event.RowUnusable.Log(s.log, "table", r.Table, "key", r.Key, "revision", r.Revision, "error", err)
 			continue
 		}
-		now := s.table.Load()
+		now := s.routes.Load()
 		if now != nil && now.Config.Version >= config.Version {
 			event.ConfigStale.Log(s.log, "offered", config.Version, "inForce", now.Config.Version)
 			continue
 		}
-		s.table.Store(routing.New(config))
+		s.routes.Store(routing.New(config))
 		event.ConfigInForce.Log(s.log, "version", config.Version, "revision", r.Revision, "routes", len(config.Routes))
 	}
 }
 
-func (s *state) takeTargets(c mirror.Change) {
+func (s *state) applyTargets(c mirror.Change) {
 	now := time.Now()
 	var came, left []*roster.Target
 	first := len(s.roster.Load().Targets) == 0
@@ -128,11 +128,11 @@
 		return
 	}
 	for _, t := range came {
-		event.TargetCame.Log(s.log, "target", t.ID, "born", t.Born, "service", t.Service, "zone", t.Zone, "address", t.Address,
-			"slots", t.Slots, "warmingMs", t.Warming.Milliseconds(), "revision", c.Revision)
+		event.TargetCame.Log(s.log, "target", t.ID, "born", t.Started, "service", t.Service, "zone", t.Zone, "address", t.Address,
+			"slots", t.Slots, "warmingMs", t.WarmupLeft.Milliseconds(), "revision", c.Revision)
 	}
 	for _, t := range left {
-		event.TargetLeft.Log(s.log, "target", t.ID, "born", t.Born, "service", t.Service, "draining", t.Draining, "revision", c.Revision)
+		event.TargetLeft.Log(s.log, "target", t.ID, "born", t.Started, "service", t.Service, "draining", t.Draining, "revision", c.Revision)
 	}
 }
 
@@ -145,10 +145,10 @@
 	return t
 }
 
-// minorOfTarget tells of a target's row that nobody has to act on: only how far
+// isMinorTargetChange tells of a target's row that nobody has to act on: only how far
 // it has warmed up, which every instance counts down by itself. All targets of
 // a fleet warm up together, each with a change at every report.
-func minorOfTarget(old, next platform.Row) bool {
+func isMinorTargetChange(old, next platform.Row) bool {
 	if old.Removed || next.Removed {
 		return false
 	}
@@ -160,11 +160,11 @@
 	if err != nil {
 		return false
 	}
-	return a.Life() == b.Life() && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone &&
+	return a.Incarnation() == b.Incarnation() && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone &&
 		a.Slots == b.Slots && a.Draining == b.Draining
 }
 
-func (s *state) takeAssignments(c mirror.Change) {
+func (s *state) applyAssignments(c mirror.Change) {
 	for _, r := range c.Rows {
 		if r.Removed || s.hasAssignment(r.Key, r.Revision) {
 			continue
@@ -174,7 +174,7 @@
 			event.RowUnusable.Log(s.log, "table", r.Table, "key", r.Key, "revision", r.Revision, "error", err)
 			continue
 		}
-		s.putAssignment(r.Key, a, r.Revision)
+		s.setAssignment(r.Key, a, r.Revision)
 	}
 }
 
@@ -186,22 +186,22 @@
 	return a != nil && a.revision >= revision
 }
 
-// putAssignment puts a service's assignment in force unless a newer one is.
-func (s *state) putAssignment(service string, a *ownership.Assignment, revision uint64) {
+// setAssignment puts a service's assignment in force unless a newer one is.
+func (s *state) setAssignment(service string, a *ownership.Assignment, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.assignments == nil {
-		s.assignments = map[string]*assigned{}
+		s.assignments = map[string]*versionedAssignment{}
 	}
 	old := s.assignments[service]
 	if old != nil && old.revision >= revision {
 		return
 	}
-	next := &assigned{assignment: a, revision: revision, newer: make(chan struct{})}
+	next := &versionedAssignment{assignment: a, revision: revision, superseded: make(chan struct{})}
 	s.assignments[service] = next
 	if old != nil {
-		next.moves = old.noteMoves(time.Now(), a)
-		close(old.newer)
+		next.ownerChanges = old.ownerChangesTo(time.Now(), a)
+		close(old.superseded)
 	}
 	event.AssignmentLoaded.Log(s.log, "service", service, "term", a.Term, "revision", revision, "pieces", len(a.Pieces))
 }
@@ -218,26 +218,26 @@
 	return platform.Row{Table: coordinator.AssignmentTable, Key: service, Value: text, Revision: a.revision}
 }
 
-// owners returns a service's assignment and a channel that is closed when
+// currentAssignment returns a service's assignment and a channel that is closed when
 // there is a newer one; both are nil while none is known.
-func (s *state) owners(service string) (*ownership.Assignment, <-chan struct{}) {
+func (s *state) currentAssignment(service string) (*ownership.Assignment, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.assignments[service]
 	if a == nil {
 		return nil, nil
 	}
-	return a.assignment, a.newer
+	return a.assignment, a.superseded
 }
 
-// changed returns the assignment after a change, or nil if that is a change of
+// withUpdate returns the assignment after a change, or nil if that is a change of
 // another one than is known here. Known tells that it was taken in already.
-func (s *state) changed(n *peers.News) (next *ownership.Assignment, known bool) {
+func (s *state) withUpdate(n *peers.AssignmentUpdate) (next *ownership.Assignment, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.assignments[n.Service]
 	if a != nil && a.revision < n.Revision && n.Parts > 1 {
-		if n = s.gather(n); n == nil {
+		if n = s.collectParts(n); n == nil {
 			return nil, true
 		}
 	}
@@ -253,25 +253,25 @@
 	return a.assignment.With(n.Term, n.Pieces), false
 }
 
-// gather keeps the parts of a change until all are there, and returns the whole.
-func (s *state) gather(n *peers.News) *peers.News {
-	if s.parts == nil || s.partsOf != n.Revision {
-		s.parts, s.partsOf = map[int]*peers.News{}, n.Revision
+// collectParts keeps the parts of a change until all are there, and returns the whole.
+func (s *state) collectParts(n *peers.AssignmentUpdate) *peers.AssignmentUpdate {
+	if s.updateParts == nil || s.updatePartsRevision != n.Revision {
+		s.updateParts, s.updatePartsRevision = map[int]*peers.AssignmentUpdate{}, n.Revision
 	}
-	s.parts[n.Part] = n
-	if len(s.parts) < n.Parts {
+	s.updateParts[n.Part] = n
+	if len(s.updateParts) < n.Parts {
 		return nil
 	}
 	whole := *n
 	whole.Pieces = nil
-	for _, p := range s.parts {
+	for _, p := range s.updateParts {
 		whole.Pieces = append(whole.Pieces, p.Pieces...)
 	}
 	return &whole
 }
 
-// takeInstances returns all instances known.
-func (s *state) takeInstances(c mirror.Change) map[string]peers.Instance {
+// applyInstances returns all instances known.
+func (s *state) applyInstances(c mirror.Change) map[string]peers.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := map[string]peers.Instance{}
--- a/gateway/instance/state_test.go
+++ b/gateway/instance/state_test.go
@@ -34,10 +34,10 @@
 
 // Guards against an instance that gives others an assignment without the changes
 // that it was told of since it read the row.
-func TestChangesAreGivenToOthers(t *testing.T) {
+func TestStateIncludesAppliedUpdates(t *testing.T) {
 	i := testInstance()
 	injectAssignment(t, i, evenAssignment(4), 10)
-	i.takeNews(&peers.News{Service: "s", Term: 2, Base: 10, Revision: 12, Parts: 1, Pieces: []ownership.Piece{{First: 0, Last: 5, Owner: "x"}}})
+	i.applyAssignmentUpdate(&peers.AssignmentUpdate{Service: "s", Term: 2, Base: 10, Revision: 12, Parts: 1, Pieces: []ownership.Piece{{First: 0, Last: 5, Owner: "x"}}})
 	answer, err := i.State(t.Context(), &fleet.StateRequest{Tables: []string{coordinator.AssignmentTable}})
 	assert.NilError(t, err)
 	row := answer.Tables[0].Rows[0]
@@ -51,26 +51,26 @@
 
 // Guards against a key that went to another target and came back, which nobody
 // remembers.
-func TestMovesAreRemembered(t *testing.T) {
+func TestOwnerChangesAreRecorded(t *testing.T) {
 	i := testInstance()
 	injectAssignment(t, i, evenAssignment(4), 10)
 	began := time.Now()
 	owner := i.state.assignments["s"].assignment.Find(7).Owner
 	for n, next := range []string{"x", owner} {
-		i.takeNews(&peers.News{
+		i.applyAssignmentUpdate(&peers.AssignmentUpdate{
 			Service: "s", Term: 2, Base: uint64(10 + n), Revision: uint64(11 + n), Parts: 1,
 			Pieces: []ownership.Piece{{First: 5, Last: 9, Owner: next}},
 		})
 	}
 	assert.Equal(t, i.state.assignments["s"].assignment.Find(7).Owner, owner)
-	assert.Assert(t, i.state.movedSince("s", 7, began))
-	assert.Assert(t, !i.state.movedSince("s", 4, began))
-	assert.Assert(t, !i.state.movedSince("s", 7, time.Now()))
-	assert.Assert(t, !i.state.movedSince("other", 7, began))
+	assert.Assert(t, i.state.ownerChangedSince("s", 7, began))
+	assert.Assert(t, !i.state.ownerChangedSince("s", 4, began))
+	assert.Assert(t, !i.state.ownerChangedSince("s", 7, time.Now()))
+	assert.Assert(t, !i.state.ownerChangedSince("other", 7, began))
 }
 
 // An instance is told of a change of 36 pieces.
-func BenchmarkTakeNews(b *testing.B) {
+func BenchmarkApplyAssignmentUpdate(b *testing.B) {
 	for _, n := range []int{100, 300, 1000, 3000} {
 		b.Run(fmt.Sprintf("pieces=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
@@ -79,7 +79,7 @@
 			injectAssignment(b, i, a, 1)
 			revision := uint64(1)
 			for b.Loop() {
-				i.takeNews(&peers.News{Service: "s", Term: 1, Base: revision, Revision: revision + 1, Parts: 1, Pieces: a.Pieces[:36]})
+				i.applyAssignmentUpdate(&peers.AssignmentUpdate{Service: "s", Term: 1, Base: revision, Revision: revision + 1, Parts: 1, Pieces: a.Pieces[:36]})
 				revision++
 			}
 		})
