--- a/basilcross/examples/takeover/main.go
+++ b/basilcross/examples/takeover/main.go
@@ -63,9 +63,9 @@
 		t, _ := f.current.Target(id)
 		status := f.guards[id].Apply(time.Now(), grant.Order{})
 		order := grant.Order{
-			Incarnation: status.Incarnation, Stamp: status.Stamp, Lease: leaseLength, Version: t.Grants, Full: true,
+			Incarnation: status.Incarnation, Stamp: status.Stamp, Lease: leaseLength, Version: t.GrantsVersion, Full: true,
 		}
-		for _, s := range f.current.Owned(id) {
+		for _, s := range f.current.OwnedBy(id) {
 			order.Grants = append(order.Grants, grant.Grant{First: s.First, Last: s.Last, Epoch: s.Epoch})
 		}
 		f.status[id] = f.guards[id].Apply(time.Now(), order)
--- a/basilcross/plan/join.go
+++ b/basilcross/plan/join.go
@@ -50,7 +50,7 @@
 	a, b := p.next.Shards[i], p.next.Shards[i+1]
 	still := a.MovingTo == "" && b.MovingTo == ""
 	sameOwner := a.Owner != "" && a.Owner == b.Owner
-	untouched := a.Since < p.next.Version && b.Since < p.next.Version
+	untouched := a.OwnerSince < p.next.Version && b.OwnerSince < p.next.Version
 	return still && sameOwner && untouched && p.in.Loads[a.First]+p.in.Loads[b.First] <= limit
 }
 
@@ -58,7 +58,7 @@
 	a, b := &p.next.Shards[i], p.next.Shards[i+1]
 	if a.Epoch != b.Epoch {
 		a.Epoch = max(a.Epoch, b.Epoch) + 1
-		a.Since = p.next.Version
+		a.OwnerSince = p.next.Version
 	}
 	a.Last = b.Last
 	p.merges = append(p.merges, Merge{First: a.First, Gone: b.First})
--- a/basilcross/plan/plan.go
+++ b/basilcross/plan/plan.go
@@ -129,8 +129,8 @@
 	old, now := grantSums(before), grantSums(p.next)
 	for i := range p.next.Targets {
 		t := &p.next.Targets[i]
-		if old[t.ID] != now[t.ID] || t.Grants == 0 {
-			t.Grants = p.next.Version
+		if old[t.ID] != now[t.ID] || t.GrantsVersion == 0 {
+			t.GrantsVersion = p.next.Version
 		}
 	}
 }
@@ -197,7 +197,7 @@
 		t := l.Target
 		t.State = want
 		t.Generation = 1
-		t.Since = p.next.Version
+		t.StateSince = p.next.Version
 		p.next.SetTarget(t)
 		p.index[t.ID] = len(p.next.Targets) - 1
 		p.because("target %s joined", t.ID)
@@ -230,7 +230,7 @@
 
 func (p *planner) setState(t *assignment.Target, s assignment.State, why string) {
 	t.State = s
-	t.Since = p.next.Version
+	t.StateSince = p.next.Version
 	p.because("target %s is %s: %s", t.ID, s, why)
 }
 
@@ -287,7 +287,7 @@
 
 // free tells whether a target's shards may go to another at once.
 func (p *planner) free(t *assignment.Target) bool {
-	return t == nil || t.State == assignment.Lost && (t.Fenced || p.in.Quiet >= t.Since)
+	return t == nil || t.State == assignment.Lost && (t.Fenced || p.in.Quiet >= t.StateSince)
 }
 
 // finishMoves gives shards whose revocation is complete to their next owner.
@@ -305,7 +305,7 @@
 		}
 		drained := done[zone.Drain{First: s.First, Epoch: s.Epoch}]
 		if owner := p.target(s.Owner); owner != nil && !owner.Fenced {
-			drained = p.in.Quiet >= s.Since
+			drained = p.in.Quiet >= s.OwnerSince
 		}
 		if drained {
 			p.give(s, s.MovingTo)
@@ -321,7 +321,7 @@
 	s.Owner = to
 	s.MovingTo = ""
 	s.Epoch++
-	s.Since = p.next.Version
+	s.OwnerSince = p.next.Version
 }
 
 // placeOrphans gives every free shard to the least loaded target.
@@ -378,7 +378,7 @@
 
 func (p *planner) move(s *shard.Shard, to *assignment.Target) {
 	s.MovingTo = to.ID
-	s.Since = p.next.Version
+	s.OwnerSince = p.next.Version
 	p.load[p.index[to.ID]] += p.weight(*s)
 	if from, ok := p.index[s.Owner]; ok {
 		p.load[from] -= p.weight(*s)
--- a/basilcross/plan/plan_test.go
+++ b/basilcross/plan/plan_test.go
@@ -69,7 +69,7 @@
 	}
 	lost, _ := d.Next.Target("a1")
 	assert.Equal(t, lost.State, assignment.Lost)
-	assert.Equal(t, lost.Grants, d.Next.Version)
+	assert.Equal(t, lost.GrantsVersion, d.Next.Version)
 	assert.Assert(t, plan.Next(d.Next, in).Next == nil, "the old report must not count again")
 	in.Released = nil
 	in.Returned = []zone.Release{{Target: "a1", Generation: 2}}
@@ -110,7 +110,7 @@
 	in.Listed[0].Leaving = true
 	moving := next(t, a, in)
 	assert.Equal(t, owners(moving)["a1"], 4)
-	for _, s := range moving.Owned("a1") {
+	for _, s := range moving.OwnedBy("a1") {
 		assert.Assert(t, s.MovingTo != "")
 		in.Drained = append(in.Drained, zone.Drain{Service: "menus", First: s.First, Epoch: s.Epoch, Version: moving.Version})
 	}
@@ -123,8 +123,8 @@
 	in := four()
 	in.Listed[0].Leaving = true
 	moving := next(t, begin(t), in)
-	to := moving.Owned("a1")[0].MovingTo
-	for _, s := range moving.Owned("a1") {
+	to := moving.OwnedBy("a1")[0].MovingTo
+	for _, s := range moving.OwnedBy("a1") {
 		in.Drained = append(in.Drained, zone.Drain{Service: "menus", First: s.First, Epoch: s.Epoch, Version: moving.Version})
 	}
 	in.Released = []zone.Release{{Target: to, Generation: 1}}
@@ -221,6 +221,6 @@
 	after := next(t, before, in)
 	for _, target := range after.Targets {
 		was, _ := before.Target(target.ID)
-		assert.Equal(t, target.Grants != was.Grants, target.ID == "a1", "%s", target.ID)
+		assert.Equal(t, target.GrantsVersion != was.GrantsVersion, target.ID == "a1", "%s", target.ID)
 	}
 }
--- a/basilcross/platform/platform.go
+++ b/basilcross/platform/platform.go
@@ -89,7 +89,7 @@
 	content, err := c.send(ctx, http.MethodGet, ObjectPath+url.PathEscape(name), nil)
 	var status *StatusError
 	if errors.As(err, &status) && status.Status == http.StatusNotFound {
-		return nil, &object.MissingError{Name: name}
+		return nil, &object.NotFoundError{Name: name}
 	}
 	return content, err
 }
--- a/gateway/admin/admin.go
+++ b/gateway/admin/admin.go
@@ -157,7 +157,7 @@
 		return
 	}
 	doc, err := h.docs.Version(r.Context(), version)
-	var missing *configlog.MissingError
+	var missing *configlog.NotFoundError
 	switch {
 	case errors.As(err, &missing):
 		h.fail(w, http.StatusNotFound, err)
--- a/gateway/entry/entry_test.go
+++ b/gateway/entry/entry_test.go
@@ -59,7 +59,7 @@
 	}
 	assert.NilError(b.t, b.view.SetConfig(&config.Document{
 		Version:  1,
-		Services: []config.Service{{Name: "menus", Divided: true}},
+		Services: []config.Service{{Name: "menus", Sharded: true}},
 		Kinds:    []config.Kind{kind("lists", true), kind("entry", false)},
 	}))
 }
--- a/gateway/leader/absorb.go
+++ b/gateway/leader/absorb.go
@@ -107,16 +107,16 @@
 	if row.Key == config.HeadKey {
 		return d.absorbConfig(ctx, row)
 	}
-	service, ok := deltalog.ServiceOf(row.Key)
+	service, ok := deltalog.ServiceFromHeadKey(row.Key)
 	if !ok {
 		return nil
 	}
 	l, ok := d.logs[service]
 	if !ok {
-		l = &deltalog.Log{Service: service, Table: d.Table, Objects: d.Objects, Damaged: d.damaged}
+		l = &deltalog.Log{Service: service, Table: d.Table, Objects: d.Objects, OnDamagedSnapshot: d.damaged}
 		d.logs[service] = l
 	}
-	if row.Version <= l.HeadVersion() {
+	if row.Version <= l.HeadRowVersion() {
 		return nil
 	}
 	callCtx, cancel := context.WithTimeout(ctx, tableTimeout)
@@ -185,7 +185,7 @@
 	oldest := s.Assignment.Version
 	for _, sh := range s.Assignment.Shards {
 		if sh.MovingTo != "" {
-			oldest = min(oldest, sh.Since)
+			oldest = min(oldest, sh.OwnerSince)
 		}
 	}
 	return oldest
--- a/gateway/planner/decide.go
+++ b/gateway/planner/decide.go
@@ -107,7 +107,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	in := plan.Input{
-		Divided:  service.Divided,
+		Divided:  service.Sharded,
 		Shards:   service.InitialShards(),
 		Complete: true,
 		Draining: map[string]bool{},
@@ -211,7 +211,7 @@
 
 func (b *batch) add(ctx context.Context, decision plan.Decision, evicted map[string]bool) error {
 	service := decision.Next.Service
-	tx, err := b.duty.log(service).Append(ctx, decision.Next, b.tx.Token)
+	tx, err := b.duty.log(service).PrepareAppend(ctx, decision.Next, b.tx.Token)
 	if err != nil {
 		return err
 	}
@@ -275,8 +275,8 @@
 	d := b.duty
 	callCtx, cancel := context.WithTimeout(ctx, 2*tableTimeout)
 	defer cancel()
-	if err := d.chain.Add(&b.tx, audit.Record{
-		At: time.Now(), Who: d.Instance, What: "assignment", Why: strings.Join(b.causes, "; "),
+	if err := d.chain.PrepareAppend(&b.tx, audit.Record{
+		At: time.Now(), Actor: d.Instance, Subject: "assignment", Reason: strings.Join(b.causes, "; "),
 	}); err != nil {
 		d.Log.Error("audit", "error", err)
 		return
@@ -293,10 +293,10 @@
 		d.absorb(ctx, res)
 		return
 	}
-	d.chain.Accept(res.Revision)
+	d.chain.ConfirmAppend(res.Revision)
 	b.followLoads()
 	for _, service := range b.services {
-		delta := d.log(service).Accept(res.Revision)
+		delta := d.log(service).ConfirmAppend(res.Revision)
 		if err := d.View.ApplyDelta(delta); err != nil {
 			d.Log.Debug("own delta", "error", err)
 		}
--- a/gateway/planner/planner.go
+++ b/gateway/planner/planner.go
@@ -324,7 +324,7 @@
 			d.absorbSeat(now, name, row)
 			continue
 		}
-		if service, ok := deltalog.ServiceOf(row.Key); ok {
+		if service, ok := deltalog.ServiceFromHeadKey(row.Key); ok {
 			d.absorbAssignment(ctx, service, row)
 		}
 	}
@@ -349,7 +349,7 @@
 	l, ok := d.logs[service]
 	if !ok {
 		l = &deltalog.Log{Service: service, Table: d.Table, Objects: d.Objects}
-		l.Damaged = func(name string, err error) {
+		l.OnDamagedSnapshot = func(name string, err error) {
 			event.SnapshotDamaged.Log(d.Log, "object", name, "error", err)
 		}
 		d.logs[service] = l
--- a/gateway/renewer/renewer.go
+++ b/gateway/renewer/renewer.go
@@ -247,7 +247,7 @@
 	order := grant.Order{
 		Incarnation: l.status.Incarnation,
 		Stamp:       l.status.Stamp,
-		Version:     target.Grants,
+		Version:     target.GrantsVersion,
 	}
 	order.Lease = d.length(target, l, now)
 	if order.Lease > 0 && l.status.Version != order.Version {
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -136,7 +136,7 @@
 		s.kinds[scope] = &Kind{Idempotent: k.Idempotent, Rules: s.Config.Resolve(query, now)}
 	}
 	for _, e := range s.Config.Exceptions {
-		s.keyed = s.keyed || e.Scope.Key != "" && e.Live(now)
+		s.keyed = s.keyed || e.Scope.Key != "" && e.ActiveAt(now)
 	}
 }
 
--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -159,7 +159,7 @@
 func (d Deployment) Document() *config.Document {
 	doc := &config.Document{Author: "demo", Reason: "first configuration of " + d.Name}
 	for _, s := range d.Services {
-		doc.Services = append(doc.Services, config.Service{Name: s.Name, Divided: s.Divided, Shards: s.Shards})
+		doc.Services = append(doc.Services, config.Service{Name: s.Name, Sharded: s.Divided, Shards: s.Shards})
 	}
 	for _, k := range d.Kinds {
 		doc.Kinds = append(doc.Kinds, config.Kind{
