--- a/basilcross/event/event_test.go
+++ b/basilcross/event/event_test.go
@@ -8,6 +8,7 @@
 	"gotest.tools/v3/golden"
 )
 
+// Two events with one number would be the same to an operator's alert.
 func TestNumbersAreUnique(t *testing.T) {
 	seen := map[int]string{}
 	for _, e := range event.Catalogue() {
@@ -16,7 +17,7 @@
 	}
 }
 
-// docs/EVENTS.md is the golden file; run with -update to write it.
+// docs/EVENTS.md is the golden file; -update writes it.
 func TestPageMatchesCatalogue(t *testing.T) {
 	golden.Assert(t, event.Markdown(), "../../../docs/EVENTS.md")
 }
