--- a/basilcross/assignment/assignment.go
+++ b/basilcross/assignment/assignment.go
@@ -1,4 +1,4 @@
-// Package assignment is the versioned map from a service's shards to targets.
+// Package assignment has the versioned assignment of a service's shards to targets.
 package assignment
 
 import (
@@ -9,16 +9,16 @@
 	"basilcross.example/basilcross/shard"
 )
 
-// State says what a target may be given.
+// State determines what a target may be assigned.
 type State string
 
 // The states of a target.
 const (
-	// Active targets own shards and get requests.
+	// Active targets own shards and receive requests.
 	Active State = "active"
-	// Draining targets finish what they have and get nothing new.
+	// Draining targets complete their work and are assigned nothing new.
 	Draining State = "draining"
-	// Lost targets own nothing until they answer again.
+	// Lost targets own no shards until they answer again.
 	Lost State = "lost"
 )
 
@@ -29,24 +29,24 @@
 	Zone    string `json:"zone"`
 	Region  string `json:"region"`
 	Address string `json:"address"`
-	// Fenced targets check grants themselves and refuse what is not theirs.
+	// Fenced targets check their grants and refuse requests for other keys.
 	Fenced bool `json:"fenced"`
-	// Slots is how many requests the target runs at a time.
+	// Slots is the number of requests that the target runs at the same time.
 	Slots int   `json:"slots"`
 	State State `json:"state"`
-	// Generation grows whenever the planner settles whether the target may
-	// hold its grants; zone leaders renew it for this generation only.
+	// Generation grows whenever the planner decides whether the target may
+	// hold its grants; zone leaders renew grants of this generation only.
 	Generation uint64 `json:"generation"`
 	// StateSince is the assignment version of the last change of State.
 	StateSince uint64 `json:"since"`
-	// GrantsVersion is the version that last changed what the target owns. Renewers
-	// send it instead of the assignment's own, so that a change elsewhere
-	// makes nobody send the same grants again.
+	// GrantsVersion is the assignment version that last changed what the target
+	// owns. Renewers send it instead of the assignment's version, so that a
+	// change elsewhere does not cause the same grants to be sent again.
 	GrantsVersion uint64 `json:"grants,omitempty"`
 }
 
-// Assignment is one version of a service's map. An undivided service has
-// targets and no shards.
+// Assignment is one version of a service's assignment. A service that is not
+// sharded has targets and no shards.
 type Assignment struct {
 	Service string        `json:"service"`
 	Version uint64        `json:"version"`
@@ -55,7 +55,7 @@
 	Cause   string        `json:"cause,omitempty"`
 }
 
-// Target returns the target of this identifier.
+// Target returns the target with this ID.
 func (a *Assignment) Target(id string) (t Target, ok bool) {
 	i := a.targetIndex(id)
 	if i < 0 {
@@ -68,7 +68,7 @@
 	return slices.IndexFunc(a.Targets, func(t Target) bool { return t.ID == id })
 }
 
-// SetTarget adds the target, or replaces the one with its identifier.
+// SetTarget adds the target, or replaces the one with the same ID.
 func (a *Assignment) SetTarget(t Target) {
 	if i := a.targetIndex(t.ID); i >= 0 {
 		a.Targets[i] = t
@@ -85,7 +85,7 @@
 	return &c
 }
 
-// OwnedBy returns the shards of a target, those on the move included.
+// OwnedBy returns the shards of a target, including those that are moving away.
 func (a *Assignment) OwnedBy(target string) []shard.Shard {
 	var owned []shard.Shard
 	for _, s := range a.Shards {
@@ -96,7 +96,7 @@
 	return owned
 }
 
-// Delta turns version From into version To. From zero replaces all.
+// Delta is the change from version From to version To; from 0, it replaces all.
 type Delta struct {
 	Service        string        `json:"service"`
 	From           uint64        `json:"from"`
@@ -104,18 +104,18 @@
 	Targets        []Target      `json:"targets,omitempty"`
 	RemovedTargets []string      `json:"removedTargets,omitempty"`
 	Shards         []shard.Shard `json:"shards,omitempty"`
-	// RemovedShards are the first hashes of shards that split, merged or changed.
+	// RemovedShards holds the values of Shard.First that version To no longer has.
 	RemovedShards []uint64 `json:"removedShards,omitempty"`
 	Cause         string   `json:"cause,omitempty"`
 }
 
-// VersionError says that a delta does not continue the version at hand.
+// VersionError reports a delta that does not start at the current version.
 type VersionError struct {
 	Current, From uint64
 }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("delta starts at version %d, have %d", e.From, e.Current)
+	return fmt.Sprintf("delta starts at version %d, but the current version is %d", e.From, e.Current)
 }
 
 // Diff returns the delta between two versions.
@@ -158,7 +158,7 @@
 	slices.Sort(d.RemovedShards)
 }
 
-// Apply returns the version that the delta leads to.
+// Apply returns the assignment after the delta, or a *VersionError.
 func (a *Assignment) Apply(d Delta) (*Assignment, error) {
 	if d.From != 0 && d.From != a.Version {
 		return nil, &VersionError{Current: a.Version, From: d.From}
@@ -179,21 +179,22 @@
 	return next, nil
 }
 
+// unchangedShards returns the shards that the delta neither sets nor removes.
 func unchangedShards(shards []shard.Shard, d Delta) []shard.Shard {
-	gone := make(map[uint64]bool, len(d.Shards)+len(d.RemovedShards))
+	replaced := make(map[uint64]bool, len(d.Shards)+len(d.RemovedShards))
 	for _, s := range d.Shards {
-		gone[s.First] = true
+		replaced[s.First] = true
 	}
 	for _, first := range d.RemovedShards {
-		gone[first] = true
+		replaced[first] = true
 	}
-	kept := make([]shard.Shard, 0, len(shards))
+	unchanged := make([]shard.Shard, 0, len(shards))
 	for _, s := range shards {
-		if !gone[s.First] {
-			kept = append(kept, s)
+		if !replaced[s.First] {
+			unchanged = append(unchanged, s)
 		}
 	}
-	return kept
+	return unchanged
 }
 
 func (a *Assignment) sort() {
--- a/basilcross/assignment/assignment_test.go
+++ b/basilcross/assignment/assignment_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func draw(t *rapid.T, version uint64) *assignment.Assignment {
+func drawAssignment(t *rapid.T, version uint64) *assignment.Assignment {
 	a := &assignment.Assignment{Service: "menus", Version: version}
 	for i := range rapid.IntRange(0, 4).Draw(t, "targets") {
 		a.SetTarget(assignment.Target{ID: fmt.Sprint("t", i), Slots: rapid.IntRange(1, 3).Draw(t, "slots")})
@@ -22,11 +22,10 @@
 	return a
 }
 
-// Whatever two versions look like, the difference between them leads from one
-// to the other.
-func TestDiffAndApplyAreInverse(t *testing.T) {
+// The delta between any two versions, applied to the first, gives the second.
+func TestApplyOfDiffGivesSecondVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		from, to := draw(t, 1), draw(t, 2)
+		from, to := drawAssignment(t, 1), drawAssignment(t, 2)
 		got, err := from.Apply(assignment.Diff(from, to))
 		assert.NilError(t, err)
 		assert.DeepEqual(t, got.Shards, to.Shards)
--- a/basilcross/deltalog/deltalog.go
+++ b/basilcross/deltalog/deltalog.go
@@ -1,5 +1,5 @@
-// Package deltalog keeps a service's assignments in the platform: a small head
-// row, one row per delta, and from time to time a snapshot in the object store.
+// Package deltalog stores a service's assignments in the platform: a small head
+// row, one row per delta, and periodic snapshots in the object store.
 package deltalog
 
 import (
@@ -19,20 +19,20 @@
 const (
 	headPrefix  = "head/assign/"
 	deltaPrefix = "delta/"
-	// SnapshotEvery is how many versions lie between two snapshots.
+	// SnapshotEvery is the number of versions between two snapshots.
 	SnapshotEvery = 64
-	// keptSnapshots is how many snapshots' worth of deltas stay, so that a damaged or
-	// missing snapshot can be replaced by the one before it.
+	// keptSnapshots is the number of snapshots listed in the head. The deltas since
+	// the oldest stay, so that it can stand in for a damaged or missing newer one.
 	keptSnapshots = 2
 )
 
-// Head is the row that says which version is in force.
+// Head is the content of the head row, which has the version in force.
 type Head struct {
 	Service string `json:"service"`
 	Version uint64 `json:"version"`
-	// Snapshots are versions with an object, the newest last.
+	// Snapshots are the versions that have a snapshot, the newest last.
 	Snapshots []uint64 `json:"snapshots,omitempty"`
-	// OldestDelta is the version of the oldest delta row.
+	// OldestDelta is the version of the oldest delta row that is kept.
 	OldestDelta uint64 `json:"oldest"`
 }
 
@@ -42,7 +42,7 @@
 	Service string
 	Table   table.Client
 	Objects object.Client
-	// OnDamagedSnapshot, if set, is told of snapshots that could not be used.
+	// OnDamagedSnapshot, if set, is called for each snapshot that cannot be used.
 	OnDamagedSnapshot func(name string, err error)
 
 	head           Head
@@ -51,14 +51,14 @@
 	pending        pendingAppend
 }
 
-// pendingAppend is what the last Append would put in force.
+// pendingAppend is the state after the last PrepareAppend, once it is committed.
 type pendingAppend struct {
 	head  Head
 	next  *assignment.Assignment
 	delta assignment.Delta
 }
 
-// HeadKey is the key of a service's head row.
+// HeadKey returns the key of a service's head row.
 func HeadKey(service string) string { return headPrefix + service }
 
 // ServiceFromHeadKey returns the service of a head row's key; ok is false for others.
@@ -77,7 +77,7 @@
 	return fmt.Sprintf("assign-%s-%020d", l.Service, version)
 }
 
-// Current returns the newest version read; never nil.
+// Current returns the newest version read or confirmed; never nil.
 func (l *Log) Current() *assignment.Assignment {
 	if l.current == nil {
 		return &assignment.Assignment{Service: l.Service}
@@ -88,8 +88,9 @@
 // HeadRowVersion returns the version of the head row, for conditions.
 func (l *Log) HeadRowVersion() uint64 { return l.headRowVersion }
 
-// CatchUp reads what is new according to the head row and returns the deltas
-// that lead there; one that replaces all if the beginning is not kept.
+// CatchUp reads up to the version in the head row and returns the deltas that
+// lead there. If the first of them are no longer kept, it returns a single delta
+// that replaces the whole assignment.
 func (l *Log) CatchUp(ctx context.Context, row table.Row) ([]assignment.Delta, error) {
 	var head Head
 	if err := table.Decode(row, &head); err != nil {
@@ -100,7 +101,7 @@
 	}
 	next, deltas, err := l.readTo(ctx, head)
 	if err != nil {
-		return nil, fmt.Errorf("catch up with %s version %d: %w", l.Service, head.Version, err)
+		return nil, fmt.Errorf("catch up with service %s version %d: %w", l.Service, head.Version, err)
 	}
 	l.head, l.headRowVersion, l.current = head, row.Version, next
 	return deltas, nil
@@ -123,14 +124,14 @@
 	return next, []assignment.Delta{assignment.Diff(&assignment.Assignment{}, next)}, nil
 }
 
-// restoreFromSnapshot tries the snapshots from the newest to the oldest.
+// restoreFromSnapshot applies the deltas to the newest snapshot that is usable.
 func (l *Log) restoreFromSnapshot(ctx context.Context, head Head, deltas []assignment.Delta) (*assignment.Assignment, error) {
-	faults := []error{fmt.Errorf("no usable snapshot")}
+	errs := []error{fmt.Errorf("no usable snapshot")}
 	for i := len(head.Snapshots) - 1; i >= 0; i-- {
 		name := l.snapshotName(head.Snapshots[i])
 		base, err := l.loadSnapshot(ctx, name, head.Snapshots[i])
 		if err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 			if l.OnDamagedSnapshot != nil {
 				l.OnDamagedSnapshot(name, err)
 			}
@@ -142,7 +143,7 @@
 		}
 		return applyAll(base, rest)
 	}
-	return nil, errors.Join(faults...)
+	return nil, errors.Join(errs...)
 }
 
 func (l *Log) loadSnapshot(ctx context.Context, name string, version uint64) (*assignment.Assignment, error) {
@@ -152,10 +153,10 @@
 	}
 	a, err := decodeSnapshot(content)
 	if err != nil {
-		return nil, fmt.Errorf("object %s: %w", name, err)
+		return nil, fmt.Errorf("decode snapshot %q: %w", name, err)
 	}
 	if a.Version != version || a.Service != l.Service {
-		return nil, fmt.Errorf("object %s: holds %s version %d", name, a.Service, a.Version)
+		return nil, fmt.Errorf("snapshot %q: holds service %q version %d, want service %q version %d", name, a.Service, a.Version, l.Service, version)
 	}
 	return a, nil
 }
@@ -171,7 +172,7 @@
 	return a, nil
 }
 
-// readDeltas reads the rows of the versions after from, up to to.
+// readDeltas reads the delta rows of the versions after from, up to and including to.
 func (l *Log) readDeltas(ctx context.Context, from, to uint64) ([]assignment.Delta, error) {
 	var tx table.Transaction
 	for v := from + 1; v <= to; v++ {
@@ -182,7 +183,7 @@
 		return nil, err
 	}
 	if len(res.Rows) != len(tx.ReadKeys) {
-		return nil, fmt.Errorf("%d of %d delta rows are missing", len(tx.ReadKeys)-len(res.Rows), len(tx.ReadKeys))
+		return nil, fmt.Errorf("%d of %d delta rows are missing after version %d", len(tx.ReadKeys)-len(res.Rows), len(tx.ReadKeys), from)
 	}
 	deltas := make([]assignment.Delta, len(res.Rows))
 	for i, row := range res.Rows {
@@ -193,9 +194,9 @@
 	return deltas, nil
 }
 
-// PrepareAppend returns the write that makes next the version in force, on condition
-// that nobody else wrote meanwhile. A snapshot that is due is stored first, of
-// the version before, since an object must not speak of what may not come.
+// PrepareAppend returns the transaction that makes next the version in force; it
+// fails if the head row was written meanwhile. If a snapshot is due, it is stored
+// first, of the current version, since next may never be committed.
 func (l *Log) PrepareAppend(ctx context.Context, next *assignment.Assignment, token string) (table.Transaction, error) {
 	head := l.head
 	head.Service = l.Service
@@ -221,15 +222,15 @@
 	}, nil
 }
 
-// ConfirmAppend takes in that the write of the last Append took effect at a revision,
-// and returns its delta. It saves reading back what was just written.
+// ConfirmAppend records that the last PrepareAppend was committed at a revision,
+// and returns its delta, so that it need not be read back.
 func (l *Log) ConfirmAppend(revision uint64) assignment.Delta {
 	l.head, l.headRowVersion, l.current = l.pending.head, revision, l.pending.next
 	return l.pending.delta
 }
 
-// compact stores a snapshot if one is due, and removes deltas that two
-// snapshots have made needless. A failure only puts compaction off.
+// compact stores a snapshot if one is due, and returns the removal of the deltas up
+// to the oldest listed snapshot. If storing fails, the next append tries again.
 func (l *Log) compact(ctx context.Context, head *Head) []table.Put {
 	last := uint64(0)
 	if n := len(head.Snapshots); n > 0 {
@@ -270,7 +271,7 @@
 	return b.Bytes(), nil
 }
 
-// decodeSnapshot relies on gzip's checksum to find damage.
+// decodeSnapshot relies on the checksum of gzip to detect damage.
 func decodeSnapshot(content []byte) (*assignment.Assignment, error) {
 	r, err := gzip.NewReader(bytes.NewReader(content))
 	if err != nil {
--- a/basilcross/deltalog/deltalog_test.go
+++ b/basilcross/deltalog/deltalog_test.go
@@ -46,7 +46,9 @@
 	}
 }
 
-func TestReaderFollowsAndJoinsLate(t *testing.T) {
+// A reader whose next deltas were compacted away, and a new one, both load the
+// newest version from the snapshot and the deltas that are kept.
+func TestReaderCatchesUpAfterCompaction(t *testing.T) {
 	s := &store{t: t}
 	writer := s.log()
 	s.write(writer, 3)
@@ -54,16 +56,16 @@
 	assert.Equal(t, len(s.catchUp(reader)), 3)
 	s.write(writer, 200)
 	deltas := s.catchUp(reader)
-	assert.Equal(t, deltas[0].From, uint64(0), "the beginning is compacted, so all is replaced")
+	assert.Equal(t, deltas[0].From, uint64(0), "a delta that replaces all, since the first deltas are removed")
 	assert.DeepEqual(t, reader.Current().Targets, writer.Current().Targets)
 	late := s.log()
 	s.catchUp(late)
 	assert.DeepEqual(t, late.Current().Targets, writer.Current().Targets)
 }
 
-// The newest snapshot is damaged in the object store. A new instance uses the
-// one before and the deltas since, which are kept for this, and reports it.
-func TestDamagedSnapshotFallsBack(t *testing.T) {
+// A new reader must load the snapshot before a damaged newest one, with the deltas
+// since, and report the damaged one.
+func TestDamagedSnapshotFallsBackToPrevious(t *testing.T) {
 	s := &store{t: t}
 	writer := s.log()
 	s.write(writer, 200)
@@ -79,8 +81,8 @@
 	assert.DeepEqual(t, late.Current().Targets, writer.Current().Targets)
 }
 
-// Two planners write at once. The second one's write fails as a whole.
-func TestRacingWriters(t *testing.T) {
+// Of two planners that append after the same version, the second must not commit.
+func TestConcurrentAppendsConflict(t *testing.T) {
 	s := &store{t: t}
 	a, b := s.log(), s.log()
 	s.write(a, 1)
--- a/basilcross/deltalog/size_test.go
+++ b/basilcross/deltalog/size_test.go
@@ -9,7 +9,7 @@
 	"basilcross.example/basilcross/shard"
 )
 
-// TestSnapshotSize logs what docs/CAPACITY.md says of 16,384 shards.
+// TestSnapshotSize logs the sizes for 16,384 shards that docs/CAPACITY.md gives.
 func TestSnapshotSize(t *testing.T) {
 	a := &assignment.Assignment{Service: "menus", Version: 1, Shards: shard.Split(16_384)}
 	for i := range a.Shards {
--- a/basilcross/shard/shard.go
+++ b/basilcross/shard/shard.go
@@ -1,4 +1,4 @@
-// Package shard maps keys to ranges of a 64-bit hash space.
+// Package shard maps keys to shards, the ranges of a 64-bit hash space.
 package shard
 
 import (
@@ -13,50 +13,51 @@
 type Shard struct {
 	First uint64 `json:"first"`
 	Last  uint64 `json:"last"`
-	// Owner is the target's identifier; empty means nobody.
+	// Owner is the ID of the target that owns the shard; empty if none does.
 	Owner string `json:"owner"`
 	// Epoch grows with every change of owner or range, so that a target can
-	// tell a request meant for an earlier owner.
+	// detect a request meant for an earlier owner.
 	Epoch uint64 `json:"epoch"`
-	// MovingTo is the next owner while a planned move is under way.
+	// MovingTo is the ID of the next owner during a planned move.
 	MovingTo string `json:"movingTo,omitempty"`
-	// OwnerSince is the assignment version that made the present owner.
+	// OwnerSince is the assignment version that set the current owner.
 	OwnerSince uint64 `json:"since"`
 }
 
-// Contains tells whether the hash lies in the shard.
+// Contains reports whether the hash is in the shard.
 func (s Shard) Contains(hash uint64) bool {
 	return s.First <= hash && hash <= s.Last
 }
 
-// Hash places a key of a service in the hash space.
+// Hash returns the hash of a service's key.
 func Hash(service, key string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	// Digest's writes never fail. The zero byte keeps "a","bc" and "ab","c" apart.
+	// Writes to a Digest never fail. The zero byte separates "a","bc" from "ab","c".
 	_, _ = d.WriteString(service)
 	_, _ = d.Write([]byte{0})
 	_, _ = d.WriteString(key)
 	return d.Sum64()
 }
 
-// Map is an immutable list of shards that covers the hash space in order.
-// The zero value covers nothing.
+// Map is an immutable list of shards, in order, that cover the whole hash space.
+// The zero value is empty.
 type Map struct {
 	shards      []Shard
 	firstHashes []uint64
 }
 
-// GapError says where a list of shards leaves or doubles a part of the space.
+// GapError reports a list of shards that has a gap or an overlap in the hash space.
 type GapError struct {
+	// Hash is where the next shard should have begun.
 	Hash uint64
 }
 
 func (e *GapError) Error() string {
-	return fmt.Sprintf("shards do not join after hash %#x", e.Hash)
+	return fmt.Sprintf("shards have a gap or an overlap at hash %#x", e.Hash)
 }
 
-// New checks that the shards cover the whole space once and returns their map.
+// New returns a map of shards that cover every hash exactly once, or a *GapError.
 func New(shards []Shard) (*Map, error) {
 	sorted := slices.Clone(shards)
 	slices.SortFunc(sorted, func(a, b Shard) int {
@@ -80,8 +81,8 @@
 	return m, nil
 }
 
-// Find returns the shard of a hash; ok is false on an empty map. It takes no
-// lock and allocates nothing.
+// Find returns the shard that contains a hash; ok is false if the map is empty.
+// It takes no lock and does not allocate.
 func (m *Map) Find(hash uint64) (s Shard, ok bool) {
 	if m == nil || len(m.shards) == 0 {
 		return Shard{}, false
@@ -90,7 +91,7 @@
 	return m.shards[i-1], true
 }
 
-// Shards returns the shards in order; the caller must not change them.
+// Shards returns the shards in order. The caller must not modify them.
 func (m *Map) Shards() []Shard {
 	if m == nil {
 		return nil
@@ -98,8 +99,8 @@
 	return m.shards
 }
 
-// Split divides the whole space into n shards of nearly equal width without
-// owners.
+// Split returns n shards without owners, of nearly equal width, that cover the
+// whole hash space.
 func Split(n int) []Shard {
 	width := ^uint64(0)/uint64(n) + 1
 	if n == 1 {
--- a/basilcross/shard/shard_test.go
+++ b/basilcross/shard/shard_test.go
@@ -22,7 +22,8 @@
 	// Output: t2
 }
 
-func TestEveryHashHasOneShard(t *testing.T) {
+// New must take every even split, and Find must return the shard with the hash.
+func TestFindReturnsShardOfHash(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, err := shard.New(shard.Split(rapid.IntRange(1, 5000).Draw(t, "shards")))
 		assert.NilError(t, err)
@@ -32,7 +33,8 @@
 	})
 }
 
-func TestGapsAreRefused(t *testing.T) {
+// A missing last shard, a gap between two shards and an empty list are refused.
+func TestNewRefusesGaps(t *testing.T) {
 	shards := shard.Split(4)
 	var gap *shard.GapError
 	_, err := shard.New(shards[:3])
