--- a/basilcross/config/config_test.go
+++ b/basilcross/config/config_test.go
@@ -18,7 +18,8 @@
   "reason":"the bakery's line is slow until March","author":"anna"}],
  "author":"anna","reason":"first configuration"}`
 
-func TestParse(t *testing.T) {
+// Parse must report each error with the path of the field, as operators see it.
+func TestParseReportsPath(t *testing.T) {
 	tests := []struct {
 		name, from, to, path string
 	}{
@@ -43,7 +44,8 @@
 	}
 }
 
-func TestExplainNamesTheDecidingRule(t *testing.T) {
+// An exception overrides a kind, and a kind the defaults.
+func TestExplainReturnsDecidingRule(t *testing.T) {
 	doc, err := config.Parse([]byte(valid))
 	assert.NilError(t, err)
 	query := config.Scope{Service: "menus", Kind: "lists", Key: "graz-7"}
@@ -55,7 +57,7 @@
 	assert.Equal(t, time.Duration(*doc.Resolve(query, time.Now()).Deadline), 800*time.Millisecond)
 }
 
-func TestExpiredExceptionDoesNotHold(t *testing.T) {
+func TestExpiredExceptionIsIgnored(t *testing.T) {
 	doc, err := config.Parse([]byte(valid))
 	assert.NilError(t, err)
 	doc.Exceptions[0].Expires = config.Ptr(time.Now().Add(-time.Second))
--- a/basilcross/config/explain.go
+++ b/basilcross/config/explain.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Source names the rule that decided a value.
+// Source is the value of a field, with the rule that set it and its reason.
 type Source struct {
 	Field  string `json:"field"`
 	Value  any    `json:"value"`
@@ -16,16 +16,16 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-// layer is one step of the order in which rules are laid over each other.
+// layer is one set of rules in the order in which they override each other.
 type layer struct {
 	name   string
 	reason string
 	rules  Rules
 }
 
-// layers returns the rules that apply to the query, the weakest first. Of two
-// exceptions, the one with more fields in its scope is the stronger; of equals,
-// the later in the document.
+// layers returns the rules that apply to the query, in ascending precedence. Of two
+// exceptions, the one with more fields in its scope takes precedence; if they have
+// equally many, the later one in the document.
 func (d *Document) layers(q Scope, now time.Time) []layer {
 	all := []layer{
 		{name: "built in", rules: Defaults()},
@@ -49,7 +49,7 @@
 	return all
 }
 
-// Resolve returns the rules for the query at now; every field is set.
+// Resolve returns the rules that apply to the query at now, with every field set.
 func (d *Document) Resolve(q Scope, now time.Time) Rules {
 	var r Rules
 	for _, l := range d.layers(q, now) {
@@ -58,7 +58,7 @@
 	return r
 }
 
-// Explain returns, for every field, the value and the rule that decided it.
+// Explain returns, for every field, its value and the rule that set it.
 func (d *Document) Explain(q Scope, now time.Time) []Source {
 	fields := reflect.TypeFor[Rules]()
 	sources := make([]Source, fields.NumField())
--- a/basilcross/config/fuzz_test.go
+++ b/basilcross/config/fuzz_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// Whatever is submitted, a document that is accepted stays acceptable when it
-// is written out and read again; nothing makes the reader panic.
+// No input makes Parse panic, and a document that it accepts is accepted again
+// after encoding.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(valid))
 	f.Add([]byte(`{"services":[{"name":"a"}],"defaults":{"bodyLimit":"9223372036854775807GiB"}}`))
@@ -28,7 +28,8 @@
 	})
 }
 
-func TestSchemaNamesUnits(t *testing.T) {
+// The schema must state the units of durations; -update writes the golden file.
+func TestSchemaHasUnits(t *testing.T) {
 	schema, err := config.Schema()
 	assert.NilError(t, err)
 	var s struct {
--- a/basilcross/config/schema.go
+++ b/basilcross/config/schema.go
@@ -8,9 +8,8 @@
 	"github.com/google/jsonschema-go/jsonschema"
 )
 
-// Schema returns the JSON Schema of a document, for editors and programs. It
-// says less than Validate, which also checks what fields have to do with each
-// other.
+// Schema returns the JSON Schema of a document, for editors and programs. It is
+// less strict than Validate, which also checks fields against each other.
 func Schema() ([]byte, error) {
 	text := func(pattern, description string) *jsonschema.Schema {
 		return &jsonschema.Schema{Type: "string", Pattern: pattern, Description: description}
@@ -20,7 +19,7 @@
 		reflect.TypeFor[Size]():     text(`^[0-9]+(B|KiB|MiB|GiB)$`, "size with its unit, such as 64KiB"),
 	}})
 	if err != nil {
-		return nil, fmt.Errorf("schema of the configuration: %w", err)
+		return nil, fmt.Errorf("generate schema of the configuration: %w", err)
 	}
 	return json.MarshalIndent(schema, "", "  ")
 }
--- a/basilcross/config/strict.go
+++ b/basilcross/config/strict.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// decodeError names the place of a decoding fault. encoding/json gives a path
-// for wrong types only; for the rest the path is found from the offset.
+// decodeError returns a decoding error as a *FieldError. encoding/json gives a
+// path for wrong types only; for other errors the path is found by the offset.
 func decodeError(data []byte, dec *json.Decoder, err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
@@ -27,7 +27,7 @@
 	return &FieldError{Path: path, Reason: err.Error()}
 }
 
-// walk calls visit for every member name and value of a JSON text until visit
+// walk calls visit for every member name and value of a JSON text, until visit
 // returns false or the text ends.
 func walk(data []byte, visit func(path string, name bool, token json.Token) bool) error {
 	w := &walker{dec: json.NewDecoder(bytes.NewReader(data)), visit: visit}
@@ -39,7 +39,7 @@
 	return err
 }
 
-var errStopWalk = errors.New("stop")
+var errStopWalk = errors.New("stop the walk")
 
 type walker struct {
 	dec   *json.Decoder
@@ -99,24 +99,24 @@
 	return path + "." + name
 }
 
-// checkDuplicateMembers refuses a member that stands twice. encoding/json would take
-// the last one, and an operator would see the first one ignored in silence.
+// checkDuplicateMembers refuses an object that has a member twice. encoding/json
+// would silently ignore the first one.
 func checkDuplicateMembers(data []byte) error {
 	seen := map[string]bool{}
-	var fault error
+	var duplicate error
 	err := walk(data, func(path string, name bool, _ json.Token) bool {
 		if !name {
 			return true
 		}
 		if seen[path] {
-			fault = &FieldError{Path: path, Reason: "stands twice"}
+			duplicate = &FieldError{Path: path, Reason: "duplicate member"}
 			return false
 		}
 		seen[path] = true
 		return true
 	})
-	if fault != nil {
-		return fault
+	if duplicate != nil {
+		return duplicate
 	}
 	if err != nil {
 		return &FieldError{Path: "$", Reason: "not JSON: " + err.Error()}
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// pathAt returns the path of the last value that begins before the offset.
+// pathAt returns the path of the last name or value that begins before the offset.
 func pathAt(data []byte, offset int64) string {
 	last := "$"
 	dec := json.NewDecoder(bytes.NewReader(data))
@@ -137,8 +137,8 @@
 	return last
 }
 
-// memberPath returns the path of the first member with this name that is not a
-// known field there; the name alone if none is found.
+// memberPath returns the path of the first member with this name; the name alone
+// if there is none.
 func memberPath(data []byte, name string) string {
 	found := name
 	_ = walk(data, func(path string, isName bool, token json.Token) bool {
@@ -151,9 +151,9 @@
 	return found
 }
 
-// unitErrorPath returns the path of the value that has the wrong unit.
-func unitErrorPath(data []byte, unit *UnitError, otherwise string) string {
-	found := otherwise
+// unitErrorPath returns the path of the value that has the wrong unit, or fallback.
+func unitErrorPath(data []byte, unit *UnitError, fallback string) string {
+	found := fallback
 	_ = walk(data, func(path string, isName bool, token json.Token) bool {
 		unitField := strings.HasSuffix(path, "deadline") || strings.HasSuffix(path, "bodyLimit")
 		if !isName && unitField && fmt.Sprint(token) == unit.Value {
--- a/basilcross/config/unit.go
+++ b/basilcross/config/unit.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Duration is a time.Duration written with its unit, such as "800ms".
+// Duration is a time.Duration that is encoded with its unit, such as "800ms".
 type Duration time.Duration
 
-// Size is a number of bytes written with its unit, such as "64KiB".
+// Size is a number of bytes that is encoded with its unit, such as "64KiB".
 type Size int64
 
-// UnitError says that a value lacks a unit or has a wrong one.
+// UnitError reports a value that has no unit or a wrong one.
 type UnitError struct {
 	Value string
 	Want  string
@@ -29,12 +29,12 @@
 	wantSize     = `a string with a unit, such as "512B", "64KiB" or "1MiB"`
 )
 
-// MarshalJSON writes the duration as a string with its unit.
+// MarshalJSON encodes the duration as a string with its unit.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads a string with a unit.
+// UnmarshalJSON decodes a string with a unit; the error is a *UnitError.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
@@ -53,7 +53,7 @@
 	bytes  int64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// String writes the size in the largest unit that divides it.
+// String returns the size in the largest unit that divides it.
 func (s Size) String() string {
 	for _, u := range sizeUnits {
 		if s != 0 && int64(s)%u.bytes == 0 {
@@ -63,10 +63,10 @@
 	return "0B"
 }
 
-// MarshalJSON writes the size as a string with its unit.
+// MarshalJSON encodes the size as a string with its unit.
 func (s Size) MarshalJSON() ([]byte, error) { return json.Marshal(s.String()) }
 
-// UnmarshalJSON reads a string with a unit.
+// UnmarshalJSON decodes a string with a unit; the error is a *UnitError.
 func (s *Size) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
--- a/basilcross/config/validate.go
+++ b/basilcross/config/validate.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// MaxExceptions keeps the list of exceptions short enough to be read.
+// MaxExceptions keeps the list of exceptions short enough for operators to read.
 const MaxExceptions = 50
 
-// FieldError is one fault in a document, at a path such as
+// FieldError reports one invalid field of a document, at a path such as
 // "kinds[2].deadline".
 type FieldError struct {
 	Path   string
@@ -32,7 +32,7 @@
 var namePattern = regexp.MustCompile(`^[a-z][a-zA-Z0-9-]{0,62}$`)
 
 const (
-	wantName        = "want 1 to 63 letters, digits or dashes, beginning with a small letter"
+	wantName        = "want 1 to 63 letters, digits or dashes, beginning with a lower-case letter"
 	minReasonLength = 10
 	maxDeadline     = 10 * time.Minute
 	maxPriority     = 9
@@ -44,8 +44,8 @@
 	defaultShards   = 64
 )
 
-// Parse reads a document strictly and validates it. All faults of content are
-// reported together.
+// Parse decodes a document strictly and validates it. Its error is a *FieldError,
+// or joins one for each invalid field.
 func Parse(data []byte) (*Document, error) {
 	if err := checkDuplicateMembers(data); err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 		return nil, decodeError(data, dec, err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return nil, &FieldError{Path: "$", Reason: "more text after the document"}
+		return nil, &FieldError{Path: "$", Reason: "unexpected data after the document"}
 	}
 	if err := d.Validate(); err != nil {
 		return nil, err
@@ -65,7 +65,7 @@
 	return &d, nil
 }
 
-// Validate reports every fault of the document, joined.
+// Validate joins a *FieldError for each invalid field; nil if there is none.
 func (d *Document) Validate() error {
 	v := &validator{doc: d, services: map[string]bool{}}
 	v.checkDocument()
@@ -97,7 +97,7 @@
 		v.checkKind(fmt.Sprintf("kinds[%d]", i), k, kinds)
 	}
 	if n := len(v.doc.Exceptions); n > MaxExceptions {
-		v.addError("exceptions", n, fmt.Sprintf("want at most %d; turn what many need into a default", MaxExceptions))
+		v.addError("exceptions", n, fmt.Sprintf("want at most %d; move rules that many need into defaults", MaxExceptions))
 	}
 	ids := map[string]bool{}
 	for i, e := range v.doc.Exceptions {
@@ -110,14 +110,14 @@
 		v.addError(path+".name", s.Name, wantName)
 	}
 	if v.services[s.Name] {
-		v.addError(path+".name", s.Name, "stands twice")
+		v.addError(path+".name", s.Name, "duplicate name")
 	}
 	v.services[s.Name] = true
 	if s.Shards < 0 || s.Shards > maxShards {
 		v.addError(path+".shards", s.Shards, fmt.Sprintf("want 0 to %d", maxShards))
 	}
 	if !s.Sharded && s.Shards != 0 {
-		v.addError(path+".shards", s.Shards, "an undivided service has no shards")
+		v.addError(path+".shards", s.Shards, "want 0, since the service is not divided")
 	}
 }
 
@@ -129,7 +129,7 @@
 		v.addError(path+".service", k.Service, "no such service")
 	}
 	if seen[k.Service+"/"+k.Name] {
-		v.addError(path+".name", k.Name, "stands twice in its service")
+		v.addError(path+".name", k.Name, "duplicate name in its service")
 	}
 	seen[k.Service+"/"+k.Name] = true
 	v.checkRules(path, k.Rules, Scope{})
@@ -140,19 +140,19 @@
 		v.addError(path+".id", e.ID, wantName)
 	}
 	if ids[e.ID] {
-		v.addError(path+".id", e.ID, "stands twice")
+		v.addError(path+".id", e.ID, "duplicate ID")
 	}
 	ids[e.ID] = true
 	v.checkReason(path+".reason", e.Reason)
 	v.checkAuthor(path+".author", e.Author)
 	if e.Scope == (Scope{}) {
-		v.addError(path+".scope", nil, "want at least one field; what holds everywhere is a default")
+		v.addError(path+".scope", nil, "want at least one field; rules that apply everywhere belong in defaults")
 	}
 	if e.Scope.Service != "" && !v.services[e.Scope.Service] {
 		v.addError(path+".scope.service", e.Scope.Service, "no such service")
 	}
 	if e.Set == (Rules{}) {
-		v.addError(path+".set", nil, "changes nothing")
+		v.addError(path+".set", nil, "want at least one rule")
 	}
 	v.checkRules(path+".set", e.Set, e.Scope)
 }
@@ -171,7 +171,7 @@
 		v.addError(path+".bodyLimit", *r.BodyLimit, "want at most 1GiB")
 	}
 	if r.Drain != nil && scope.Target == "" && scope.Zone == "" {
-		v.addError(path+".drain", *r.Drain, "only an exception for a target or a zone may drain")
+		v.addError(path+".drain", *r.Drain, "allowed only in an exception for a target or a zone")
 	}
 }
 
@@ -189,11 +189,11 @@
 
 func (v *validator) checkAuthor(path, author string) {
 	if strings.TrimSpace(author) == "" {
-		v.addError(path, nil, "want the name of whoever answers for it")
+		v.addError(path, nil, "want the name of the person responsible")
 	}
 }
 
-// InitialShards returns how many shards a divided service starts with.
+// InitialShards returns the initial number of shards of a sharded service.
 func (s Service) InitialShards() int {
 	if s.Shards == 0 {
 		return defaultShards
