--- a/basilcross/audit/audit.go
+++ b/basilcross/audit/audit.go
@@ -1,6 +1,5 @@
-// Package audit is the trail of changes: records in the table service, each
-// sealed with the hash of the one before, written in the same transaction as
-// the change that they account for.
+// Package audit has the audit trail: hash-chained records in the table service,
+// each written in the same transaction as the change that it records.
 package audit
 
 import (
@@ -14,26 +13,27 @@
 	"basilcross.example/basilcross/table"
 )
 
-// Streams keep changes by operators apart from the system's own decisions, so
-// that neither waits for the other's writes.
+// Streams. Changes by operators and decisions of the system are separate, so that
+// their writes do not conflict.
 const (
 	Operators = "operators"
 	System    = "system"
 )
 
-// Record is one change.
+// Record is the record of one change.
 type Record struct {
 	Stream string    `json:"stream"`
 	Number uint64    `json:"number"`
 	At     time.Time `json:"at"`
-	// Actor is an operator, or the instance that decided.
-	Actor   string `json:"who"`
+	// Actor is the operator or the instance that made the change.
+	Actor string `json:"who"`
+	// Subject is the kind of thing that changed, such as "configuration".
 	Subject string `json:"what"`
-	// From and To are versions of what was changed; zero if it has none.
+	// From and To are the versions of the subject; zero if it has none.
 	From   uint64 `json:"from,omitempty"`
 	To     uint64 `json:"to,omitempty"`
 	Reason string `json:"why"`
-	// Previous is the hash of the record before, empty for the first.
+	// Previous is the hash of the previous record; empty in the first one.
 	Previous string `json:"previous"`
 	Hash     string `json:"hash"`
 }
@@ -43,14 +43,14 @@
 	r.Hash = ""
 	content, err := json.Marshal(r)
 	if err != nil {
-		return fmt.Errorf("seal audit record: %w", err)
+		return fmt.Errorf("hash audit record: %w", err)
 	}
 	sum := sha256.Sum256(content)
 	r.Hash = hex.EncodeToString(sum[:])
 	return nil
 }
 
-// BrokenChainError says where a chain does not hold.
+// BrokenChainError reports the first record that breaks a chain.
 type BrokenChainError struct {
 	Stream string
 	Number uint64
@@ -61,47 +61,48 @@
 	return fmt.Sprintf("audit %s record %d: %s", e.Stream, e.Number, e.Reason)
 }
 
-// Verify checks that the records are the unbroken end of a chain.
+// Verify checks that consecutive records of a stream are unmodified and complete.
+// If not, the error is a *BrokenChainError.
 func Verify(records []Record) error {
 	for i, r := range records {
-		sealed := r
-		if err := sealed.setHash(); err != nil {
+		rehashed := r
+		if err := rehashed.setHash(); err != nil {
 			return err
 		}
-		if sealed.Hash != r.Hash {
+		if rehashed.Hash != r.Hash {
 			return &BrokenChainError{Stream: r.Stream, Number: r.Number, Reason: "was changed after it was sealed"}
 		}
 		if i == 0 {
 			continue
 		}
-		before := records[i-1]
-		if r.Number != before.Number+1 {
-			return &BrokenChainError{Stream: r.Stream, Number: before.Number + 1, Reason: "is missing"}
+		previous := records[i-1]
+		if r.Number != previous.Number+1 {
+			return &BrokenChainError{Stream: r.Stream, Number: previous.Number + 1, Reason: "is missing"}
 		}
-		if r.Previous != before.Hash {
+		if r.Previous != previous.Hash {
 			return &BrokenChainError{Stream: r.Stream, Number: r.Number, Reason: "does not follow the one before"}
 		}
 	}
 	return nil
 }
 
-// head is the row that says where a stream ends.
+// head is the content of a stream's head row: its last record.
 type head struct {
 	Number uint64 `json:"number"`
 	Hash   string `json:"hash"`
 }
 
-// HeadKey is the key of the row that says where a stream ends.
+// HeadKey returns the key of a stream's head row.
 func HeadKey(stream string) string { return "auditHead/" + stream }
 
-// Prefix begins the keys of a stream's records.
+// Prefix returns the key prefix of a stream's records.
 func Prefix(stream string) string { return "audit/" + stream + "/" }
 
 func recordKey(stream string, number uint64) string {
 	return fmt.Sprintf("%s%020d", Prefix(stream), number)
 }
 
-// Chain appends to one stream. It is not safe for concurrent use.
+// Chain appends records to a stream. It is not safe for concurrent use.
 type Chain struct {
 	Stream string
 
@@ -110,7 +111,7 @@
 	pending        head
 }
 
-// Observe takes in the stream's head row; nil if the stream is empty.
+// Observe applies the stream's head row; nil if the stream is empty.
 func (c *Chain) Observe(row *table.Row) error {
 	if row == nil {
 		return nil
@@ -122,7 +123,7 @@
 	return table.Decode(*row, &c.head)
 }
 
-// PrepareAppend puts the record into a transaction, which fails if somebody else has
+// PrepareAppend adds the record to a transaction, which fails if another record is
 // appended meanwhile.
 func (c *Chain) PrepareAppend(tx *table.Transaction, r Record) error {
 	r.Stream = c.Stream
@@ -146,7 +147,7 @@
 	return nil
 }
 
-// ConfirmAppend takes in that the last transaction took effect at a revision.
+// ConfirmAppend records that the last prepared append was committed at a revision.
 func (c *Chain) ConfirmAppend(revision uint64) {
 	c.head, c.headRowVersion = c.pending, revision
 }
@@ -155,12 +156,12 @@
 func Read(ctx context.Context, t table.Client, stream string) ([]Record, error) {
 	res, err := t.Transact(ctx, table.Transaction{ReadPrefixes: []string{Prefix(stream)}})
 	if err != nil {
-		return nil, fmt.Errorf("read audit: %w", err)
+		return nil, fmt.Errorf("read audit stream %s: %w", stream, err)
 	}
 	records := make([]Record, len(res.Rows))
 	for i, row := range res.Rows {
 		if err := table.Decode(row, &records[i]); err != nil {
-			return nil, fmt.Errorf("read audit: %w", err)
+			return nil, fmt.Errorf("read audit stream %s: %w", stream, err)
 		}
 	}
 	return records, nil
--- a/basilcross/configlog/configlog.go
+++ b/basilcross/configlog/configlog.go
@@ -1,6 +1,6 @@
-// Package configlog keeps the versions of the configuration in the table
-// service. A version never changes once it is accepted, and the head only
-// moves forward.
+// Package configlog stores the versions of the configuration in the table
+// service. A version never changes once it is accepted, and the version in the
+// head row only grows.
 package configlog
 
 import (
@@ -18,7 +18,8 @@
 	Table table.Client
 }
 
-// ConflictError says that somebody else's version came first.
+// ConflictError reports that the version in force is not the one that a proposal
+// is based on.
 type ConflictError struct {
 	BasedOn uint64
 	Current uint64
@@ -28,7 +29,7 @@
 	return fmt.Sprintf("based on version %d while %d is in force", e.BasedOn, e.Current)
 }
 
-// NotFoundError says that there is no such version.
+// NotFoundError reports that a version does not exist.
 type NotFoundError struct {
 	Version uint64
 }
@@ -37,15 +38,16 @@
 	return fmt.Sprintf("there is no configuration version %d", e.Version)
 }
 
-// Proposal is a document that is to follow a version.
+// Proposal is a document that is to replace the version BasedOn.
 type Proposal struct {
 	BasedOn  uint64           `json:"basedOn"`
 	Document *config.Document `json:"document"`
-	// ID makes a repeated submission the same one.
+	// ID identifies the proposal, which makes submitting it again idempotent.
 	ID string `json:"id"`
 }
 
-// Version returns one version; zero asks for the newest.
+// Version returns a version, or the newest one for 0. If it does not exist, the
+// error is a *NotFoundError.
 func (l *Log) Version(ctx context.Context, version uint64) (*config.Document, error) {
 	if version == 0 {
 		head, _, err := l.readHead(ctx)
@@ -57,7 +59,7 @@
 	key := config.VersionKey(version)
 	res, err := l.Table.Transact(ctx, table.Transaction{ReadKeys: []string{key}})
 	if err != nil {
-		return nil, fmt.Errorf("read configuration: %w", err)
+		return nil, fmt.Errorf("read configuration version %d: %w", version, err)
 	}
 	row, ok := res.Row(key)
 	if !ok {
@@ -82,10 +84,10 @@
 	return head, res, err
 }
 
-// Accept makes the proposal the next version, together with its audit record,
-// and returns the version. It returns only when the outcome is known, or with
-// an error when the context ends first; the same proposal may then be
-// submitted again and gives the same version.
+// Accept commits the proposal as the next version, together with its audit
+// record, and returns the version. It returns a *ConflictError if the proposal is
+// based on another version, and an error if the context ends before the outcome is
+// known; the same proposal may then be submitted again and gives the same version.
 func (l *Log) Accept(ctx context.Context, p Proposal) (uint64, error) {
 	head, res, err := l.readHead(ctx)
 	if err != nil {
@@ -112,13 +114,13 @@
 	return p.BasedOn + 1, nil
 }
 
-// findAccepted finds out whether this proposal was accepted before and others have
-// followed since.
+// findAccepted returns the proposal's version if it was accepted before and newer
+// ones have followed; else a *ConflictError.
 func (l *Log) findAccepted(ctx context.Context, p Proposal, token string, head config.Head) (uint64, error) {
 	key := config.VersionKey(p.BasedOn + 1)
 	res, err := l.Table.Transact(ctx, table.Transaction{ReadKeys: []string{key}})
 	if err != nil {
-		return 0, fmt.Errorf("read configuration: %w", err)
+		return 0, fmt.Errorf("read configuration version %d: %w", p.BasedOn+1, err)
 	}
 	if row, ok := res.Row(key); ok && row.Token == token {
 		return p.BasedOn + 1, nil
--- a/basilcross/configlog/configlog_test.go
+++ b/basilcross/configlog/configlog_test.go
@@ -19,7 +19,7 @@
 	}}
 }
 
-// lossy loses the answers of writes after they have taken effect.
+// lossy loses the next responses to committed writes.
 type lossy struct {
 	table.Memory
 	lose int
@@ -29,14 +29,14 @@
 	res, err := l.Memory.Transact(ctx, tx)
 	if len(tx.Puts) > 0 && l.lose > 0 {
 		l.lose--
-		return table.Result{}, errors.New("answer lost")
+		return table.Result{}, errors.New("response lost")
 	}
 	return res, err
 }
 
-// Two operators change the configuration from the same version. The second one
-// is told of the conflict; nothing of the first one's change is lost.
-func TestRacingOperators(t *testing.T) {
+// Of two proposals based on the same version, the second must get a conflict and
+// must not overwrite the first.
+func TestConcurrentProposalsConflict(t *testing.T) {
 	ctx := context.Background()
 	l := configlog.Log{Table: &table.Memory{}}
 	v, err := l.Accept(ctx, proposal(0, "anna"))
@@ -51,9 +51,9 @@
 	assert.Equal(t, doc.Author, "anna")
 }
 
-// The answer to the write is lost after it took effect. The operator is told
-// that it was accepted, once, and the audit trail shows it once.
-func TestLostAnswerIsSettled(t *testing.T) {
+// The response to the write is lost after the commit. Accept must still return the
+// version, and the audit stream must have the change once.
+func TestLostResponseIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		store := &lossy{lose: 2}
@@ -67,8 +67,8 @@
 	})
 }
 
-// An operator's program submits the same change again, after others have
-// followed. It gets the version that it got before, and changes nothing.
+// A proposal that is submitted again, after newer versions, must return its first
+// version and change nothing.
 func TestResubmissionIsIdempotent(t *testing.T) {
 	ctx := context.Background()
 	l := configlog.Log{Table: &table.Memory{}}
@@ -81,8 +81,8 @@
 	assert.Equal(t, v, uint64(1))
 }
 
-// Somebody changes a record in the table. The chain shows where.
-func TestTamperedAuditRecordIsFound(t *testing.T) {
+// Verify must report a modified record by its number, and a missing record.
+func TestModifiedAuditRecordIsDetected(t *testing.T) {
 	ctx := context.Background()
 	store := &table.Memory{}
 	l := configlog.Log{Table: store}
@@ -97,5 +97,5 @@
 	var broken *audit.BrokenChainError
 	assert.Assert(t, errors.As(audit.Verify(records), &broken))
 	assert.Equal(t, broken.Number, uint64(2))
-	assert.Assert(t, audit.Verify(append(records[:1:1], records[2])) != nil, "a missing record must be found")
+	assert.Assert(t, audit.Verify(append(records[:1:1], records[2])) != nil, "a missing record must be detected")
 }
--- a/basilcross/object/object.go
+++ b/basilcross/object/object.go
@@ -1,4 +1,4 @@
-// Package object is the face of the platform's object store.
+// Package object has the client interface of the platform's object store.
 package object
 
 import (
@@ -8,27 +8,27 @@
 	"sync"
 )
 
-// Client is implemented by each adapter to an object store.
+// Client reads and writes objects. Get returns a *NotFoundError for a missing one.
 type Client interface {
 	Get(ctx context.Context, name string) ([]byte, error)
 	Put(ctx context.Context, name string, content []byte) error
 }
 
-// NotFoundError says that there is no object of this name.
+// NotFoundError reports that an object does not exist.
 type NotFoundError struct {
 	Name string
 }
 
-func (e *NotFoundError) Error() string { return fmt.Sprintf("object %s is missing", e.Name) }
+func (e *NotFoundError) Error() string { return fmt.Sprintf("object %s does not exist", e.Name) }
 
-// Memory is a Client that keeps objects in this process. The zero value is
-// empty and ready.
+// Memory is a Client that stores objects in memory. The zero value is empty and
+// ready to use.
 type Memory struct {
 	mu      sync.Mutex
 	objects map[string][]byte
 }
 
-// Get returns a copy of an object.
+// Get returns a copy of an object's content.
 func (m *Memory) Get(_ context.Context, name string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -39,7 +39,7 @@
 	return slices.Clone(content), nil
 }
 
-// Put stores a copy of content under a name.
+// Put stores a copy of content under the name.
 func (m *Memory) Put(_ context.Context, name string, content []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/basilcross/ring/ring.go
+++ b/basilcross/ring/ring.go
@@ -1,21 +1,22 @@
-// Package ring joins two duties by a bounded queue that never blocks the
-// writer: what does not fit is dropped and counted.
+// Package ring has a bounded queue that never blocks its writers: items that do
+// not fit are dropped and counted.
 package ring
 
 import "sync/atomic"
 
-// Ring is a bounded queue with any number of writers and readers.
+// Ring is a bounded queue for any number of writers and readers.
 type Ring[T any] struct {
 	items   chan T
 	dropped atomic.Uint64
 }
 
-// New returns a ring with room for size items.
+// New returns a ring with a capacity of size items.
 func New[T any](size int) *Ring[T] {
 	return &Ring[T]{items: make(chan T, size)}
 }
 
-// Offer adds the item, or drops it if the ring is full, and tells which.
+// Offer adds the item, or drops it if the ring is full. It reports whether it was
+// added.
 func (r *Ring[T]) Offer(item T) bool {
 	select {
 	case r.items <- item:
@@ -26,8 +27,8 @@
 	}
 }
 
-// Items is where readers receive.
+// Items returns the channel from which readers receive.
 func (r *Ring[T]) Items() <-chan T { return r.items }
 
-// Dropped returns how many items were dropped so far.
+// Dropped returns the number of items dropped so far.
 func (r *Ring[T]) Dropped() uint64 { return r.dropped.Load() }
