--- a/basilcross/config/strict.go
+++ b/basilcross/config/strict.go
@@ -39,7 +39,7 @@
 	return err
 }
 
-var errStopWalk = errors.New("stop the walk")
+var errStopWalk = errors.New("stop")
 
 type walker struct {
 	dec   *json.Decoder
