--- a/basilcross/assignment/assignment.go
+++ b/basilcross/assignment/assignment.go
@@ -45,8 +45,8 @@
 	GrantsVersion uint64 `json:"grants,omitempty"`
 }
 
-// Assignment is one version of a service's assignment. A service that is not
-// sharded has targets and no shards.
+// Assignment is one version of a service's assignment. An unsharded service has
+// targets and no shards.
 type Assignment struct {
 	Service string        `json:"service"`
 	Version uint64        `json:"version"`
--- a/basilcross/event/event.go
+++ b/basilcross/event/event.go
@@ -45,7 +45,7 @@
 	SnapshotDamaged   = Event{305, "snapshotDamaged", slog.LevelError, "An assignment snapshot in the object store is missing or damaged; an older snapshot and more deltas are used instead.", "Check the object store. The next snapshot replaces the damaged one."}
 	TargetSilent      = Event{400, "targetSilent", slog.LevelInfo, "A target did not answer a request in time; the open connections to the target are dropped.", "If many targets are affected at once, suspect the network between."}
 	AnswerCut         = Event{401, "answerCut", slog.LevelInfo, "A target's response ended early; the caller's connection was aborted, or the request was refused.", ""}
-	TargetEjected     = Event{402, "targetEjected", slog.LevelWarn, "A target of a service that is not sharded fails too often and gets no requests for a while.", "Check the target."}
+	TargetEjected     = Event{402, "targetEjected", slog.LevelWarn, "A target of an unsharded service fails too often and gets no requests for a while.", "Check the target."}
 	ConfigInForce     = Event{500, "configInForce", slog.LevelInfo, "A newer configuration is in force on this instance.", ""}
 	ConfigAccepted    = Event{501, "configAccepted", slog.LevelInfo, "An operator's configuration was committed in the table service.", ""}
 	ConfigStale       = Event{502, "configStale", slog.LevelWarn, "A configuration older than the one in force was received and ignored.", ""}
