--- a/basilcross/grant/guard.go
+++ b/basilcross/grant/guard.go
@@ -8,17 +8,17 @@
 	"basilcross.example/basilcross/lease"
 )
 
-// maxStamps bounds the stamps that a guard remembers. It exceeds the number
-// of renewers of a target, each of which has one order under way.
+// maxStamps bounds the issued stamps that a guard accepts. It exceeds the number
+// of renewers of a target, each of which has one order in flight.
 const maxStamps = 32
 
-// Guard is a target's side of the protocol: it takes orders and admits the
-// requests that the grants cover. Incarnation must be unique to the process.
-// The zero value otherwise works and admits nothing.
+// Guard is a target's side of the protocol: it applies orders and admits the
+// requests that its grants cover. Incarnation must be set and unique to the
+// process; until the first order the guard admits nothing.
 type Guard struct {
 	Incarnation string
-	// OnHeld, if set, is told of each span in which the guard was ready to
-	// admit requests for a grant; for tests and for audits.
+	// OnHeld, if set, is called with each period in which the guard would have
+	// admitted requests under a grant; for tests and audits.
 	OnHeld func(g Grant, from, until time.Time)
 
 	mu            sync.Mutex
@@ -31,9 +31,9 @@
 	stampTimes    map[uint64]time.Time
 }
 
-// Apply takes an order that arrived at now. Orders under an older version than
-// the one held, for another incarnation, or with a stamp not of this guard
-// give no lease.
+// Apply applies an order that arrived at now and returns the status after it. An
+// order with an older version than the current one, for another incarnation, or
+// with an unknown stamp renews no lease.
 func (g *Guard) Apply(now time.Time, o Order) Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -53,7 +53,8 @@
 	}
 }
 
-// replaceGrants takes over a newer version's grants, if the order has them.
+// replaceGrants installs the order's version and grants, if it is a newer
+// version and the order contains them.
 func (g *Guard) replaceGrants(o Order) {
 	if o.Version == g.version || !o.Full {
 		return
@@ -69,14 +70,14 @@
 }
 
 // renewLease counts the lease from when the stamp was issued. An order may be
-// under way for any time; counted from its arrival, a late one would give a
-// lease that its sender has long waited out.
+// delayed without bound; counted from its arrival, a late one would give a
+// lease after its sender has waited for the end of that lease.
 func (g *Guard) renewLease(now time.Time, o Order) bool {
-	sent, ok := g.stampTimes[o.Stamp]
+	issued, ok := g.stampTimes[o.Stamp]
 	if !ok {
 		return false
 	}
-	next := lease.New(sent, o.Lease)
+	next := lease.New(issued, o.Lease)
 	if !next.Valid(now) {
 		return false
 	}
@@ -94,8 +95,8 @@
 	return g.stamp
 }
 
-// Flush tells Held of the span up to now; Apply does so by itself. It is
-// called before a guard is given up.
+// Flush reports the period up to now to OnHeld, as Apply does. It is called
+// before a guard is discarded.
 func (g *Guard) Flush(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -128,9 +129,9 @@
 	return done
 }
 
-// hasRunning tells whether a request for the grant's range runs. It goes by the
-// requests' hashes and not by the grant that admitted them: the shard may have
-// been split since, and its parts may move while they run.
+// hasRunning reports whether a request for a key in the grant's range is
+// running. It compares the requests' hashes, not the grants that admitted them:
+// the shard may have been split since, and a part may be moving to another owner.
 func (g *Guard) hasRunning(grant Grant) bool {
 	for hash := range g.runningByHash {
 		if grant.First <= hash && hash <= grant.Last {
@@ -148,14 +149,15 @@
 	return n
 }
 
-// Admission is a request that the guard has let in. Done must be called once.
+// Admission is a request that the guard admitted. Done must be called once.
 type Admission struct {
 	guard *Guard
 	hash  uint64
 	epoch uint64
 }
 
-// Admit admits a request, or returns a RefusedError.
+// Admit admits a request for the key hash under the epoch, or returns a
+// RefusedError.
 func (g *Guard) Admit(now time.Time, hash, epoch uint64) (*Admission, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -186,13 +188,13 @@
 	return g.grants[i], ""
 }
 
-// Commit carries out a request's effect if the target still owns the key.
+// Commit runs the request's effect if the target still owns the key, and
+// returns a RefusedError otherwise.
 //
-// The failure: the process is paused between Enter and the effect, the lease
-// lapses, another target takes the key over, and the process goes on as if
-// nothing had happened. The check and the effect therefore stand together. An
-// effect on a store of its own that outlives the process should carry the
-// epoch there, since a pause can also fall between these two lines.
+// It guards against a pause of the process between Admit and the effect, during
+// which the lease expires and another target takes the key over. An effect on
+// external storage should also send the epoch there as a fencing token, since
+// the process can be paused between the check and the effect as well.
 func (a *Admission) Commit(effect func(now time.Time)) error {
 	g := a.guard
 	g.mu.Lock()
@@ -205,7 +207,7 @@
 	return nil
 }
 
-// Done ends the request.
+// Done records the end of the request.
 func (a *Admission) Done() {
 	a.guard.mu.Lock()
 	defer a.guard.mu.Unlock()
@@ -215,7 +217,7 @@
 	}
 }
 
-// LeaseLeft returns what is left of the lease at now.
+// LeaseLeft returns the time left of the lease at now; 0 if it has expired.
 func (g *Guard) LeaseLeft(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/basilcross/grant/guard_test.go
+++ b/basilcross/grant/guard_test.go
@@ -26,9 +26,9 @@
 
 var fullRange = grant.Grant{First: 0, Last: 99, Epoch: 3}
 
-// A target is frozen while a request runs, its lease lapses, and it goes on as
-// if nothing had happened. The request was admitted, but its effect is
-// refused, since another target may own the key by then.
+// A target process is frozen while a request runs, and resumes after its lease
+// expired. Commit must refuse the effect of the admitted request, since another
+// target may own the key by then.
 func TestFrozenTargetDoesNotCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := grant.Guard{Incarnation: "i"}
@@ -37,15 +37,15 @@
 		a, err := g.Admit(time.Now(), 5, 3)
 		assert.NilError(t, err)
 		time.Sleep(2 * time.Second)
-		err = a.Commit(func(time.Time) { t.Error("the effect must not take place") })
+		err = a.Commit(func(time.Time) { t.Error("the effect ran after the lease expired") })
 		assert.Equal(t, reasonOf(t, err), grant.LeaseExpired)
 		a.Done()
 	})
 }
 
-// A renewal is held up in the network for longer than its lease. Its sender
-// has waited the lease out and the shard may have another owner, so the late
-// renewal must not revive the lease.
+// A renewal is delayed in the network for longer than its lease. Its sender has
+// waited for the lease's end and the shard may have another owner, so the late
+// renewal must not extend the lease.
 func TestLateRenewalGivesNoLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := grant.Guard{Incarnation: "i"}
@@ -58,8 +58,8 @@
 }
 
 // A shard is revoked while a request for it runs. New requests are refused as
-// moved, the running one finishes, and only then is the shard drained. A
-// gateway that still has the older version cannot bring the grant back.
+// moved, the running one may commit, and only after it is the shard drained. A
+// gateway with the older version must not be able to restore the grant.
 func TestRevocationLetsRunningRequestsFinish(t *testing.T) {
 	g := grant.Guard{Incarnation: "i"}
 	now := time.Now()
@@ -75,12 +75,12 @@
 	assert.NilError(t, a.Commit(func(time.Time) {}))
 	a.Done()
 	s = g.Apply(now, newOrder(s, 1, fullRange))
-	assert.Assert(t, !s.Renewed, "an order of an older version must be refused")
+	assert.Assert(t, !s.Renewed, "an order with an older version renewed the lease")
 	assert.DeepEqual(t, s.Drained, []grant.Drained{{First: 0, Epoch: 3}})
 }
 
-// A gateway has an assignment in which this target still owned the key under
-// an earlier epoch, or another epoch of its own. Both are refused.
+// A gateway sends requests by an outdated assignment: under an earlier epoch, or
+// for a key outside the target's grants. Both must be refused.
 func TestOtherEpochIsRefused(t *testing.T) {
 	g := grant.Guard{Incarnation: "i"}
 	now := time.Now()
@@ -92,8 +92,8 @@
 }
 
 // A shard is split while a request for its upper half runs, and the upper half
-// moves. It is drained only when that request has finished, although another
-// grant had admitted it.
+// moves. It must not be reported as drained before that request ends, although
+// another grant admitted it.
 func TestSplitShardIsNotDrainedTooEarly(t *testing.T) {
 	g := grant.Guard{Incarnation: "i"}
 	now := time.Now()
