--- a/basilcross/platform/platform.go
+++ b/basilcross/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform reaches the platform's table service, object store and
-// instance list over HTTP. It is a thin adapter: another platform needs
-// another one, and nothing else changes.
+// Package platform is the HTTP client of the platform's table service, object
+// store and instance list. Supporting another platform needs a replacement of
+// this package only.
 package platform
 
 import (
@@ -26,10 +26,10 @@
 	InstancesPath = "/instances"
 )
 
-// maxResponseBytes bounds what is read of one answer.
+// maxResponseBytes bounds the bytes read of one response body.
 const maxResponseBytes = 64 << 20
 
-// Instance is an entry of the platform's instance list, which lags.
+// Instance is an entry of the platform's instance list. The list may be outdated.
 type Instance struct {
 	ID      string `json:"id"`
 	Zone    string `json:"zone"`
@@ -43,24 +43,24 @@
 	Leaving bool   `json:"leaving,omitempty"`
 }
 
-// Roles of instances.
+// Values of Instance.Role.
 const (
 	GatewayRole = "gateway"
 	TargetRole  = "target"
 )
 
-// StatusError is an answer other than 200.
+// StatusError is returned for a response with a status other than 200.
 type StatusError struct {
 	Path   string
 	Status int
 }
 
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("platform answered %d to %s", e.Status, e.Path)
+	return fmt.Sprintf("platform returned status %d for %s", e.Status, e.Path)
 }
 
-// Client reaches the platform at Base, such as "http://10.0.0.1:7000". A zero
-// HTTP field uses http.DefaultClient.
+// Client sends requests to the platform at BaseURL, such as
+// "http://10.0.0.1:7000". A nil HTTPClient means http.DefaultClient.
 type Client struct {
 	BaseURL    string
 	HTTPClient *http.Client
@@ -70,25 +70,26 @@
 	instances []Instance
 }
 
-// Transact carries out a table transaction.
+// Transact runs a table transaction. If no connection could be opened, the error
+// is a *table.NotSentError; after any other error the transaction may have run.
 func (c *Client) Transact(ctx context.Context, tx table.Transaction) (table.Result, error) {
 	var res table.Result
 	err := c.callJSON(ctx, http.MethodPost, TransactPath, tx, &res)
 	if err == nil {
 		return res, nil
 	}
-	var dial *net.OpError
-	if errors.As(err, &dial) && dial.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return res, &table.NotSentError{Cause: err}
 	}
-	return res, fmt.Errorf("transact: %w", err)
+	return res, fmt.Errorf("send transaction to %s: %w", c.BaseURL, err)
 }
 
-// Get returns an object's content.
+// Get returns an object's content, or an object.NotFoundError.
 func (c *Client) Get(ctx context.Context, name string) ([]byte, error) {
 	content, err := c.send(ctx, http.MethodGet, ObjectPath+url.PathEscape(name), nil)
-	var status *StatusError
-	if errors.As(err, &status) && status.Status == http.StatusNotFound {
+	var statusErr *StatusError
+	if errors.As(err, &statusErr) && statusErr.Status == http.StatusNotFound {
 		return nil, &object.MissingError{Name: name}
 	}
 	return content, err
@@ -100,19 +101,19 @@
 	return err
 }
 
-// Instances returns the platform's list of instances. A list that has not
-// changed is not sent again.
+// Instances returns the platform's list of instances. By its ETag an unchanged
+// list is not transferred again.
 func (c *Client) Instances(ctx context.Context) ([]Instance, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.BaseURL+InstancesPath, nil)
 	if err != nil {
-		return nil, fmt.Errorf("instances: %w", err)
+		return nil, fmt.Errorf("create request for the instance list: %w", err)
 	}
 	req.Header.Set("If-None-Match", c.etag)
 	res, err := c.httpClient().Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("instances: %w", err)
+		return nil, fmt.Errorf("request instance list: %w", err)
 	}
 	defer func() { _ = res.Body.Close() }()
 	switch res.StatusCode {
@@ -124,7 +125,7 @@
 	}
 	var list []Instance
 	if err := json.NewDecoder(io.LimitReader(res.Body, maxResponseBytes)).Decode(&list); err != nil {
-		return nil, fmt.Errorf("instances: %w", err)
+		return nil, fmt.Errorf("decode instance list from %s: %w", c.BaseURL, err)
 	}
 	c.instances, c.etag = list, res.Header.Get("ETag")
 	return list, nil
@@ -142,15 +143,15 @@
 	if in != nil {
 		var err error
 		if content, err = json.Marshal(in); err != nil {
-			return fmt.Errorf("encode: %w", err)
+			return fmt.Errorf("encode request to %s: %w", path, err)
 		}
 	}
-	answer, err := c.send(ctx, method, path, content)
+	response, err := c.send(ctx, method, path, content)
 	if err != nil {
 		return err
 	}
-	if err := json.Unmarshal(answer, out); err != nil {
-		return fmt.Errorf("decode answer: %w", err)
+	if err := json.Unmarshal(response, out); err != nil {
+		return fmt.Errorf("decode response of %s: %w", path, err)
 	}
 	return nil
 }
@@ -158,7 +159,7 @@
 func (c *Client) send(ctx context.Context, method, path string, content []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.BaseURL+path, bytes.NewReader(content))
 	if err != nil {
-		return nil, fmt.Errorf("request: %w", err)
+		return nil, fmt.Errorf("create %s request for %s: %w", method, path, err)
 	}
 	res, err := c.httpClient().Do(req)
 	if err != nil {
