--- a/basilcross/examples/takeover/main.go
+++ b/basilcross/examples/takeover/main.go
@@ -1,6 +1,6 @@
-// Command takeover embeds parts of the library in a program of its own: a
-// planner, two targets with guards, and renewals. One target stops answering,
-// its lease ends, and the other one takes its shards over.
+// Command takeover embeds the library in a single program: a planner, two
+// targets with guards, and lease renewals. One target gets no more renewals, its
+// lease expires, and the other target takes over its shards.
 package main
 
 import (
@@ -17,14 +17,14 @@
 	"basilcross.example/basilcross/zone"
 )
 
-// leaseDuration is short, so that the program ends soon.
+// leaseDuration is short to keep the program's run time short.
 const leaseDuration = 200 * time.Millisecond
 
 func main() {
 	run(os.Stdout)
 }
 
-// fleet is two targets in this process, in place of servers elsewhere.
+// fleet is two targets within this process, in place of remote servers.
 type fleet struct {
 	current *assignment.Assignment
 	guards  map[string]*grant.Guard
@@ -46,8 +46,8 @@
 	key := f.keyOwnedBy("t1")
 	fmt.Fprintln(out, key, "is served by", f.serve(key))
 
-	// t1 gets no renewals any more. Only after its lease has ended may the
-	// planner hear of it.
+	// t1 is no longer renewed. It may be reported to the planner as released
+	// only after its lease has expired.
 	time.Sleep(2 * leaseDuration)
 	fmt.Fprintln(out, "t1 would answer:", f.handle("t1", key))
 	input.Released = []zone.Release{{Target: "t1", Generation: 1}}
@@ -56,8 +56,8 @@
 	fmt.Fprintln(out, key, "is served by", f.serve(key))
 }
 
-// renew gives targets their lease and grants. A target must have issued a
-// stamp before, which the first order asks for.
+// renew sends targets their lease and grants. The first, empty order requests
+// the stamp that the second one needs.
 func (f *fleet) renew(targets ...string) {
 	for _, id := range targets {
 		t, _ := f.current.Target(id)
@@ -81,7 +81,7 @@
 	return s
 }
 
-// keyOwnedBy returns a key that a target owns.
+// keyOwnedBy returns a key that the target owns.
 func (f *fleet) keyOwnedBy(target string) string {
 	for i := 0; ; i++ {
 		if key := fmt.Sprint("book-", i); f.findShard(key).Owner == target {
@@ -96,7 +96,7 @@
 	return owner + ": " + f.handle(owner, key)
 }
 
-// handle is what a target does with a request.
+// handle runs a request for the key on the target, as a server would.
 func (f *fleet) handle(target, key string) string {
 	s := f.findShard(key)
 	admission, err := f.guards[target].Admit(time.Now(), shard.Hash("shelf", key), s.Epoch)
