--- a/basilcross/internal/chainmodel/chainmodel.go
+++ b/basilcross/internal/chainmodel/chainmodel.go
@@ -1,20 +1,20 @@
-// Package chainmodel checks the chain of leases below a zone's seat: leader,
-// gateway, target. What must never be seen: a target's lease runs after the
+// Package chainmodel is a model checker for the chain of leases below a zone's
+// seat: leader, gateway, target. Invariant: no target's lease is valid after the
 // leader's authority has ended, when the zone's shards may have new owners.
 package chainmodel
 
-// Rules switches single rules off, to see whether the search misses them.
+// Rules switches off single rules, to test that the search detects each omission.
 type Rules struct {
-	// PollFromReceipt counts the gateway's authority from the answer's arrival.
+	// PollFromReceipt counts the gateway's authority from the response's arrival.
 	PollFromReceipt bool
 	// LeaseFromReceipt counts the target's lease from the order's arrival.
 	LeaseFromReceipt bool
-	// IgnoreDrift leaves out the allowance for slow clocks.
+	// IgnoreDrift omits the allowance for slow clocks.
 	IgnoreDrift bool
-	// NoRecheck lets a gateway look at its authority, be paused, and then
-	// send a request to a target that does not check.
+	// NoRecheck lets a gateway check its authority, be paused, and then send a
+	// request to a target that checks no grants.
 	NoRecheck bool
-	// UnboundedLease gives a lease of full length whatever authority is left.
+	// UnboundedLease grants the full lease regardless of the authority left.
 	UnboundedLease bool
 }
 
@@ -25,26 +25,27 @@
 	none        = -1
 )
 
-// state is one state of the model; all clocks are relative and bounded.
+// state is one state of the model. Its clocks are in ticks, relative and bounded;
+// the fields ending in Left are the authority or lease that is left.
 type state struct {
 	leaderLeft int8
-	// pollAge counts from the sending of a poll; answer is what it brings.
+	// pollAge counts from the sending of a poll; response is the authority in it.
 	pollAge     int8
 	response    int8
 	gatewayLeft int8
-	// stampAge counts from the target's issuing, heldAge from the gateway's
-	// receiving of the stamp.
+	// stampAge counts from when the target issued the stamp, receivedAge from
+	// when the gateway received it.
 	stampAge    int8
 	receivedAge int8
-	// orderLease is the lease in an order under way, for a stamp of this age.
+	// orderLease is the lease in an order in flight, orderStampAge its stamp's age.
 	orderLease    int8
 	orderStampAge int8
 	targetLeft    int8
-	// checked is set between a look at the authority and the request that it
-	// allows; routed after a request was sent without authority.
+	// checked is set between a check of the authority and the request that it
+	// allows; routed is set once a request was sent after such a check.
 	checked bool
 	routed  bool
-	// slips are clock errors left, one for each of the two clocks.
+	// Each of the two clocks may be slow by one tick, once.
 	gatewaySlowed bool
 	targetSlowed  bool
 }
@@ -55,9 +56,9 @@
 	queue []state
 }
 
-// Search looks at every reachable state and tells how many there are and
-// whether a target outlives its leader in one of them.
-func Search(r Rules) (states int, broken bool) {
+// Search checks every reachable state, until one violates the invariant. It
+// returns the number of states checked and whether one did.
+func Search(r Rules) (states int, violated bool) {
 	s := &search{Rules: r, seen: map[state]bool{}}
 	s.add(state{leaderLeft: leaderTicks, pollAge: none, response: none, stampAge: none, receivedAge: none, orderLease: none})
 	for i := 0; i < len(s.queue); i++ {
@@ -149,7 +150,7 @@
 }
 
 func (s *search) renew(at state) {
-	// The target issues a stamp, or the gateway receives it.
+	// The target issues a stamp, and the gateway receives it.
 	if at.stampAge == none {
 		next := at
 		next.stampAge = 0
@@ -166,8 +167,8 @@
 	if at.gatewayLeft == 0 {
 		return
 	}
-	// A pause between here and the arrival is time under way like any other:
-	// the lease counts from the stamp, so no second look is needed.
+	// A pause between here and the arrival is a delay like any other: the lease
+	// counts from the stamp, so no second check is needed.
 	next := at
 	next.orderLease, next.orderStampAge = s.leaseLength(at), at.stampAge
 	next.stampAge, next.receivedAge = none, none
@@ -175,11 +176,11 @@
 	s.deliver(next)
 }
 
-// route sends a request to a target that does not check.
+// route sends a request to a target that checks no grants.
 func (s *search) route(at state) {
 	if !s.NoRecheck {
-		// Look and act are one step; that the authority is never too long is
-		// looked at in every state.
+		// Check and act are one step; Search checks in every state that the
+		// authority has not outlasted the leader's.
 		return
 	}
 	next := at
@@ -198,10 +199,9 @@
 	return min(maxLease, at.gatewayLeft+at.receivedAge)
 }
 
-// deliver delivers an order at once; the waiting in between is the time that
-// passes with the order under way.
+// deliver adds the states after an order's arrival with each possible delay.
 func (s *search) deliver(at state) {
-	for wait := int8(0); wait <= leaderTicks; wait++ {
+	for delay := int8(0); delay <= leaderTicks; delay++ {
 		next := at
 		age := next.orderStampAge
 		if s.LeaseFromReceipt {
@@ -210,7 +210,7 @@
 		next.targetLeft = max(next.targetLeft, next.orderLease-age-s.driftAllowance())
 		next.orderLease, next.orderStampAge = none, 0
 		s.add(next)
-		// One more tick under way.
+		// One more tick of delay.
 		at.leaderLeft, at.gatewayLeft, at.targetLeft = countDown(at.leaderLeft), countDown(at.gatewayLeft), countDown(at.targetLeft)
 		at.orderStampAge, at.pollAge = countUp(at.orderStampAge), countUp(at.pollAge)
 	}
--- a/basilcross/internal/chainmodel/chainmodel_test.go
+++ b/basilcross/internal/chainmodel/chainmodel_test.go
@@ -7,11 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// With all rules no target's lease outlives its leader's authority, whatever
-// the delays and slow clocks; without any one of them, one does.
+// With all rules no target's lease outlasts its leader's authority, for any
+// delays and slow clocks. Without any one rule, some target's lease does.
 func TestChainOfLeases(t *testing.T) {
-	states, broken := chainmodel.Search(chainmodel.Rules{})
-	assert.Assert(t, !broken)
+	states, violated := chainmodel.Search(chainmodel.Rules{})
+	assert.Assert(t, !violated)
 	assert.Assert(t, states > 1000, "only %d states", states)
 	t.Logf("all rules: %d states", states)
 	for name, rules := range map[string]chainmodel.Rules{
@@ -22,8 +22,8 @@
 		"lease of full length":       {UnboundedLease: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			states, broken := chainmodel.Search(rules)
-			assert.Assert(t, broken, "not caught in %d states", states)
+			states, violated := chainmodel.Search(rules)
+			assert.Assert(t, violated, "no violation found in %d states", states)
 		})
 	}
 }
--- a/basilcross/internal/seatmodel/seatmodel.go
+++ b/basilcross/internal/seatmodel/seatmodel.go
@@ -1,20 +1,20 @@
-// Package seatmodel checks the rules by which a zone's seat is held, extended
-// during outages, and taken away: an abstract model is searched exhaustively
-// in a small scope.
+// Package seatmodel is a model checker for the rules by which a zone's seat is
+// held, extended during outages of the table, and claimed after an eviction. It
+// searches every state of an abstract model in a small scope.
 //
 // The model has one seat with a holder, three other zones' leaders, and one
-// evictor. Time passes in ticks; messages take any time and may be lost; the
-// other leaders may hand over to successors without memory; the holder's clock
-// may run slow and the evictor's fast, within the drift allowed for; the
-// holder may be paused between a check and the act that it allows. What must
-// never be seen: the seat is taken while its earlier holder still acts.
+// evictor. Time passes in ticks; messages may be delayed without bound or lost;
+// other leaders may hand over to successors without state; the holder's clock
+// may run slow and the evictor's fast, within the tolerated drift; the holder may
+// be paused between a check of its authority and the act that the check allows.
+// Invariant: the seat is never claimed while its previous holder still acts.
 package seatmodel
 
 import (
 	"slices"
 )
 
-// Rules switches single rules off, to see whether the search misses them.
+// Rules switches off single rules, to test that the search detects each omission.
 type Rules struct {
 	CountFromReceipt     bool
 	FewerConfirmations   bool
@@ -30,7 +30,8 @@
 	ExtendAfterRefrain   bool
 }
 
-// The scope. Holding and waiting differ by the drift.
+// Parameters of the model: durations in ticks, and quorums of the other leaders.
+// Observers wait for leaseTicks + drift before they act.
 const (
 	leaseTicks   = 2
 	drift        = 1
@@ -40,19 +41,19 @@
 	maxAge       = leaseTicks + drift
 )
 
-// scope bounds how often things happen in one history.
+// scope bounds how often each event occurs in one history.
 type scope struct {
 	renewals, rounds, handovers, attempts uint8
 }
 
 var (
-	// small is searched as a whole.
+	// small is searched exhaustively.
 	small = scope{renewals: 1, rounds: 2, handovers: 1, attempts: 1}
-	// wide is walked at random.
+	// wide is for random walks.
 	wide = scope{renewals: 100, rounds: 100, handovers: 100, attempts: 50}
 )
 
-// stage is where a request and its answer are.
+// stage is how far a request and its response are.
 type stage uint8
 
 const (
@@ -65,21 +66,22 @@
 
 // leader is another zone's leader.
 type leader struct {
-	// extendedFor and confirmFrom are ticks left.
+	// extendedFor is the ticks left of the extension that it granted; confirmWait
+	// the ticks until it may confirm an eviction, as a successor.
 	extendedFor int8
 	confirmWait int8
-	// refrainBound is the row version that it no longer extends, plus one.
+	// refrainBound and intentBound are one above the row version at which it
+	// refrained or read an intent. It extends no holder that observed less.
 	refrainBound uint8
-	// intentBound is the row version that it read with an intent, plus one.
-	intentBound uint8
-	// extension is the holder's request to it in the present round.
+	intentBound  uint8
+	// extension is the stage of the holder's request to it in the current round.
 	extension stage
-	// claimWait is what the evictor still waits for its promises, -1 before the
-	// confirmation.
+	// claimWait is the ticks until the evictor may count its confirmation, when
+	// its extensions have expired; -1 before the confirmation.
 	claimWait int8
 }
 
-// evictorPhase is how far the evictor is.
+// evictorPhase is the phase of the evictor's current attempt.
 type evictorPhase uint8
 
 const (
@@ -87,18 +89,18 @@
 	collecting
 	claiming
 	claimed
-	// defeated is the end of an attempt that a renewal defeated.
+	// defeated: the claiming write failed, since the holder had renewed.
 	defeated
 )
 
-// state is one state of the model. It is comparable, and all its clocks are
-// relative, so the search ends.
+// state is one state of the model. It is comparable, and its clocks are relative
+// and bounded, so the search terminates.
 type state struct {
 	version   uint8
 	newHolder bool
 	intent    bool
 
-	// authority is what the holder believes to have left.
+	// authority is the ticks left of the holder's authority by its own clock.
 	authority      int8
 	observed       uint8
 	renewal        stage
@@ -121,7 +123,7 @@
 	holderSlowed bool
 }
 
-// model is the search's rules.
+// model is the state machine under the given rules and scope.
 type model struct {
 	Rules
 	scope
@@ -146,7 +148,8 @@
 	return s
 }
 
-// violated tells whether two hold the seat, or the earlier holder has acted.
+// violated reports whether the seat was claimed while the previous holder has
+// authority, or whether that holder acted after the claim.
 func (s state) violated() bool {
 	return s.acted || s.newHolder && s.authority > 0
 }
@@ -154,14 +157,14 @@
 // Result is the outcome of a search.
 type Result struct {
 	States int
-	// Trace is the shortest way to a state with two holders; nil if none is
-	// reachable.
+	// Trace is the shortest sequence of steps to a state with two holders; nil if
+	// none is reachable.
 	Trace []string
-	// Complete is false if the limit ended the search.
+	// Complete is false if the search stopped at its limit of states.
 	Complete bool
 }
 
-// Search looks at every reachable state, at most limit.
+// Search checks the reachable states breadth-first, and stops at limit states.
 func Search(r Rules, limit int) Result {
 	m := model{r, small}
 	first := m.initial()
@@ -172,7 +175,7 @@
 	parents := []int32{-1}
 	for i := 0; i < len(queue); i++ {
 		for _, next := range m.successors(queue[i]) {
-			if _, known := seen[next.next]; known {
+			if _, visited := seen[next.next]; visited {
 				continue
 			}
 			seen[next.next] = int32(len(queue))
@@ -199,8 +202,8 @@
 	return steps
 }
 
-// Walk takes steps that pick chooses among n possible ones, and returns the way
-// to two holders if it finds them.
+// Walk takes the given number of steps, each chosen by pick among n possible
+// ones. It returns the steps to a state with two holders, or nil if none occurs.
 func Walk(r Rules, steps int, pick func(n int) int) []string {
 	m := model{r, wide}
 	at := m.initial()
--- a/basilcross/internal/seatmodel/steps.go
+++ b/basilcross/internal/seatmodel/steps.go
@@ -1,12 +1,12 @@
 package seatmodel
 
-// step is one successor with the name of what happened.
+// step is a successor state with the name of the event that leads to it.
 type step struct {
 	name string
 	next state
 }
 
-// successors returns every state that may follow.
+// successors returns every possible next step.
 func (m model) successors(s state) []step {
 	if s.evictor == defeated {
 		return nil
@@ -27,8 +27,8 @@
 	return out
 }
 
-// canonicalize forgets what can no longer matter and orders the leaders, who are
-// alike.
+// canonicalize clears what no longer affects the search and sorts the leaders,
+// which are interchangeable.
 func (m model) canonicalize(s *state) {
 	l := &s.leaders
 	if m.attempts == 1 {
@@ -44,8 +44,8 @@
 	}
 }
 
-// dropConfirmed drops what matters only to a confirmation that was given
-// already. With another attempt to come it would matter again.
+// dropConfirmed clears fields that only affect confirmations already received.
+// It is valid only without another attempt, which would need them again.
 func (s *state) dropConfirmed() {
 	l := &s.leaders
 	for i := range l {
@@ -58,7 +58,7 @@
 	}
 }
 
-// rank packs a leader into a number, of which only the order matters.
+// rank encodes a leader as a number for sorting.
 func (l leader) rank() uint64 {
 	rank := uint64(0)
 	for _, field := range [...]uint8{
@@ -110,7 +110,7 @@
 	countDown(&s.tableWait)
 }
 
-// gainAuthority counts authority from the sending of the request that gained it.
+// gainAuthority counts authority from when the request that gained it was sent.
 func (m model) gainAuthority(s *state, age int8) {
 	if m.CountFromReceipt {
 		age = 0
@@ -130,8 +130,8 @@
 		add("holder reads the row", func(s *state) { s.observed = s.version })
 	}
 	if !m.NoRecheck {
-		// With the check repeated at the act, it is enough to look at the
-		// authority itself.
+		// The check is repeated at the act, so it suffices that violated checks
+		// the authority in every state.
 		return
 	}
 	if s.authority > 0 && !s.checked {
@@ -145,9 +145,9 @@
 	}
 }
 
-// renewalSteps delivers the renewal and its answer. An answer that is later
-// brings the same end of authority, so it arrives at once unless a rule that
-// depends on its time is switched off.
+// renewalSteps delivers the renewal and its response. The end of authority does
+// not depend on when the response arrives, so it arrives at once unless a rule
+// that depends on that time is switched off.
 func (m model) renewalSteps(s state, add addFunc) {
 	late := m.CountFromReceipt || m.SkipReadBack
 	if s.renewal == requested {
@@ -159,10 +159,10 @@
 		})
 	}
 	if s.renewal == granted || s.renewal == refused {
-		add("answer to the renewal arrives", m.receiveRenewal)
+		add("response to the renewal arrives", m.receiveRenewal)
 	}
 	if s.renewal != idle && m.SkipReadBack {
-		add("answer to the renewal is lost", m.assumeRenewed)
+		add("response to the renewal is lost", m.assumeRenewed)
 	}
 }
 
@@ -183,7 +183,7 @@
 	s.version++
 	s.intent = false
 	s.renewalVersion = s.version
-	// The earliest moment at which the evictor can see it; later is safer.
+	// The earliest time at which the evictor can observe it; later is safer.
 	s.tableWait = m.waitTicks()
 }
 
@@ -194,7 +194,7 @@
 
 func (m model) extensionSteps(s state, add addFunc) {
 	if s.roundAge < 0 && s.rounds < m.rounds && !s.acted {
-		add("holder asks all leaders for extension", func(s *state) {
+		add("holder requests an extension from all leaders", func(s *state) {
 			s.roundAge = 0
 			s.rounds++
 			for i := range s.leaders {
@@ -208,14 +208,14 @@
 	for i := range s.leaders {
 		switch s.leaders[i].extension {
 		case requested:
-			add("a leader extends the holder", func(s *state) {
+			add("a leader grants the holder an extension", func(s *state) {
 				m.applyExtension(s, i)
 				if !m.CountFromReceipt {
 					m.receiveExtension(s, i)
 				}
 			})
 		case granted:
-			add("holder gets an extension", func(s *state) { m.receiveExtension(s, i) })
+			add("holder receives an extension", func(s *state) { m.receiveExtension(s, i) })
 		default:
 		}
 	}
@@ -279,10 +279,10 @@
 		})
 	case collecting:
 		if m.mayClaim(s) {
-			add("evictor sends the taking write", func(s *state) { s.evictor = claiming })
+			add("evictor sends the claiming write", func(s *state) { s.evictor = claiming })
 		}
 	case claiming:
-		add("taking write reaches the table", func(s *state) {
+		add("claiming write reaches the table", func(s *state) {
 			s.evictor = defeated
 			if s.attempts++; s.attempts < m.attempts {
 				s.resetAttempt()
@@ -298,7 +298,7 @@
 	}
 }
 
-// resetAttempt lets the evictor begin anew.
+// resetAttempt lets the evictor start another attempt.
 func (s *state) resetAttempt() {
 	s.evictor = watching
 	for i := range s.leaders {
@@ -320,8 +320,8 @@
 	return ready >= needed && (s.tableWait == 0 || m.NoTableWait)
 }
 
-// refrainSteps delivers requests and confirmations at once: a later one makes the
-// evictor wait longer.
+// refrainSteps delivers requests to refrain and their confirmations at once: a
+// later delivery only makes the evictor wait longer.
 func (m model) refrainSteps(s state, add addFunc) {
 	if s.evictor != collecting {
 		return
@@ -341,9 +341,9 @@
 	}
 }
 
-// handoverSteps lets a leader hand over to one without memory, who reads
-// all rows in the transaction that gains the seat. Promises made before still
-// count for the holder.
+// handoverSteps lets a leader hand over to a successor without state, which reads
+// all rows in the transaction that claims its seat. Extensions granted before
+// remain valid for the holder.
 func (m model) handoverSteps(s state, add addFunc) {
 	if s.handovers >= m.handovers {
 		return
--- a/basilcross/internal/seed/seed.go
+++ b/basilcross/internal/seed/seed.go
@@ -1,4 +1,4 @@
-// Package seed fixes the seed of random histories in tests.
+// Package seed sets a fixed seed for property tests with random inputs.
 package seed
 
 import (
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Main runs a package's tests with a fixed seed, so that they give the same
-// verdict each time. Another seed is tried by -rapid.seed.
+// Main runs a package's tests with a fixed seed, so that their result is
+// reproducible. The flag -rapid.seed sets another seed.
 func Main(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed != nil && seed.Value.String() == "0" {
