--- a/basilcross/dispatch/compare_test.go
+++ b/basilcross/dispatch/compare_test.go
@@ -15,29 +15,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// load is a series of requests and the targets that serve them. It stands for a
+// workload is a series of requests and the targets that serve them. It stands for a
 // heavy day: twelve targets with three slots, the slowest three times as slow
 // as the fastest, and half as many requests again in the middle third.
-type load struct {
-	// at and work are when each request comes, and how long an average target
+type workload struct {
+	// arrivals and work are when each request comes, and how long an average target
 	// works on it.
-	at, work []time.Duration
-	// slow is how long each target needs for the work of an average one.
-	slow []float64
+	arrivals, work []time.Duration
+	// slowness is how long each target needs for the work of an average one.
+	slowness []float64
 }
 
 const (
 	loadSlots     = 3
 	loadObjective = 600 * time.Millisecond
-	loadLatest    = 4 * time.Second
+	loadDeadline  = 4 * time.Second
 )
 
-func heavyLoad(seed uint64) load {
+func heavyWorkload(seed uint64) workload {
 	random := rand.New(rand.NewPCG(seed, 9))
-	l := load{slow: []float64{0.6, 0.7, 0.7, 0.8, 0.9, 1, 1, 1.1, 1.2, 1.4, 1.6, 1.8}}
+	l := workload{slowness: []float64{0.6, 0.7, 0.7, 0.8, 0.9, 1, 1, 1.1, 1.2, 1.4, 1.6, 1.8}}
 	const mean = 0.22
 	capacity := 0.0
-	for _, s := range l.slow {
+	for _, s := range l.slowness {
 		capacity += loadSlots / s / mean
 	}
 	const requests = 3000
@@ -48,22 +48,22 @@
 			rate *= 1.5
 		}
 		now += random.ExpFloat64() / rate
-		l.at = append(l.at, time.Duration(now*float64(time.Second)))
+		l.arrivals = append(l.arrivals, time.Duration(now*float64(time.Second)))
 		l.work = append(l.work, time.Duration((0.5+random.Float64())*mean*float64(time.Second)))
 	}
 	return l
 }
 
-// served is the share of requests answered within the objective by a way that
+// goodput is the share of requests answered within the objective by a way that
 // picks a target for each request when it comes, and lets it wait there.
-func (l *load) served(pick func(i int, free [][]time.Duration) int) float64 {
+func (l *workload) goodput(pick func(i int, free [][]time.Duration) int) float64 {
 	// free is when each slot of each target is free again.
-	free := make([][]time.Duration, len(l.slow))
+	free := make([][]time.Duration, len(l.slowness))
 	for t := range free {
 		free[t] = make([]time.Duration, loadSlots)
 	}
 	good := 0
-	for i, at := range l.at {
+	for i, at := range l.arrivals {
 		t := pick(i, free)
 		first := 0
 		for s := range free[t] {
@@ -71,25 +71,25 @@
 				first = s
 			}
 		}
-		end := max(at, free[t][first]) + time.Duration(float64(l.work[i])*l.slow[t])
+		end := max(at, free[t][first]) + time.Duration(float64(l.work[i])*l.slowness[t])
 		free[t][first] = end
 		if end-at <= loadObjective {
 			good++
 		}
 	}
-	return float64(good) / float64(len(l.at))
+	return float64(good) / float64(len(l.arrivals))
 }
 
-// limit is the same for one queue that knows each target's speed and each
+// idealGoodput is the same for one queue that knows each target's speed and each
 // request's work: the fastest free slot goes to the oldest request that makes
 // its objective there, and the others are dropped. Not the best order there is,
 // but more than anybody can know.
-func (l *load) limit() float64 {
+func (l *workload) idealGoodput() float64 {
 	var ends durations
 	type slot struct{ target int }
 	var idle []slot
 	busy := map[time.Duration][]slot{}
-	for t := range l.slow {
+	for t := range l.slowness {
 		for range loadSlots {
 			idle = append(idle, slot{t})
 		}
@@ -100,14 +100,14 @@
 		for len(idle) > 0 && len(waiting) > 0 {
 			best := 0
 			for i := range idle {
-				if l.slow[idle[i].target] < l.slow[idle[best].target] {
+				if l.slowness[idle[i].target] < l.slowness[idle[best].target] {
 					best = i
 				}
 			}
 			i := waiting[0]
 			waiting = waiting[1:]
-			end := now + time.Duration(float64(l.work[i])*l.slow[idle[best].target])
-			if end-l.at[i] > loadObjective {
+			end := now + time.Duration(float64(l.work[i])*l.slowness[idle[best].target])
+			if end-l.arrivals[i] > loadObjective {
 				continue
 			}
 			good++
@@ -124,13 +124,13 @@
 			admit(end)
 		}
 	}
-	for i, at := range l.at {
+	for i, at := range l.arrivals {
 		free(at)
 		waiting = append(waiting, i)
 		admit(at)
 	}
 	free(time.Hour)
-	return float64(good) / float64(len(l.at))
+	return float64(good) / float64(len(l.arrivals))
 }
 
 type durations []time.Duration
@@ -146,27 +146,27 @@
 	return last
 }
 
-// dispatched is the same for the dispatcher, in virtual time.
-func (l *load) dispatched(t *testing.T) (share float64) {
+// dispatcherGoodput is the same for the dispatcher, in virtual time.
+func (l *workload) dispatcherGoodput(t *testing.T) (share float64) {
 	synctest.Test(t, func(t *testing.T) {
 		var targets []*roster.Target
 		slots := map[string]chan bool{}
 		slow := map[string]float64{}
-		for i, s := range l.slow {
+		for i, s := range l.slowness {
 			id := fmt.Sprintf("t%02d", i)
 			targets = append(targets, &roster.Target{ID: id, Slots: loadSlots})
 			slots[id], slow[id] = make(chan bool, loadSlots), s
 		}
-		d := dispatcher(targets...)
+		d := newDispatcher(targets...)
 		began := time.Now()
 		var group sync.WaitGroup
 		var mu sync.Mutex
 		good := 0
-		for i, at := range l.at {
+		for i, at := range l.arrivals {
 			time.Sleep(at - time.Since(began))
 			group.Go(func() {
 				came := time.Now()
-				a := schedule.Request{Service: "s", Zone: "z", Priority: 2, Objective: came.Add(loadObjective), Deadline: came.Add(loadLatest)}
+				a := schedule.Request{Service: "s", Zone: "z", Priority: 2, Objective: came.Add(loadObjective), Deadline: came.Add(loadDeadline)}
 				p, err := d.Acquire(context.Background(), a)
 				if err != nil {
 					return
@@ -183,30 +183,30 @@
 			})
 		}
 		group.Wait()
-		share = float64(good) / float64(len(l.at))
+		share = float64(good) / float64(len(l.arrivals))
 	})
 	return share
 }
 
-// leastOutstanding picks, for each of several instances that see only their own
+// leastOutstandingGoodput picks, for each of several instances that see only their own
 // requests, the target with the fewest of them under way.
-func (l *load) leastOutstanding(instances int) float64 {
+func (l *workload) leastOutstandingGoodput(instances int) float64 {
 	type sent struct {
 		target int
 		end    time.Duration
 	}
 	own := make([][]sent, instances)
-	return l.served(func(i int, free [][]time.Duration) int {
+	return l.goodput(func(i int, free [][]time.Duration) int {
 		me := i % instances
-		count := make([]int, len(l.slow))
+		count := make([]int, len(l.slowness))
 		var still []sent
 		for _, s := range own[me] {
-			if s.end > l.at[i] {
+			if s.end > l.arrivals[i] {
 				still = append(still, s)
 				count[s.target]++
 			}
 		}
-		best := i * 7 % len(l.slow)
+		best := i * 7 % len(l.slowness)
 		for t := range count {
 			if count[t] < count[best] {
 				best = t
@@ -216,7 +216,7 @@
 		for _, f := range free[best] {
 			first = min(first, f)
 		}
-		end := max(l.at[i], first) + time.Duration(float64(l.work[i])*l.slow[best])
+		end := max(l.arrivals[i], first) + time.Duration(float64(l.work[i])*l.slowness[best])
 		own[me] = append(still, sent{best, end})
 		return best
 	})
@@ -226,13 +226,13 @@
 // what one instance alone has under way, lets requests wait at one target while
 // another is free. One place that shares out the slots must come near to what a
 // queue that knows speeds and work ahead can do.
-func TestDispatcherComesNearTheLimit(t *testing.T) {
+func TestDispatcherApproachesIdealGoodput(t *testing.T) {
 	for seed := range uint64(3) {
-		l := heavyLoad(seed)
+		l := heavyWorkload(seed)
 		random := rand.New(rand.NewPCG(seed, 3))
-		atRandom := l.served(func(int, [][]time.Duration) int { return random.IntN(len(l.slow)) })
-		alone := l.leastOutstanding(6)
-		limit, mine := l.limit(), l.dispatched(t)
+		atRandom := l.goodput(func(int, [][]time.Duration) int { return random.IntN(len(l.slowness)) })
+		alone := l.leastOutstandingGoodput(6)
+		limit, mine := l.idealGoodput(), l.dispatcherGoodput(t)
 		t.Logf("seed %d: within the objective: at random %.3f, least outstanding of 6 instances %.3f, dispatcher %.3f, limit %.3f: %.2f of it",
 			seed, atRandom, alone, mine, limit, mine/limit)
 		assert.Assert(t, mine > alone && mine > atRandom)
--- a/basilcross/dispatch/dispatch.go
+++ b/basilcross/dispatch/dispatch.go
@@ -12,17 +12,17 @@
 	"basilcross.example/basilcross/schedule"
 )
 
-// recheck is how often waiting requests are looked at without any slot being
+// recheckInterval is how often waiting requests are looked at without any slot being
 // given back: pauses end and targets come by themselves.
-const recheck = 50 * time.Millisecond
+const recheckInterval = 50 * time.Millisecond
 
 // Dispatcher shares out the slots of targets. Roster must be set.
 type Dispatcher struct {
 	Roster *roster.Roster
 
-	mu       sync.Mutex
-	schedule schedule.Schedule
-	waiting  map[*schedule.Ticket]chan struct{}
+	mu        sync.Mutex
+	scheduler schedule.Scheduler
+	waiting   map[*schedule.Ticket]chan struct{}
 }
 
 // Reservation is a request's right to a target's slot. Release must be called
@@ -38,8 +38,8 @@
 // *schedule.BusyError, a *schedule.NoTargetError or the context's.
 func (d *Dispatcher) Acquire(ctx context.Context, r schedule.Request) (*Reservation, error) {
 	d.mu.Lock()
-	d.schedule.Roster = d.Roster
-	t, err := d.schedule.Enter(time.Now(), r)
+	d.scheduler.Roster = d.Roster
+	t, err := d.scheduler.Submit(time.Now(), r)
 	if err != nil || t.Target != nil {
 		d.mu.Unlock()
 		if err != nil {
@@ -61,9 +61,9 @@
 }
 
 func (d *Dispatcher) wait(ctx context.Context, t *schedule.Ticket, ready <-chan struct{}) (*Reservation, error) {
-	timer := time.NewTimer(time.Until(t.Until))
+	timer := time.NewTimer(time.Until(t.WaitUntil))
 	defer timer.Stop()
-	again := time.NewTicker(recheck)
+	again := time.NewTicker(recheckInterval)
 	defer again.Stop()
 	for {
 		select {
@@ -71,15 +71,15 @@
 			return d.reservation(t), nil
 		case <-again.C:
 			d.mu.Lock()
-			d.wake(d.schedule.Admit(time.Now(), t))
+			d.notify(d.scheduler.Admit(time.Now(), t))
 			d.mu.Unlock()
 		case <-timer.C:
 			if err := d.expire(t); err != nil {
 				return nil, err
 			}
-			timer.Reset(time.Until(t.Until))
+			timer.Reset(time.Until(t.WaitUntil))
 		case <-ctx.Done():
-			return d.withdraw(ctx, t)
+			return d.cancel(ctx, t)
 		}
 	}
 }
@@ -91,28 +91,28 @@
 	if t.Target != nil {
 		return nil
 	}
-	err := d.schedule.Expire(time.Now(), t)
+	err := d.scheduler.Expire(time.Now(), t)
 	if err != nil {
 		delete(d.waiting, t)
 	}
 	return err
 }
 
-// withdraw ends the wait of a ticket whose context is over. It may have got its
+// cancel ends the wait of a ticket whose context is over. It may have got its
 // slot at the same moment.
-func (d *Dispatcher) withdraw(ctx context.Context, t *schedule.Ticket) (*Reservation, error) {
+func (d *Dispatcher) cancel(ctx context.Context, t *schedule.Ticket) (*Reservation, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if t.Target != nil {
 		return d.reservation(t), nil
 	}
 	delete(d.waiting, t)
-	d.schedule.Withdraw(t)
+	d.scheduler.Cancel(t)
 	return nil, ctx.Err()
 }
 
-// wake tells requests that wait that they have a slot.
-func (d *Dispatcher) wake(placed []*schedule.Ticket) {
+// notify tells requests that wait that they have a slot.
+func (d *Dispatcher) notify(placed []*schedule.Ticket) {
 	for _, t := range placed {
 		d.waiting[t] <- struct{}{}
 		delete(d.waiting, t)
@@ -124,21 +124,21 @@
 	d := r.d
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.wake(d.schedule.Release(time.Now(), r.ticket, out))
+	d.notify(d.scheduler.Release(time.Now(), r.ticket, out))
 }
 
-// Forget drops what is known of lifetimes that are over.
-func (d *Dispatcher) Forget() {
+// Prune drops what is known of lifetimes that are over.
+func (d *Dispatcher) Prune() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.schedule.Roster = d.Roster
-	d.schedule.Forget(time.Now())
+	d.scheduler.Roster = d.Roster
+	d.scheduler.Prune(time.Now())
 }
 
-// Speeds returns what was learnt of targets.
-func (d *Dispatcher) Speeds() []schedule.Speed {
+// TargetLatencies returns what was learnt of targets.
+func (d *Dispatcher) TargetLatencies() []schedule.TargetLatency {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.schedule.Roster = d.Roster
-	return d.schedule.Speeds()
+	d.scheduler.Roster = d.Roster
+	return d.scheduler.TargetLatencies()
 }
--- a/basilcross/dispatch/dispatch_test.go
+++ b/basilcross/dispatch/dispatch_test.go
@@ -15,16 +15,16 @@
 	"gotest.tools/v3/assert"
 )
 
-func dispatcher(targets ...*roster.Target) *dispatch.Dispatcher {
+func newDispatcher(targets ...*roster.Target) *dispatch.Dispatcher {
 	r := &roster.Roster{}
 	for _, t := range targets {
-		t.Service, t.Zone, t.Born = "s", "z", 1
+		t.Service, t.Zone, t.Started = "s", "z", 1
 	}
 	r.Replace(time.Now(), targets, 1)
 	return &dispatch.Dispatcher{Roster: r}
 }
 
-func ask(priority int, soon time.Duration) schedule.Request {
+func request(priority int, soon time.Duration) schedule.Request {
 	now := time.Now()
 	return schedule.Request{Service: "s", Zone: "z", Priority: priority, Objective: now.Add(soon), Deadline: now.Add(3 * soon)}
 }
@@ -36,28 +36,28 @@
 	return p
 }
 
-func TestEmptiestTargetFirst(t *testing.T) {
-	d := dispatcher(&roster.Target{ID: "a", Slots: 2}, &roster.Target{ID: "b", Slots: 2})
+func TestLeastLoadedTargetFirst(t *testing.T) {
+	d := newDispatcher(&roster.Target{ID: "a", Slots: 2}, &roster.Target{ID: "b", Slots: 2})
 	seen := map[string]int{}
 	for range 4 {
-		seen[acquire(t, d, ask(0, time.Second)).Target.ID]++
+		seen[acquire(t, d, request(0, time.Second)).Target.ID]++
 	}
 	assert.DeepEqual(t, seen, map[string]int{"a": 2, "b": 2})
 }
 
 func TestNoTarget(t *testing.T) {
-	d := dispatcher(&roster.Target{ID: "a", Slots: 2, Draining: true})
-	_, err := d.Acquire(context.Background(), ask(0, time.Second))
+	d := newDispatcher(&roster.Target{ID: "a", Slots: 2, Draining: true})
+	_, err := d.Acquire(context.Background(), request(0, time.Second))
 	var none *schedule.NoTargetError
 	assert.Assert(t, errors.As(err, &none))
 }
 
 // All slots are taken and three requests wait: the urgent one came last and
 // goes first; of the others the one that can still make its objective.
-func TestOrderOfWaiting(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := dispatcher(&roster.Target{ID: "a", Slots: 2})
-		first, second := acquire(t, d, ask(1, time.Second)), acquire(t, d, ask(1, time.Second))
+		d := newDispatcher(&roster.Target{ID: "a", Slots: 2})
+		first, second := acquire(t, d, request(1, time.Second)), acquire(t, d, request(1, time.Second))
 		var mu sync.Mutex
 		var order []string
 		var group sync.WaitGroup
@@ -72,11 +72,11 @@
 			})
 			synctest.Wait()
 		}
-		late := ask(2, 100*time.Millisecond)
+		late := request(2, 100*time.Millisecond)
 		late.Deadline = time.Now().Add(10 * time.Second)
 		wait("late", late)
-		wait("inTime", ask(2, 2*time.Second))
-		wait("urgent", ask(1, 2*time.Second))
+		wait("inTime", request(2, 2*time.Second))
+		wait("urgent", request(1, 2*time.Second))
 		time.Sleep(200 * time.Millisecond)
 		first.Release(schedule.Answered)
 		synctest.Wait()
@@ -86,12 +86,12 @@
 	})
 }
 
-func TestWhatWouldBeLateIsRefusedAtOnce(t *testing.T) {
-	d := dispatcher(&roster.Target{ID: "a", Slots: 2})
-	acquire(t, d, ask(0, time.Second))
-	acquire(t, d, ask(0, time.Second))
-	a := ask(0, 250*time.Millisecond)
-	a.OnTime = true
+func TestLateRequestIsRefusedAtOnce(t *testing.T) {
+	d := newDispatcher(&roster.Target{ID: "a", Slots: 2})
+	acquire(t, d, request(0, time.Second))
+	acquire(t, d, request(0, time.Second))
+	a := request(0, 250*time.Millisecond)
+	a.RejectLate = true
 	_, err := d.Acquire(context.Background(), a)
 	var busy *schedule.BusyError
 	assert.Assert(t, errors.As(err, &busy))
@@ -102,26 +102,26 @@
 // less would not help; were its limit cut each time, all targets that do so
 // would end with one slot each, and requests be refused with slots free.
 func TestRandomSheddingDoesNotCutTheLimit(t *testing.T) {
-	d := dispatcher(&roster.Target{ID: "a", Slots: 3})
+	d := newDispatcher(&roster.Target{ID: "a", Slots: 3})
 	for range 50 {
-		acquire(t, d, ask(0, time.Second)).Release(schedule.Shed)
+		acquire(t, d, request(0, time.Second)).Release(schedule.Shed)
 	}
 	for range 3 {
-		acquire(t, d, ask(0, time.Second))
+		acquire(t, d, request(0, time.Second))
 	}
 }
 
-func TestSilentTargetIsLeftAlone(t *testing.T) {
-	d := dispatcher(&roster.Target{ID: "a", Slots: 3}, &roster.Target{ID: "b", Slots: 3})
+func TestFailingTargetIsAvoided(t *testing.T) {
+	d := newDispatcher(&roster.Target{ID: "a", Slots: 3}, &roster.Target{ID: "b", Slots: 3})
 	for range 8 {
-		p := acquire(t, d, ask(0, time.Second))
+		p := acquire(t, d, request(0, time.Second))
 		if p.Target.ID == "a" {
 			p.Release(schedule.Failed)
 			continue
 		}
 		p.Release(schedule.Answered)
 	}
-	left := acquire(t, d, ask(0, time.Second))
+	left := acquire(t, d, request(0, time.Second))
 	assert.Equal(t, left.Target.ID, "b")
 }
 
@@ -132,7 +132,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		targets := []*roster.Target{{ID: "a", Slots: 3}, {ID: "b", Slots: 3}, {ID: "c", Slots: 3}, {ID: "d", Slots: 3}}
 		speed := map[string]float64{"a": 0.7, "b": 0.7, "c": 1, "d": 1.6}
-		d := dispatcher(targets...)
+		d := newDispatcher(targets...)
 		slots := map[string]chan bool{}
 		for _, target := range targets {
 			slots[target.ID] = make(chan bool, target.Slots)
@@ -147,7 +147,7 @@
 			work := time.Duration((0.5 + random.Float64()) * float64(220*time.Millisecond))
 			group.Go(func() {
 				began := time.Now()
-				p, err := d.Acquire(context.Background(), ask(2, objective))
+				p, err := d.Acquire(context.Background(), request(2, objective))
 				if err != nil {
 					mu.Lock()
 					refused++
@@ -177,16 +177,16 @@
 
 // A target was slow and starts again under its name. Its former speed is told
 // to nobody any more.
-func TestSpeedsAreOfPresentLives(t *testing.T) {
+func TestLatenciesOmitEarlierIncarnations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := dispatcher(&roster.Target{ID: "a", Slots: 1})
+		d := newDispatcher(&roster.Target{ID: "a", Slots: 1})
 		for range 3 {
-			p := acquire(t, d, ask(0, time.Minute))
+			p := acquire(t, d, request(0, time.Minute))
 			time.Sleep(time.Second)
 			p.Release(schedule.Answered)
 		}
-		assert.Equal(t, len(d.Speeds()), 1)
-		d.Roster.Replace(time.Now(), []*roster.Target{{ID: "a", Slots: 1, Service: "s", Zone: "z", Born: 2}}, 2)
-		assert.Equal(t, len(d.Speeds()), 0)
+		assert.Equal(t, len(d.TargetLatencies()), 1)
+		d.Roster.Replace(time.Now(), []*roster.Target{{ID: "a", Slots: 1, Service: "s", Zone: "z", Started: 2}}, 2)
+		assert.Equal(t, len(d.TargetLatencies()), 0)
 	})
 }
--- a/basilcross/egress/egress.go
+++ b/basilcross/egress/egress.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// keepAlive finds connections whose other end is gone while idle.
-	keepAlive = 5 * time.Second
-	// dialTimeout bounds opening where the context sets no earlier deadline.
-	dialTimeout = 2 * time.Second
+	// defaultKeepAlive finds connections whose other end is gone while idle.
+	defaultKeepAlive = 5 * time.Second
+	// defaultTimeout bounds opening where the context sets no earlier deadline.
+	defaultTimeout = 2 * time.Second
 )
 
 // Dialer opens TCP connections. The zero value dials directly.
@@ -27,17 +27,17 @@
 	UserTimeout time.Duration
 	// Timeout bounds the opening; 0 is two seconds.
 	Timeout time.Duration
-	// Probe is the idle time after which the other end is probed, and the time
+	// KeepAliveInterval is the idle time after which the other end is probed, and the time
 	// between probes; 0 is five seconds. It finds connections that went silent
 	// without a reset.
-	Probe time.Duration
-	// Reset makes every close a reset. Bytes that a partition holds back are
+	KeepAliveInterval time.Duration
+	// ResetOnClose makes every close a reset. Bytes that a partition holds back are
 	// lost then; otherwise they would arrive when it heals.
-	Reset bool
+	ResetOnClose bool
 }
 
-// probes is how many unanswered probes end a connection.
-const probes = 2
+// keepAliveProbes is how many unanswered probes end a connection.
+const keepAliveProbes = 2
 
 // ProxyError is a proxy's refusal to open a connection.
 type ProxyError struct {
@@ -51,12 +51,12 @@
 
 // DialContext opens a connection, with the signature that net/http expects.
 func (d *Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	timeout, probe := d.Timeout, d.Probe
+	timeout, probe := d.Timeout, d.KeepAliveInterval
 	if timeout == 0 {
-		timeout = dialTimeout
+		timeout = defaultTimeout
 	}
 	if probe == 0 {
-		probe = keepAlive
+		probe = defaultKeepAlive
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -64,7 +64,7 @@
 	if d.Proxy != "" {
 		first = d.Proxy
 	}
-	plain := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probe, Interval: probe, Count: probes}}
+	plain := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probe, Interval: probe, Count: keepAliveProbes}}
 	c, err := plain.DialContext(ctx, network, first)
 	if err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 		_ = c.Close()
 		return nil, err
 	}
-	if tcp, ok := c.(*net.TCPConn); ok && d.Reset {
+	if tcp, ok := c.(*net.TCPConn); ok && d.ResetOnClose {
 		if err := tcp.SetLinger(0); err != nil {
 			_ = c.Close()
 			return nil, err
@@ -82,7 +82,7 @@
 	if d.Proxy == "" {
 		return c, nil
 	}
-	if err := connect(ctx, c, address); err != nil {
+	if err := openTunnel(ctx, c, address); err != nil {
 		_ = c.Close()
 		// The same shape as a failed direct dial, which callers test for.
 		return nil, &net.OpError{Op: "dial", Net: network, Err: err}
@@ -90,7 +90,7 @@
 	return c, nil
 }
 
-func connect(ctx context.Context, c net.Conn, address string) error {
+func openTunnel(ctx context.Context, c net.Conn, address string) error {
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if _, err := fmt.Fprintf(c, "CONNECT %s HTTP/1.1\r\nHost: %s\r\n\r\n", address, address); err != nil {
--- a/basilcross/examples/takeover/main.go
+++ b/basilcross/examples/takeover/main.go
@@ -37,9 +37,9 @@
 		guards:  map[string]*grant.Guard{"t1": {Incarnation: "a"}, "t2": {Incarnation: "b"}},
 		status:  map[string]grant.Status{},
 	}
-	input := plan.Input{Divided: true, Shards: 4, Settled: true}
+	input := plan.Input{Sharded: true, InitialShards: 4, StartupDone: true}
 	for _, id := range []string{"t1", "t2"} {
-		input.Listed = append(input.Listed, plan.Listing{Target: assignment.Target{ID: id, Slots: 1, Fenced: true}})
+		input.Listed = append(input.Listed, plan.ListedTarget{Target: assignment.Target{ID: id, Slots: 1, Fenced: true}})
 	}
 	f.current = plan.Next(f.current, input).Next
 	f.renew("t1", "t2")
@@ -63,9 +63,9 @@
 		t, _ := f.current.Target(id)
 		status := f.guards[id].Apply(time.Now(), grant.Order{})
 		order := grant.Order{
-			Incarnation: status.Incarnation, Stamp: status.Stamp, Lease: leaseDuration, Version: t.Grants, Full: true,
+			Incarnation: status.Incarnation, Stamp: status.Stamp, Lease: leaseDuration, Version: t.GrantsVersion, Full: true,
 		}
-		for _, s := range f.current.Owned(id) {
+		for _, s := range f.current.OwnedBy(id) {
 			order.Grants = append(order.Grants, grant.Grant{First: s.First, Last: s.Last, Epoch: s.Epoch})
 		}
 		f.status[id] = f.guards[id].Apply(time.Now(), order)
--- a/basilcross/ownership/address_test.go
+++ b/basilcross/ownership/address_test.go
@@ -71,10 +71,10 @@
 // replaceT0 removes t0 from the list. A younger target of this service (if
 // service is empty) or another service's target gets its address.
 func (s *scriptedManager) replaceT0(service string) *roster.Target {
-	next := &roster.Target{ID: "next", Born: 2, Address: "t0:1", Slots: 3, Seen: s.now}
+	next := &roster.Target{ID: "next", Started: 2, Address: "t0:1", Slots: 3, FirstSeen: s.now}
 	s.targets = s.targets[1:]
 	if service != "" {
-		s.manager.OwnerReplaced(roster.Life{ID: "t0", Born: 1}, true)
+		s.manager.OwnerReplaced(roster.Incarnation{ID: "t0", Started: 1}, true)
 		return nil
 	}
 	s.targets = append(s.targets, next)
@@ -209,7 +209,7 @@
 func TestTargetThatMovesIsReleasedAtItsFormerAddress(t *testing.T) {
 	s := newScriptedManager(nil)
 	s.run(2 * time.Second)
-	s.targets[0] = &roster.Target{ID: "t0", Born: 2, Address: "t0:2", Slots: 3, Seen: s.now}
+	s.targets[0] = &roster.Target{ID: "t0", Started: 2, Address: "t0:2", Slots: 3, FirstSeen: s.now}
 	since := len(s.orders)
 	s.run(400 * time.Millisecond)
 	first, ok := s.orders[since].(*ownership.Release)
@@ -276,7 +276,7 @@
 	now := time.Unix(1000, 0)
 	targets := newTargets(2)
 	for _, target := range targets {
-		target.Seen = now
+		target.FirstSeen = now
 	}
 	m := newManager(now, 1, nil)
 	m.SetLatency("t0", time.Second)
@@ -325,7 +325,7 @@
 		}
 		s.execute(o)
 	}
-	next := &roster.Target{ID: "next", Born: 2, Address: "t0:1", Slots: 3, Seen: s.now}
+	next := &roster.Target{ID: "next", Started: 2, Address: "t0:1", Slots: 3, FirstSeen: s.now}
 	s.targets = append(s.targets, next)
 	s.run(300 * time.Millisecond)
 	assert.Assert(t, len(grantsTo(s.orders, "next")) > 0)
--- a/basilcross/ownership/assignment.go
+++ b/basilcross/ownership/assignment.go
@@ -33,7 +33,9 @@
 }
 
 // Incarnation identifies the owner's incarnation.
-func (p *Piece) Incarnation() roster.Life { return roster.Life{ID: p.Owner, Born: p.Started} }
+func (p *Piece) Incarnation() roster.Incarnation {
+	return roster.Incarnation{ID: p.Owner, Started: p.Started}
+}
 
 // Assignment is the recorded state of a service: sorted pieces that cover all
 // keys. It is written before a key is granted, so that the next coordinator has
--- a/basilcross/ownership/balance_test.go
+++ b/basilcross/ownership/balance_test.go
@@ -29,7 +29,7 @@
 	s := &loadSimulation{rand: rand.New(rand.NewPCG(1, 7)), now: time.Unix(1000, 0), load: make([]float64, ownership.KeyCount)}
 	s.targets = make([]*roster.Target, targets)
 	for i := range s.targets {
-		s.targets[i] = &roster.Target{ID: fmt.Sprintf("t%d", i), Born: 1, Address: fmt.Sprintf("a%d", i), Slots: 3, Seen: s.now.Add(-time.Minute)}
+		s.targets[i] = &roster.Target{ID: fmt.Sprintf("t%d", i), Started: 1, Address: fmt.Sprintf("a%d", i), Slots: 3, FirstSeen: s.now.Add(-time.Minute)}
 	}
 	s.manager = newManager(s.now, 1, nil)
 	// A separate random source keeps the load of a seed independent of the
--- a/basilcross/ownership/manager.go
+++ b/basilcross/ownership/manager.go
@@ -69,7 +69,7 @@
 	nextBalance time.Time
 	// loadShiftedAt is when the set of busy keys was last seen to have changed.
 	loadShiftedAt time.Time
-	owners        map[roster.Life]*ownerState
+	owners        map[roster.Incarnation]*ownerState
 	latencies     map[string]time.Duration
 	storeClock    storeClockSample
 	// longHolds is set while the store is in doubt.
@@ -78,7 +78,7 @@
 	Moves MoveCounts
 	// OnInherit, if set, is called for each piece that a younger target at its
 	// owner's address inherits.
-	OnInherit func(p Piece, to roster.Life)
+	OnInherit func(p Piece, to roster.Incarnation)
 }
 
 // MoveCounts counts pieces that were given to another owner, by cause.
@@ -183,7 +183,7 @@
 	if m.Epochs == nil {
 		m.Epochs = &Epochs{Term: m.Term}
 	}
-	m.owners = map[roster.Life]*ownerState{}
+	m.owners = map[roster.Incarnation]*ownerState{}
 	until := now.Add(maxHoldTime(longestHold))
 	if recorded == nil {
 		m.pieces = []*piece{{Piece: Piece{First: 0, Last: KeyCount - 1}, phase: free}}
--- a/basilcross/ownership/manager_test.go
+++ b/basilcross/ownership/manager_test.go
@@ -18,7 +18,7 @@
 func newTargets(n int) []*roster.Target {
 	targets := make([]*roster.Target, n)
 	for i := range targets {
-		targets[i] = &roster.Target{ID: fmt.Sprintf("t%d", i), Born: 1, Address: fmt.Sprintf("t%d:1", i), Slots: 3}
+		targets[i] = &roster.Target{ID: fmt.Sprintf("t%d", i), Started: 1, Address: fmt.Sprintf("t%d:1", i), Slots: 3}
 	}
 	return targets
 }
@@ -153,11 +153,11 @@
 	targets := newTargets(2)
 	m := newManager(now, 1, nil)
 	before := grantsTo(stepUntilIdle(m, now, targets), "t0")
-	targets[0].Born = 2
+	targets[0].Started = 2
 	after := grantsTo(stepUntilIdle(m, now.Add(time.Millisecond), targets), "t0")
 	assert.Assert(t, len(after) > 0)
 	assert.Assert(t, after[0].Epoch > before[0].Epoch)
-	assert.Equal(t, after[0].Owner.Born, int64(2))
+	assert.Equal(t, after[0].Owner.Started, int64(2))
 }
 
 // Guards against moves when the coordinator is lost: its successor reads what
--- a/basilcross/ownership/order.go
+++ b/basilcross/ownership/order.go
@@ -15,7 +15,7 @@
 	First, Last int
 	Epoch       int64
 	Hold        time.Duration
-	Owner       roster.Life
+	Owner       roster.Incarnation
 	Address     string
 	Handover    string
 	// Channel is the connection that the epoch belongs to. The order must not
@@ -33,7 +33,7 @@
 type Release struct {
 	First, Last int
 	Epoch       int64
-	Owner       roster.Life
+	Owner       roster.Incarnation
 	Address     string
 	// HeldUntil is the end of the owner's hold, after which an answer is of no
 	// use.
@@ -171,8 +171,8 @@
 
 // Owners returns the incarnations that own pieces, with their addresses and
 // whether they leave orders unanswered.
-func (m *Manager) Owners() map[roster.Life]Owner {
-	owners := map[roster.Life]Owner{}
+func (m *Manager) Owners() map[roster.Incarnation]Owner {
+	owners := map[roster.Incarnation]Owner{}
 	for _, p := range m.pieces {
 		if p.Owner != "" {
 			owners[p.Incarnation()] = Owner{Address: p.Address, Unresponsive: !m.owner(p.Incarnation()).unansweredSince.IsZero()}
@@ -192,14 +192,14 @@
 // misdirected grants: those sent since a target of this service was last known
 // to run there. A target of an unsharded service holds no keys. It returns
 // whether the incarnation was not reported before.
-func (m *Manager) OwnerReplaced(owner roster.Life, sharded bool) bool {
+func (m *Manager) OwnerReplaced(owner roster.Incarnation, sharded bool) bool {
 	s := m.owner(owner)
 	changed := !s.ended
 	s.ended, s.misdirected = true, sharded
 	return changed
 }
 
-func (m *Manager) find(first, last int, owner roster.Life) *piece {
+func (m *Manager) find(first, last int, owner roster.Incarnation) *piece {
 	for _, p := range m.pieces {
 		if p.First == first && p.Last == last && p.Incarnation() == owner {
 			return p
--- a/basilcross/ownership/outage_test.go
+++ b/basilcross/ownership/outage_test.go
@@ -54,7 +54,7 @@
 	const callTimeout = 450 * time.Millisecond
 	switch order := order.(type) {
 	case *ownership.Grant:
-		if order.Owner.ID == o.lost && order.Owner.Born == 1 && o.unresponsive {
+		if order.Owner.ID == o.lost && order.Owner.Started == 1 && o.unresponsive {
 			// The connection hangs, and no other one can be opened.
 			sent, outcome := o.now, ownership.Unsent
 			if order.Channel != 0 {
@@ -64,7 +64,7 @@
 			return
 		}
 	case *ownership.Release:
-		if order.Owner.ID == o.lost && order.Owner.Born == 1 && o.unresponsive {
+		if order.Owner.ID == o.lost && order.Owner.Started == 1 && o.unresponsive {
 			o.after(order.HeldUntil.Sub(o.now)+100*time.Millisecond, func() { o.manager.Released(o.now, order, "", ownership.Unknown) })
 			return
 		}
@@ -87,7 +87,7 @@
 	}{
 		{"drains", func(o *outageSimulation) { o.replaceEntry().Draining = true }, time.Second, 0},
 		{"entry removed, still answers", func(o *outageSimulation) { o.removeEntry() }, time.Second, 0},
-		{"restarts under its name", func(o *outageSimulation) { o.unresponsive = true; o.replaceEntry().Born = 2 }, 2 * time.Second, 0},
+		{"restarts under its name", func(o *outageSimulation) { o.unresponsive = true; o.replaceEntry().Started = 2 }, 2 * time.Second, 0},
 		{"stops answering", func(o *outageSimulation) { o.unresponsive = true }, 7 * time.Second, 0},
 		{"stops answering, entry removed after 2.6 s", func(o *outageSimulation) {
 			o.unresponsive = true
@@ -96,20 +96,20 @@
 		{"stops answering, another target takes its address", func(o *outageSimulation) {
 			o.unresponsive = true
 			o.after(time.Second, func() {
-				o.targets = append(o.targets, &roster.Target{ID: "next", Born: 2, Address: o.replaceEntry().Address, Slots: 3, Seen: o.now})
+				o.targets = append(o.targets, &roster.Target{ID: "next", Started: 2, Address: o.replaceEntry().Address, Slots: 3, FirstSeen: o.now})
 			})
 		}, 2 * time.Second, 0},
 		{"stops answering, another service takes its address after 2.4 s", func(o *outageSimulation) {
 			o.unresponsive = true
-			o.after(2400*time.Millisecond, func() { o.manager.OwnerReplaced(roster.Life{ID: o.lost, Born: 1}, true) })
+			o.after(2400*time.Millisecond, func() { o.manager.OwnerReplaced(roster.Incarnation{ID: o.lost, Started: 1}, true) })
 		}, 3 * time.Second, 9 * time.Second},
 		{"stops answering, an unsharded service takes its address after 2.4 s", func(o *outageSimulation) {
 			o.unresponsive = true
-			o.after(2400*time.Millisecond, func() { o.manager.OwnerReplaced(roster.Life{ID: o.lost, Born: 1}, false) })
+			o.after(2400*time.Millisecond, func() { o.manager.OwnerReplaced(roster.Incarnation{ID: o.lost, Started: 1}, false) })
 		}, 3 * time.Second, 0},
 		{"stops answering soon after its first answer, another service takes its address after 2.4 s", func(o *outageSimulation) {
 			o.unresponsive = true
-			o.after(2400*time.Millisecond, func() { o.manager.OwnerReplaced(roster.Life{ID: o.lost, Born: 1}, true) })
+			o.after(2400*time.Millisecond, func() { o.manager.OwnerReplaced(roster.Incarnation{ID: o.lost, Started: 1}, true) })
 		}, 7 * time.Second, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/basilcross/ownership/owner.go
+++ b/basilcross/ownership/owner.go
@@ -29,7 +29,7 @@
 	ended, misdirected bool
 }
 
-func (m *Manager) owner(incarnation roster.Life) *ownerState {
+func (m *Manager) owner(incarnation roster.Incarnation) *ownerState {
 	s := m.owners[incarnation]
 	if s == nil {
 		s = &ownerState{}
--- a/basilcross/ownership/plan.go
+++ b/basilcross/ownership/plan.go
@@ -89,7 +89,7 @@
 			continue
 		}
 		slots := float64(t.Slots) * m.relativeSpeed(t.ID)
-		if now.Sub(t.Seen) < t.Warming {
+		if now.Sub(t.FirstSeen) < t.WarmupLeft {
 			slots *= warmupShare
 		}
 		loads[t.ID] = &targetLoad{target: t, slots: slots}
@@ -114,7 +114,7 @@
 // mayReceiveKeys reports whether a target may be given keys. It begins a trial
 // of an unresponsive target when one is due.
 func (m *Manager) mayReceiveKeys(now time.Time, t *roster.Target) bool {
-	s := m.owner(t.Life())
+	s := m.owner(t.Incarnation())
 	if !s.unansweredSince.IsZero() && now.Sub(s.unansweredSince) > min(trialDelay<<min(s.trials, 8), maxTrialDelay) {
 		s.unansweredSince = time.Time{}
 		s.trials++
@@ -164,7 +164,7 @@
 // targetsSettled reports whether likely all targets have appeared.
 func (m *Manager) targetsSettled(now time.Time, targets []*roster.Target) bool {
 	for _, t := range targets {
-		if now.Sub(t.Seen) < startupQuietPeriod {
+		if now.Sub(t.FirstSeen) < startupQuietPeriod {
 			return false
 		}
 	}
@@ -242,7 +242,7 @@
 
 func (m *Manager) assignTo(p *piece, to *targetLoad, load float64) {
 	to.load += load
-	p.Owner, p.Started, p.Address = to.target.ID, to.target.Born, to.target.Address
+	p.Owner, p.Started, p.Address = to.target.ID, to.target.Started, to.target.Address
 	p.phase, p.destination = recording, ""
 	m.dirty = true
 	switch p.cause {
--- a/basilcross/ownership/simulation_test.go
+++ b/basilcross/ownership/simulation_test.go
@@ -46,7 +46,7 @@
 	endedAt map[string]time.Time
 	// history is the log of events, printed if the simulation fails.
 	history      []string
-	reportedGone map[roster.Life]bool
+	reportedGone map[roster.Incarnation]bool
 }
 
 func (s *simulation) logf(format string, args ...any) {
@@ -265,7 +265,7 @@
 func (s *simulation) startTarget(id, address string) *roster.Target {
 	s.startCount++
 	s.logf("%s starts at %s", id, address)
-	entry := &roster.Target{ID: id, Born: s.now.UnixMilli(), Address: address, Slots: 3}
+	entry := &roster.Target{ID: id, Started: s.now.UnixMilli(), Address: address, Slots: 3}
 	s.running[address] = &fakeTarget{
 		name: fmt.Sprintf("%s/%d", id, s.startCount), address: address, entry: entry,
 		seen: map[int]int64{}, until: map[int]time.Time{}, drift: 1 + 0.02*s.rand.Float64(),
@@ -275,8 +275,8 @@
 
 // addEntry lists an entry, or replaces the one under the same ID.
 func (s *simulation) addEntry(t *roster.Target) {
-	s.logf("%v is listed", t.Life())
-	t.Seen = s.now
+	s.logf("%v is listed", t.Incarnation())
+	t.FirstSeen = s.now
 	for i, old := range s.listed {
 		if old.ID == t.ID {
 			s.listed[i] = t
@@ -287,9 +287,9 @@
 }
 
 // removeEntry removes an entry, unless it is another incarnation's by now.
-func (s *simulation) removeEntry(incarnation roster.Life) {
+func (s *simulation) removeEntry(incarnation roster.Incarnation) {
 	for i, t := range s.listed {
-		if t.Life() != incarnation {
+		if t.Incarnation() != incarnation {
 			continue
 		}
 		s.listed = append(s.listed[:i:i], s.listed[i+1:]...)
@@ -315,7 +315,7 @@
 		draining.Draining = true
 		s.listed[i] = &draining
 		s.after(2*time.Second, func() {
-			if p := s.running[t.Address]; p != nil && p.entry.Life() == t.Life() {
+			if p := s.running[t.Address]; p != nil && p.entry.Incarnation() == t.Incarnation() {
 				s.stopTarget(t.Address)
 			}
 		})
@@ -375,7 +375,7 @@
 				s.addEntry(next)
 				if s.running[t.Address] != process {
 					// The process has ended meanwhile.
-					s.after(entryRemovalDelay, func() { s.whenStoreUp(func() { s.removeEntry(next.Life()) }) })
+					s.after(entryRemovalDelay, func() { s.whenStoreUp(func() { s.removeEntry(next.Incarnation()) }) })
 				}
 			})
 		})
@@ -410,7 +410,7 @@
 	s.logf("%s ends", p.name)
 	delete(s.running, address)
 	s.endedAt[address] = s.now
-	s.after(entryRemovalDelay, func() { s.whenStoreUp(func() { s.removeEntry(p.entry.Life()) }) })
+	s.after(entryRemovalDelay, func() { s.whenStoreUp(func() { s.removeEntry(p.entry.Incarnation()) }) })
 }
 
 // reportReplaced reports to the manager the other services' targets that run at
@@ -422,7 +422,7 @@
 			listed = listed || t.ID == incarnation.ID
 		}
 		for _, t := range s.otherServices {
-			if t.Address == owner.Address && t.Born > incarnation.Born && (owner.Unresponsive || !listed) {
+			if t.Address == owner.Address && t.Started > incarnation.Started && (owner.Unresponsive || !listed) {
 				if !s.reportedGone[incarnation] {
 					s.reportedGone[incarnation] = true
 					s.logf("%v is replaced by %s at %s", incarnation, t.ID, t.Address)
@@ -438,7 +438,7 @@
 func (s *simulation) takeOver() {
 	s.term++
 	s.logf("term %d begins", s.term)
-	s.reportedGone = map[roster.Life]bool{}
+	s.reportedGone = map[roster.Incarnation]bool{}
 	s.manager = newManager(s.now, s.term, s.written)
 	// The jitter comes from the seed, so that a seed always gives the same run.
 	s.manager.Jitter = s.randomBelow
@@ -469,7 +469,7 @@
 	for seed := range uint64(150) {
 		s := &simulation{
 			t: t, seed: seed, rand: rand.New(rand.NewPCG(seed, 1)), now: simulationStart,
-			running: map[string]*fakeTarget{}, epochsSeen: map[int]map[*fakeTarget]int64{}, reportedGone: map[roster.Life]bool{},
+			running: map[string]*fakeTarget{}, epochsSeen: map[int]map[*fakeTarget]int64{}, reportedGone: map[roster.Incarnation]bool{},
 			endedAt: map[string]time.Time{},
 		}
 		for i := range 8 {
--- a/basilcross/ownership/step.go
+++ b/basilcross/ownership/step.go
@@ -28,7 +28,7 @@
 	byAddress := make(map[string]*roster.Target, len(targets))
 	for _, t := range targets {
 		listed[t.ID] = t
-		if other := byAddress[t.Address]; other == nil || other.Born < t.Born {
+		if other := byAddress[t.Address]; other == nil || other.Started < t.Started {
 			byAddress[t.Address] = t
 		}
 	}
@@ -66,7 +66,7 @@
 	if p.phase == free || p.phase == recording {
 		return
 	}
-	if youngest != nil && youngest.Born > p.Started {
+	if youngest != nil && youngest.Started > p.Started {
 		m.inherit(now, p, youngest)
 		return
 	}
@@ -84,7 +84,7 @@
 		m.dirty = true
 	case listed == nil || listed.Draining:
 		p.phase, p.cause, p.attempts = releaseDue, OwnerLeaving, 0
-	case listed.Born > p.Started:
+	case listed.Started > p.Started:
 		// The owner has restarted at another address. Its former address may
 		// belong to another target, which may have received the grants meant
 		// for it.
@@ -104,10 +104,10 @@
 		return
 	}
 	if m.OnInherit != nil {
-		m.OnInherit(p.Piece, to.Life())
+		m.OnInherit(p.Piece, to.Incarnation())
 	}
 	delete(m.latencies, to.ID)
-	p.Owner, p.Started = to.ID, to.Born
+	p.Owner, p.Started = to.ID, to.Started
 	p.cause, p.destination = OwnerLost, ""
 	p.usableUntil = time.Time{}
 	m.dirty = true
--- a/basilcross/platform/platform.go
+++ b/basilcross/platform/platform.go
@@ -90,7 +90,7 @@
 	content, err := c.send(ctx, http.MethodGet, ObjectPath+url.PathEscape(name), nil)
 	var statusErr *StatusError
 	if errors.As(err, &statusErr) && statusErr.Status == http.StatusNotFound {
-		return nil, &object.MissingError{Name: name}
+		return nil, &object.NotFoundError{Name: name}
 	}
 	return content, err
 }
--- a/basilcross/promise/promise.go
+++ b/basilcross/promise/promise.go
@@ -14,38 +14,38 @@
 	"basilcross.example/basilcross/seat"
 )
 
-// Tolerated returns how many of n zones may be lost during an outage.
-func Tolerated(n int) int {
+// ToleratedFailures returns how many of n zones may be lost during an outage.
+func ToleratedFailures(n int) int {
 	if n < 3 {
 		return 0
 	}
 	return 1
 }
 
-// NeededToExtend returns how many other leaders must extend a seat; ok is
+// ExtendQuorum returns how many other leaders must extend a seat; ok is
 // false if a fleet of n zones extends none. With one zone there is nobody to
 // object, so its leader may not go on by itself.
-func NeededToExtend(n int) (others int, ok bool) {
-	return n - Tolerated(n) - 1, n > 1
+func ExtendQuorum(n int) (others int, ok bool) {
+	return n - ToleratedFailures(n) - 1, n > 1
 }
 
-// NeededToEvict returns how many other leaders must refrain from extending.
-func NeededToEvict(n int) int {
-	return Tolerated(n) + 1
+// EvictQuorum returns how many other leaders must refrain from extending.
+func EvictQuorum(n int) int {
+	return ToleratedFailures(n) + 1
 }
 
-// Book is one leader's promises. Create one per term; ConfirmFrom must be set
+// Ledger is one leader's promises. Create one per term; ConfirmFrom must be set
 // to a Wait of seat.Hold after the term began, because the seat's earlier
 // holder may have made promises that this one does not know.
-type Book struct {
+type Ledger struct {
 	ConfirmFrom time.Time
 
-	promised map[string]time.Time
-	refused  map[string]uint64
+	promisedUntil map[string]time.Time
+	refrained     map[string]uint64
 }
 
-// Request asks for the extension of a seat.
-type Request struct {
+// ExtendRequest asks for the extension of a seat.
+type ExtendRequest struct {
 	Zone        string
 	Holder      string
 	Incarnation string
@@ -55,8 +55,8 @@
 
 // Extend promises, at now, to take no part in evicting the holder for the next
 // Hold. known is the seat's row as last read from the table, with its version.
-func (b *Book) Extend(now time.Time, r Request, known seat.Record, version uint64) bool {
-	if refused, ok := b.refused[r.Zone]; ok && r.Version <= refused {
+func (b *Ledger) Extend(now time.Time, r ExtendRequest, known seat.Record, version uint64) bool {
+	if refused, ok := b.refrained[r.Zone]; ok && r.Version <= refused {
 		return false
 	}
 	newer := version >= r.Version
@@ -68,23 +68,23 @@
 	if newer && known.Intent != "" {
 		return false
 	}
-	if b.promised == nil {
-		b.promised = map[string]time.Time{}
+	if b.promisedUntil == nil {
+		b.promisedUntil = map[string]time.Time{}
 	}
-	b.promised[r.Zone] = now.Add(lease.Wait(seat.Hold))
+	b.promisedUntil[r.Zone] = now.Add(lease.Wait(seat.LeaseDuration))
 	return true
 }
 
 // Refrain promises to extend the seat no more under this row version or an
 // earlier one, and returns how long promises made before may still count. A
 // renewal by the holder makes a later version, which is extended again.
-func (b *Book) Refrain(now time.Time, zone string, version uint64) (left time.Duration) {
-	if b.refused == nil {
-		b.refused = map[string]uint64{}
+func (b *Ledger) Refrain(now time.Time, zone string, version uint64) (left time.Duration) {
+	if b.refrained == nil {
+		b.refrained = map[string]uint64{}
 	}
-	b.refused[zone] = max(b.refused[zone], version)
+	b.refrained[zone] = max(b.refrained[zone], version)
 	until := b.ConfirmFrom
-	if promised := b.promised[zone]; promised.After(until) {
+	if promised := b.promisedUntil[zone]; promised.After(until) {
 		until = promised
 	}
 	return max(0, until.Sub(now))
--- a/basilcross/refusal/refusal.go
+++ b/basilcross/refusal/refusal.go
@@ -88,8 +88,8 @@
 	return &Error{Cause: cause, Outcome: DidNotRun, Detail: detail}
 }
 
-// Doubt returns a refusal of a request that may have run.
-func Doubt(cause Cause, detail string) *Error {
+// NewUnknown returns a refusal of a request that may have run.
+func NewUnknown(cause Cause, detail string) *Error {
 	return &Error{Cause: cause, Outcome: Unknown, Detail: detail}
 }
 
@@ -131,7 +131,7 @@
 	h.Set(OutcomeHeader, string(e.Outcome))
 	h.Set(CauseHeader, strconv.Itoa(int(e.Cause)))
 	if e.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.Itoa(wholeSeconds(e.RetryAfter)))
+		h.Set("Retry-After", strconv.Itoa(ceilSeconds(e.RetryAfter)))
 	}
 	w.WriteHeader(e.Status())
 	// The status line is out already; a failed body write has nobody to tell.
@@ -144,8 +144,8 @@
 	})
 }
 
-// wholeSeconds rounds up, since Retry-After has no fractions and 0 would
+// ceilSeconds rounds up, since Retry-After has no fractions and 0 would
 // invite an immediate retry.
-func wholeSeconds(d time.Duration) int {
+func ceilSeconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
 }
--- a/basilcross/retry/retry.go
+++ b/basilcross/retry/retry.go
@@ -4,9 +4,9 @@
 import "sync"
 
 const (
-	// defaultShare is what each success or request adds to the budget where
+	// defaultRatio is what each success or request adds to the budget where
 	// Share is zero.
-	defaultShare = 0.1
+	defaultRatio = 0.1
 	// defaultReserve is the largest balance where Reserve is zero: what may be
 	// repeated in a burst.
 	defaultReserve = 10.0
@@ -18,7 +18,7 @@
 // one repetition per ten earned.
 type Budget struct {
 	mu      sync.Mutex
-	share   float64
+	ratio   float64
 	reserve float64
 	spent   float64
 }
@@ -27,22 +27,22 @@
 func (b *Budget) Set(share, reserve float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.share, b.reserve = share, reserve
+	b.ratio, b.reserve = share, reserve
 }
 
-// Earn pays into the budget.
-func (b *Budget) Earn() {
+// Deposit pays into the budget.
+func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	share := b.share
+	share := b.ratio
 	if share == 0 {
-		share = defaultShare
+		share = defaultRatio
 	}
 	b.spent = max(0, b.spent-share)
 }
 
-// Take tells whether a request may be repeated, and books it.
-func (b *Budget) Take() bool {
+// TryWithdraw tells whether a request may be repeated, and books it.
+func (b *Budget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	reserve := b.reserve
--- a/basilcross/retry/retry_test.go
+++ b/basilcross/retry/retry_test.go
@@ -12,7 +12,7 @@
 	var b retry.Budget
 	allowed := 0
 	for range 100 {
-		if b.Take() {
+		if b.TryWithdraw() {
 			allowed++
 		}
 	}
@@ -29,10 +29,10 @@
 	for i := range requests {
 		sent++
 		if i%2 == 0 {
-			b.Earn()
+			b.Deposit()
 			continue
 		}
-		if b.Take() {
+		if b.TryWithdraw() {
 			sent++
 		}
 	}
--- a/basilcross/roster/roster.go
+++ b/basilcross/roster/roster.go
@@ -10,9 +10,9 @@
 // Target is one lifetime of a server that runs requests.
 type Target struct {
 	ID string
-	// Born is the start of this lifetime, in Unix milliseconds; a higher one
+	// Started is the start of this lifetime, in Unix milliseconds; a higher one
 	// under the same ID is another lifetime, which knows nothing of before.
-	Born    int64
+	Started int64
 	Service string
 	Address string
 	Zone    string
@@ -20,29 +20,29 @@
 	// Seq grows with each of the target's own reports.
 	Seq      int64
 	Draining bool
-	// Warming is how much longer the target is slow, at its report.
-	Warming time.Duration
-	// Seen is when this instance first saw this lifetime.
-	Seen time.Time
-	// Left is when this instance first saw it leaving; zero if it does not.
-	Left time.Time
+	// WarmupLeft is how much longer the target is slow, at its report.
+	WarmupLeft time.Duration
+	// FirstSeen is when this instance first saw this lifetime.
+	FirstSeen time.Time
+	// LeavingSince is when this instance first saw it leaving; zero if it does not.
+	LeavingSince time.Time
 }
 
-// Life names one lifetime.
-type Life struct {
-	ID   string
-	Born int64
+// Incarnation names one lifetime.
+type Incarnation struct {
+	ID      string
+	Started int64
 }
 
-// Life returns the lifetime's name.
-func (t *Target) Life() Life { return Life{t.ID, t.Born} }
+// Incarnation returns the lifetime's name.
+func (t *Target) Incarnation() Incarnation { return Incarnation{t.ID, t.Started} }
 
 // View is the list at one moment. It does not change.
 type View struct {
-	Targets  map[string]*Target
-	Services map[string][]*Target
-	// Addresses has the youngest target at each address.
-	Addresses map[string]*Target
+	Targets   map[string]*Target
+	ByService map[string][]*Target
+	// ByAddress has the youngest target at each address.
+	ByAddress map[string]*Target
 	// Revision is the store's revision up to which the view is complete.
 	Revision uint64
 	// Digest is the same for views that name the same targets in the same
@@ -75,7 +75,7 @@
 func (r *Roster) Apply(now time.Time, changes []Change, revision uint64) (came, left []*Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	d := newDraft(r.Load(), revision)
+	d := newViewBuilder(r.Load(), revision)
 	for _, c := range changes {
 		in, out := d.apply(now, c)
 		if in != nil {
@@ -105,10 +105,10 @@
 	return r.Apply(now, changes, revision)
 }
 
-// isOlder tells of a report that was overtaken by a newer one.
-func isOlder(t, than *Target) bool {
-	if t.Born != than.Born {
-		return t.Born < than.Born
+// isOutdated tells of a report that was overtaken by a newer one.
+func isOutdated(t, than *Target) bool {
+	if t.Started != than.Started {
+		return t.Started < than.Started
 	}
 	return t.Seq < than.Seq
 }
--- a/basilcross/roster/roster_test.go
+++ b/basilcross/roster/roster_test.go
@@ -11,7 +11,7 @@
 )
 
 func target(id string, born, seq int64) *roster.Target {
-	return &roster.Target{ID: id, Born: born, Seq: seq, Service: "s"}
+	return &roster.Target{ID: id, Started: born, Seq: seq, Service: "s"}
 }
 
 func TestApply(t *testing.T) {
@@ -25,18 +25,18 @@
 	draining.Draining = true
 	_, left = r.Apply(now.Add(time.Second), []roster.Change{{ID: "a", Target: draining}}, 11)
 	assert.Equal(t, len(left), 1)
-	assert.Equal(t, r.Load().Targets["a"].Left, now.Add(time.Second))
-	assert.Equal(t, r.Load().Targets["a"].Seen, now)
+	assert.Equal(t, r.Load().Targets["a"].LeavingSince, now.Add(time.Second))
+	assert.Equal(t, r.Load().Targets["a"].FirstSeen, now)
 
 	_, left = r.Replace(now, []*roster.Target{target("a", 2, 1)}, 12)
 	assert.Equal(t, len(left), 1, "b is gone")
-	assert.Equal(t, r.Load().Targets["a"].Born, int64(2))
-	assert.Assert(t, r.Load().Targets["a"].Left.IsZero(), "another lifetime does not leave")
+	assert.Equal(t, r.Load().Targets["a"].Started, int64(2))
+	assert.Assert(t, r.Load().Targets["a"].LeavingSince.IsZero(), "another lifetime does not leave")
 }
 
 // A report that was overtaken comes late, or another writer repeats an old one.
 // Taken in, it would bring a target back that is leaving.
-func TestOlderReportsChangeNothing(t *testing.T) {
+func TestOutdatedReportsAreIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var r roster.Roster
 	newest := target("a", 5, 7)
@@ -50,7 +50,7 @@
 
 // Guards against a view that, change by change, becomes unlike the one made of
 // the same targets at once.
-func TestChangesLeadToTheViewOfTheWholeList(t *testing.T) {
+func TestApplyAndReplaceAgree(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 2))
 	var r roster.Roster
@@ -67,7 +67,7 @@
 			next := target(id, int64(revision)/7, int64(revision))
 			next.Address = fmt.Sprintf("10.0.0.%d:80", random.IntN(12))
 			next.Service = fmt.Sprintf("s%d", random.IntN(3))
-			if old := present[id]; old != nil && (old.Born > next.Born || old.Born == next.Born && old.Seq > next.Seq) {
+			if old := present[id]; old != nil && (old.Started > next.Started || old.Started == next.Started && old.Seq > next.Seq) {
 				continue
 			}
 			present[id] = next
@@ -80,11 +80,11 @@
 			list = append(list, p)
 		}
 		whole.Replace(now, list, revision)
-		compare(t, r.Load(), whole.Load())
+		assertSameView(t, r.Load(), whole.Load())
 	}
 }
 
-func compare(t *testing.T, got, want *roster.View) {
+func assertSameView(t *testing.T, got, want *roster.View) {
 	t.Helper()
 	assert.Equal(t, got.Digest, want.Digest)
 	assert.Equal(t, got.Revision, want.Revision)
@@ -93,15 +93,15 @@
 		assert.Equal(t, got.Targets[id].Seq, w.Seq)
 	}
 	for _, service := range []string{"s0", "s1", "s2"} {
-		assert.Equal(t, len(got.Services[service]), len(want.Services[service]))
-		for _, g := range got.Services[service] {
+		assert.Equal(t, len(got.ByService[service]), len(want.ByService[service]))
+		for _, g := range got.ByService[service] {
 			assert.Assert(t, g == got.Targets[g.ID] && g.Service == service)
 		}
 	}
-	assert.Equal(t, len(got.Addresses), len(want.Addresses))
-	for address, w := range want.Addresses {
-		g := got.Addresses[address]
+	assert.Equal(t, len(got.ByAddress), len(want.ByAddress))
+	for address, w := range want.ByAddress {
+		g := got.ByAddress[address]
 		assert.Assert(t, g == got.Targets[g.ID])
-		assert.Equal(t, g.Born, w.Born)
+		assert.Equal(t, g.Started, w.Started)
 	}
 }
--- a/basilcross/routing/config.go
+++ b/basilcross/routing/config.go
@@ -44,8 +44,8 @@
 	MaxConns int
 	// Sharded services are divided by key.
 	Sharded bool
-	// Warm is how long keys that came without a handover are slow.
-	Warm time.Duration
+	// WarmupTime is how long keys that came without a handover are slow.
+	WarmupTime time.Duration
 }
 
 // Limits bound what a caller may send, and how long it may take; zero is none.
@@ -56,9 +56,9 @@
 	IdleTimeout   time.Duration
 }
 
-// Wire has the names of the headers by which callers, instances and targets
+// HeaderNames has the names of the headers by which callers, instances and targets
 // understand each other.
-type Wire struct {
+type HeaderNames struct {
 	RequestID       string
 	TimeLeft        string
 	Signature       string
--- a/basilcross/routing/split.go
+++ b/basilcross/routing/split.go
@@ -6,8 +6,8 @@
 // weights. It deals evenly (smooth weighted round robin), so that the shares
 // hold over few requests too. The zero value works.
 type Splitter struct {
-	mu    sync.Mutex
-	debts map[string]map[string]int
+	mu      sync.Mutex
+	weights map[string]map[string]int
 }
 
 // Next returns the service of the route's next request. Routes are known by
@@ -18,13 +18,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.debts == nil {
-		s.debts = map[string]map[string]int{}
+	if s.weights == nil {
+		s.weights = map[string]map[string]int{}
 	}
-	debt := s.debts[r.Name]
+	debt := s.weights[r.Name]
 	if debt == nil {
 		debt = map[string]int{}
-		s.debts[r.Name] = debt
+		s.weights[r.Name] = debt
 	}
 	total, best := 0, ""
 	for _, share := range r.Split {
--- a/basilcross/schedule/schedule.go
+++ b/basilcross/schedule/schedule.go
@@ -27,10 +27,10 @@
 	// Objective is when the answer should be there, Deadline when it is of no use.
 	Objective time.Time
 	Deadline  time.Time
-	// Transit is the time of a message from whoever asks to the targets, one way.
-	Transit time.Duration
-	// OnTime asks for a refusal if the answer would come after Objective.
-	OnTime bool
+	// OneWayDelay is the time of a message from whoever asks to the targets, one way.
+	OneWayDelay time.Duration
+	// RejectLate asks for a refusal if the answer would come after Objective.
+	RejectLate bool
 }
 
 // Result is how a request ended at its target.
@@ -67,53 +67,53 @@
 
 func (e *NoTargetError) Error() string { return "schedule: no target of " + e.Service }
 
-// Schedule shares out the slots of targets. Roster must be set. It is not safe
+// Scheduler shares out the slots of targets. Roster must be set. It is not safe
 // for concurrent use.
-type Schedule struct {
+type Scheduler struct {
 	Roster *roster.Roster
 
 	services map[string]*service
 }
 
 type service struct {
-	name   string
-	states map[roster.Life]*state
-	queues map[queueKey]*queue
-	kinds  map[uint32]*kind
-	// mean is the work of an average request, in seconds; 0 before the first answer.
-	mean float64
+	name    string
+	targets map[roster.Incarnation]*targetState
+	queues  map[queueKey]*queue
+	kinds   map[uint32]*kindStats
+	// meanWork is the work of an average request, in seconds; 0 before the first answer.
+	meanWork float64
 }
 
 // Ticket is a request's turn: it has a target's slot if Target is set, and waits
 // for one otherwise, until Until at most.
 type Ticket struct {
-	Request Request
-	Target  *roster.Target
-	Until   time.Time
+	Request   Request
+	Target    *roster.Target
+	WaitUntil time.Time
 
 	service *service
 	queue   *queue
-	state   *state
-	order   uint64
+	state   *targetState
+	seq     uint64
 	// late is set if it waits though it cannot make its objective.
 	late bool
-	// arrives is when the target has the request, and started when a slot was
+	// arrivesAt is when the target has the request, and started when a slot was
 	// free for it; that is zero before.
-	arrives time.Time
-	started time.Time
-	// work is how long the target was expected to work on it.
-	work time.Duration
+	arrivesAt time.Time
+	startedAt time.Time
+	// expectedWork is how long the target was expected to work on it.
+	expectedWork time.Duration
 }
 
-// Enter gives a request a slot, or lets it wait for one. The error is a
+// Submit gives a request a slot, or lets it wait for one. The error is a
 // *BusyError or a *NoTargetError.
-func (s *Schedule) Enter(now time.Time, r Request) (*Ticket, error) {
-	sv := s.service(r.Service)
-	t := &Ticket{Request: r, service: sv, queue: sv.queue(&r)}
-	t.queue.arrive(now, &r)
-	_, room := s.best(now, t)
-	if !t.queue.goesBefore(now, t, room.slowness) {
-		room = s.place(now, t)
+func (s *Scheduler) Submit(now time.Time, r Request) (*Ticket, error) {
+	sv := s.serviceFor(r.Service)
+	t := &Ticket{Request: r, service: sv, queue: sv.queueFor(&r)}
+	t.queue.recordArrival(now, &r)
+	_, room := s.bestTarget(now, t)
+	if !t.queue.outranks(now, t, room.slowness) {
+		room = s.assign(now, t)
 	}
 	if t.Target != nil {
 		return t, nil
@@ -121,42 +121,42 @@
 	if room.targets == 0 {
 		return nil, &NoTargetError{Service: r.Service}
 	}
-	return t, t.wait(now, room)
+	return t, t.enqueue(now, room)
 }
 
 // Expire is called when a ticket has waited until Until. It goes on waiting, until
 // a later Until, if it is still worth while although the answer will be late; the
 // error says why nothing came of it otherwise.
-func (s *Schedule) Expire(now time.Time, t *Ticket) error {
-	_, room := s.best(now, t)
-	err := t.waitLate(now, room)
+func (s *Scheduler) Expire(now time.Time, t *Ticket) error {
+	_, room := s.bestTarget(now, t)
+	err := t.waitPastObjective(now, room)
 	if err != nil {
-		s.Withdraw(t)
+		s.Cancel(t)
 	}
 	return err
 }
 
-// Withdraw ends a ticket's wait.
-func (s *Schedule) Withdraw(t *Ticket) { t.queue.remove(t) }
+// Cancel ends a ticket's wait.
+func (s *Scheduler) Cancel(t *Ticket) { t.queue.remove(t) }
 
 // Release gives a ticket's slot back, and returns the tickets that have got one.
-func (s *Schedule) Release(now time.Time, t *Ticket, r Result) []*Ticket {
-	t.state.ended(now, t, r)
+func (s *Scheduler) Release(now time.Time, t *Ticket, r Result) []*Ticket {
+	t.state.recordResult(now, t, r)
 	return s.Admit(now, t)
 }
 
 // Admit gives slots to requests that wait for the same targets as the ticket's,
 // and returns those that have got one.
-func (s *Schedule) Admit(now time.Time, like *Ticket) []*Ticket {
+func (s *Scheduler) Admit(now time.Time, like *Ticket) []*Ticket {
 	var placed []*Ticket
 	for q := like.queue; len(q.waiting) > 0; {
-		best, room := s.best(now, q.waiting[0])
+		best, room := s.bestTarget(now, q.waiting[0])
 		if best != nil {
 			// Who makes its objective depends on whose slot is free.
-			room.slowness = room.state.slowness * cold(now, best)
+			room.slowness = room.state.slowness * warmupFactor(now, best)
 		}
 		next := q.next(now, room.slowness)
-		s.place(now, next)
+		s.assign(now, next)
 		if next.Target == nil {
 			break
 		}
@@ -166,32 +166,32 @@
 	return placed
 }
 
-func (s *Schedule) service(name string) *service {
+func (s *Scheduler) serviceFor(name string) *service {
 	if s.services == nil {
 		s.services = map[string]*service{}
 	}
 	sv := s.services[name]
 	if sv == nil {
-		sv = &service{name: name, states: map[roster.Life]*state{}, queues: map[queueKey]*queue{}, kinds: map[uint32]*kind{}}
+		sv = &service{name: name, targets: map[roster.Incarnation]*targetState{}, queues: map[queueKey]*queue{}, kinds: map[uint32]*kindStats{}}
 		s.services[name] = sv
 	}
 	return sv
 }
 
-// Forget drops what is known of lifetimes that are over, and of kinds of requests
+// Prune drops what is known of lifetimes that are over, and of kinds of requests
 // that do not come any more.
-func (s *Schedule) Forget(now time.Time) {
+func (s *Scheduler) Prune(now time.Time) {
 	view := s.Roster.Load()
 	for _, sv := range s.services {
-		maps.DeleteFunc(sv.kinds, func(_ uint32, k *kind) bool { return now.Sub(k.at) > kindFor })
-		for life, st := range sv.states {
+		maps.DeleteFunc(sv.kinds, func(_ uint32, k *kindStats) bool { return now.Sub(k.lastAnswer) > kindTTL })
+		for life, st := range sv.targets {
 			t := view.Targets[life.ID]
-			if len(st.inFlight) == 0 && (t == nil || t.Born != life.Born) {
-				delete(sv.states, life)
+			if len(st.inFlight) == 0 && (t == nil || t.Started != life.Started) {
+				delete(sv.targets, life)
 			}
 		}
 		for key, q := range sv.queues {
-			maps.DeleteFunc(q.arrivals, func(_ uint32, a *arrivals) bool { return now.Sub(a.at) > kindFor })
+			maps.DeleteFunc(q.arrivals, func(_ uint32, a *arrivalStats) bool { return now.Sub(a.updated) > kindTTL })
 			if len(q.waiting) == 0 && key.target != "" && view.Targets[key.target] == nil {
 				delete(sv.queues, key)
 			}
@@ -199,22 +199,22 @@
 	}
 }
 
-// Speed is a target's usual time of an answer to an average request.
-type Speed struct {
+// TargetLatency is a target's usual time of an answer to an average request.
+type TargetLatency struct {
 	Service string
 	Target  string
 	Latency time.Duration
 }
 
-// Speeds returns what was learnt of targets. A lifetime that is over says
+// TargetLatencies returns what was learnt of targets. A lifetime that is over says
 // nothing of the next one under its name.
-func (s *Schedule) Speeds() []Speed {
+func (s *Scheduler) TargetLatencies() []TargetLatency {
 	view := s.Roster.Load()
-	var speeds []Speed
+	var speeds []TargetLatency
 	for name, sv := range s.services {
-		for life, st := range sv.states {
-			if t := view.Targets[life.ID]; t != nil && t.Born == life.Born && st.answers > 0 {
-				speeds = append(speeds, Speed{name, life.ID, seconds(sv.usualWork() * st.slowness)})
+		for life, st := range sv.targets {
+			if t := view.Targets[life.ID]; t != nil && t.Started == life.Started && st.answers > 0 {
+				speeds = append(speeds, TargetLatency{name, life.ID, seconds(sv.averageWork() * st.slowness)})
 			}
 		}
 	}
--- a/basilcross/schedule/schedule_test.go
+++ b/basilcross/schedule/schedule_test.go
@@ -21,13 +21,13 @@
 // now is a moment as good as any.
 var now = time.Unix(1_000_000, 0)
 
-func newSchedule(targets ...*roster.Target) *schedule.Schedule {
+func newScheduler(targets ...*roster.Target) *schedule.Scheduler {
 	known := &roster.Roster{}
 	for _, t := range targets {
-		t.Service, t.Zone, t.Born = "s", "z", 1
+		t.Service, t.Zone, t.Started = "s", "z", 1
 	}
 	known.Replace(now.Add(-time.Hour), targets, 1)
-	return &schedule.Schedule{Roster: known}
+	return &schedule.Scheduler{Roster: known}
 }
 
 // request is one of a kind; the urgent kind has a priority above the long one's.
@@ -40,16 +40,16 @@
 	return r
 }
 
-func enter(t *testing.T, s *schedule.Schedule, at time.Time, r schedule.Request) *schedule.Ticket {
+func submit(t *testing.T, s *schedule.Scheduler, at time.Time, r schedule.Request) *schedule.Ticket {
 	t.Helper()
-	ticket, err := s.Enter(at, r)
+	ticket, err := s.Submit(at, r)
 	assert.NilError(t, err)
 	return ticket
 }
 
-// teach lets targets answer both kinds for a while: 40 ms and 240 ms of work, and
+// trainEstimates lets targets answer both kinds for a while: 40 ms and 240 ms of work, and
 // slowness times as long where that is given. It returns the time afterwards.
-func teach(t *testing.T, s *schedule.Schedule, at time.Time, slowness map[string]float64) time.Time {
+func trainEstimates(t *testing.T, s *schedule.Scheduler, at time.Time, slowness map[string]float64) time.Time {
 	t.Helper()
 	for range 60 {
 		for _, id := range slices.Sorted(maps.Keys(slowness)) {
@@ -57,7 +57,7 @@
 				if work == 0 {
 					continue
 				}
-				ticket := enter(t, s, at, request(at, uint32(kind), id))
+				ticket := submit(t, s, at, request(at, uint32(kind), id))
 				at = at.Add(time.Duration(work * slowness[id] * float64(time.Millisecond)))
 				s.Release(at, ticket, schedule.Answered)
 			}
@@ -68,10 +68,10 @@
 
 // urgentTraffic lets urgent requests come to a target all the time for a while. It
 // returns the time after the last one's answer.
-func urgentTraffic(t *testing.T, s *schedule.Schedule, at time.Time) time.Time {
+func urgentTraffic(t *testing.T, s *schedule.Scheduler, at time.Time) time.Time {
 	t.Helper()
 	for range 20 {
-		ticket := enter(t, s, at, request(at, urgent, "a"))
+		ticket := submit(t, s, at, request(at, urgent, "a"))
 		s.Release(at.Add(40*time.Millisecond), ticket, schedule.Answered)
 		at = at.Add(60 * time.Millisecond)
 	}
@@ -79,20 +79,20 @@
 }
 
 // Guards against a target that looks slow because it gets more of a long kind.
-func TestWorkAndSpeedAreLearntApart(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "fast", Slots: 1}, &roster.Target{ID: "slow", Slots: 1})
-	at := teach(t, s, now, map[string]float64{"fast": 0.5, "slow": 1.5})
+func TestWorkAndSlownessAreEstimatedSeparately(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "fast", Slots: 1}, &roster.Target{ID: "slow", Slots: 1})
+	at := trainEstimates(t, s, now, map[string]float64{"fast": 0.5, "slow": 1.5})
 	for range 50 {
 		// The fast one gets only the long kind, the slow one only the other.
 		for id, kind := range map[string]uint32{"fast": long, "slow": urgent} {
-			ticket := enter(t, s, at, request(at, kind, id))
+			ticket := submit(t, s, at, request(at, kind, id))
 			took := map[string]time.Duration{"fast": 120 * time.Millisecond, "slow": 60 * time.Millisecond}[id]
 			at = at.Add(took)
 			s.Release(at, ticket, schedule.Answered)
 		}
 	}
 	speeds := map[string]time.Duration{}
-	for _, v := range s.Speeds() {
+	for _, v := range s.TargetLatencies() {
 		speeds[v.Target] = v.Latency
 	}
 	ratio := float64(speeds["slow"]) / float64(speeds["fast"])
@@ -100,76 +100,76 @@
 }
 
 // Guards against speeds that differ because one instance knows a rare kind.
-func TestRareKindDoesNotChangeSpeeds(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 1})
-	at := teach(t, s, now, map[string]float64{"a": 1})
-	before := s.Speeds()[0].Latency
-	rare := enter(t, s, at, request(at, 99, "a"))
+func TestRareKindDoesNotChangeLatencies(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 1})
+	at := trainEstimates(t, s, now, map[string]float64{"a": 1})
+	before := s.TargetLatencies()[0].Latency
+	rare := submit(t, s, at, request(at, 99, "a"))
 	at = at.Add(2 * time.Millisecond)
 	s.Release(at, rare, schedule.Answered)
-	after := float64(s.Speeds()[0].Latency) / float64(before)
+	after := float64(s.TargetLatencies()[0].Latency) / float64(before)
 	assert.Assert(t, after > 0.9 && after < 1.1, "%.2f of before", after)
 }
 
 // Guards against a slow target that is not noticed while its slots are always taken.
-func TestSpeedIsLearntWhileAllSlotsAreTaken(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 1})
-	at := teach(t, s, now, map[string]float64{"a": 1})
-	before := s.Speeds()[0].Latency
-	running := enter(t, s, at, request(at, long, "a"))
+func TestLatencyIsUpdatedWhileAllSlotsAreTaken(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 1})
+	at := trainEstimates(t, s, now, map[string]float64{"a": 1})
+	before := s.TargetLatencies()[0].Latency
+	running := submit(t, s, at, request(at, long, "a"))
 	for range 40 {
 		r := request(at, long, "a")
 		r.Deadline, r.Objective = at.Add(time.Minute), at.Add(time.Minute)
-		next := enter(t, s, at, r)
+		next := submit(t, s, at, r)
 		at = at.Add(960 * time.Millisecond)
 		s.Release(at, running, schedule.Answered)
 		running = next
 	}
-	assert.Assert(t, s.Speeds()[0].Latency > 3*before)
+	assert.Assert(t, s.TargetLatencies()[0].Latency > 3*before)
 }
 
 // Guards against long requests that take every slot while urgent ones come.
-func TestLastSlotIsKeptForUrgentRequests(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 2})
-	at := teach(t, s, now, map[string]float64{"a": 1})
+func TestLastSlotIsReservedForUrgentRequests(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 2})
+	at := trainEstimates(t, s, now, map[string]float64{"a": 1})
 	at = urgentTraffic(t, s, at)
-	first := enter(t, s, at, request(at, long, "a"))
+	first := submit(t, s, at, request(at, long, "a"))
 	assert.Assert(t, first.Target != nil)
-	second := enter(t, s, at, request(at, long, "a"))
+	second := submit(t, s, at, request(at, long, "a"))
 	assert.Assert(t, second.Target == nil, "the last slot went to a long request")
-	assert.Assert(t, enter(t, s, at, request(at, urgent, "a")).Target != nil)
+	assert.Assert(t, submit(t, s, at, request(at, urgent, "a")).Target != nil)
 }
 
 // Guards against a slot that stays idle though another one is free soon enough.
-func TestSlotIsNotKeptIfAnotherIsFreeSoon(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 2})
-	at := teach(t, s, now, map[string]float64{"a": 1})
+func TestSlotIsNotReservedIfAnotherIsFreeSoon(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 2})
+	at := trainEstimates(t, s, now, map[string]float64{"a": 1})
 	at = urgentTraffic(t, s, at)
-	enter(t, s, at, request(at, long, "a"))
-	second := enter(t, s, at, request(at, long, "a"))
+	submit(t, s, at, request(at, long, "a"))
+	second := submit(t, s, at, request(at, long, "a"))
 	placed := s.Admit(at.Add(200*time.Millisecond), second)
 	assert.Equal(t, len(placed), 1)
 }
 
 // Guards against an only slot that no kind but the most urgent ever gets.
-func TestOnlySlotIsNotKept(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 1})
-	at := teach(t, s, now, map[string]float64{"a": 1})
+func TestOnlySlotIsNotReserved(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 1})
+	at := trainEstimates(t, s, now, map[string]float64{"a": 1})
 	at = urgentTraffic(t, s, at)
-	assert.Assert(t, enter(t, s, at, request(at, long, "a")).Target != nil)
+	assert.Assert(t, submit(t, s, at, request(at, long, "a")).Target != nil)
 }
 
 // Guards against a slot kept for a kind that does not come any more.
-func TestSlotIsNotKeptForNobody(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 2})
-	at := teach(t, s, now, map[string]float64{"a": 1}).Add(time.Minute)
+func TestSlotIsNotReservedForKindWithoutTraffic(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 2})
+	at := trainEstimates(t, s, now, map[string]float64{"a": 1}).Add(time.Minute)
 	for range 2 {
-		assert.Assert(t, enter(t, s, at, request(at, long, "a")).Target != nil)
+		assert.Assert(t, submit(t, s, at, request(at, long, "a")).Target != nil)
 	}
 }
 
 // Guards against slots that are idle while messages go to another region and back.
-func TestRequestFromAfarIsSentAheadOfTheSlot(t *testing.T) {
+func TestRemoteRequestIsSentBeforeSlotIsFree(t *testing.T) {
 	for _, c := range []struct {
 		transit time.Duration
 		after   time.Duration
@@ -179,66 +179,66 @@
 		{8 * time.Millisecond, 200 * time.Millisecond, false},
 		{8 * time.Millisecond, 220 * time.Millisecond, true},
 	} {
-		s := newSchedule(&roster.Target{ID: "a", Slots: 1})
-		at := teach(t, s, now, map[string]float64{"a": 1})
-		enter(t, s, at, request(at, long, "a"))
+		s := newScheduler(&roster.Target{ID: "a", Slots: 1})
+		at := trainEstimates(t, s, now, map[string]float64{"a": 1})
+		submit(t, s, at, request(at, long, "a"))
 		at = at.Add(c.after)
 		r := request(at, long, "a")
-		r.Transit = c.transit
-		assert.Equal(t, enter(t, s, at, r).Target != nil, c.sent, "%v", c)
+		r.OneWayDelay = c.transit
+		assert.Equal(t, submit(t, s, at, r).Target != nil, c.sent, "%v", c)
 	}
 }
 
 // Guards against late requests that come back as new ones and displace those in time.
-func TestLateRequestWaitsBehindAllInTime(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 1})
-	at := teach(t, s, now, map[string]float64{"a": 1})
-	running := enter(t, s, at, request(at, long, "a"))
-	late := enter(t, s, at, request(at, long, "a"))
-	at = late.Until
+func TestLateRequestWaitsBehindTimelyRequests(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 1})
+	at := trainEstimates(t, s, now, map[string]float64{"a": 1})
+	running := submit(t, s, at, request(at, long, "a"))
+	late := submit(t, s, at, request(at, long, "a"))
+	at = late.WaitUntil
 	assert.NilError(t, s.Expire(at, late))
-	inTime := enter(t, s, at, request(at, long, "a"))
+	inTime := submit(t, s, at, request(at, long, "a"))
 	placed := s.Release(at, running, schedule.Answered)
 	assert.Assert(t, len(placed) == 1 && placed[0] == inTime)
 	var busy *schedule.BusyError
-	assert.Assert(t, errors.As(s.Expire(late.Until, late), &busy))
-	assert.Equal(t, len(s.Release(late.Until, inTime, schedule.Answered)), 0)
+	assert.Assert(t, errors.As(s.Expire(late.WaitUntil, late), &busy))
+	assert.Equal(t, len(s.Release(late.WaitUntil, inTime, schedule.Answered)), 0)
 }
 
 // Guards against refusals while there are targets that lose only some answers.
-func TestTargetsThatAllFailedAreUsed(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 2}, &roster.Target{ID: "b", Slots: 2})
+func TestFailingTargetsAreUsedWithoutAlternative(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 2}, &roster.Target{ID: "b", Slots: 2})
 	for range 6 {
-		s.Release(now, enter(t, s, now, request(now, urgent, "")), schedule.Failed)
+		s.Release(now, submit(t, s, now, request(now, urgent, "")), schedule.Failed)
 	}
-	assert.Assert(t, enter(t, s, now, request(now, urgent, "")).Target != nil)
+	assert.Assert(t, submit(t, s, now, request(now, urgent, "")).Target != nil)
 	r := request(now, urgent, "")
-	r.OnTime = true
-	_, err := s.Enter(now, r)
+	r.RejectLate = true
+	_, err := s.Submit(now, r)
 	var none *schedule.NoTargetError
 	assert.Assert(t, errors.As(err, &none), "another zone may still do: %v", err)
 }
 
 // Guards against a pause that goes on though the target answers again.
-func TestAnswerEndsAPause(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "a", Slots: 4})
-	under := enter(t, s, now, request(now, urgent, "a"))
+func TestAnswerEndsBackoff(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "a", Slots: 4})
+	under := submit(t, s, now, request(now, urgent, "a"))
 	for range 2 {
-		s.Release(now, enter(t, s, now, request(now, urgent, "a")), schedule.Failed)
+		s.Release(now, submit(t, s, now, request(now, urgent, "a")), schedule.Failed)
 	}
-	_, err := s.Enter(now, request(now, urgent, "a"))
+	_, err := s.Submit(now, request(now, urgent, "a"))
 	assert.Assert(t, err != nil)
 	s.Release(now.Add(time.Millisecond), under, schedule.Answered)
-	assert.Assert(t, enter(t, s, now.Add(time.Millisecond), request(now, urgent, "a")).Target != nil)
+	assert.Assert(t, submit(t, s, now.Add(time.Millisecond), request(now, urgent, "a")).Target != nil)
 }
 
-func ExampleSchedule_Enter() {
+func ExampleScheduler_Submit() {
 	known := &roster.Roster{}
 	known.Replace(now, []*roster.Target{{ID: "a", Service: "s", Zone: "z", Slots: 1}}, 1)
-	s := &schedule.Schedule{Roster: known}
+	s := &schedule.Scheduler{Roster: known}
 	r := schedule.Request{Service: "s", Zone: "z", Objective: now.Add(time.Second), Deadline: now.Add(3 * time.Second)}
-	first, _ := s.Enter(now, r)
-	second, _ := s.Enter(now, r)
+	first, _ := s.Submit(now, r)
+	second, _ := s.Submit(now, r)
 	fmt.Println(first.Target.ID, second.Target == nil)
 	for _, t := range s.Release(now.Add(200*time.Millisecond), first, schedule.Answered) {
 		fmt.Println(t.Target.ID, t == second)
@@ -250,16 +250,16 @@
 
 // Guards against a slow target's slot that goes to a request which only a faster one
 // answers in time, while another waits that the slow one answers in time.
-func TestSlowTargetsSlotGoesToWhoMakesItThere(t *testing.T) {
-	s := newSchedule(&roster.Target{ID: "fast", Slots: 1}, &roster.Target{ID: "slow", Slots: 1})
-	at := teach(t, s, now, map[string]float64{"fast": 0.5, "slow": 2})
-	fast := enter(t, s, at, request(at, long, ""))
-	slow := enter(t, s, at, request(at, long, ""))
+func TestSlowTargetGetsRequestThatMeetsObjectiveThere(t *testing.T) {
+	s := newScheduler(&roster.Target{ID: "fast", Slots: 1}, &roster.Target{ID: "slow", Slots: 1})
+	at := trainEstimates(t, s, now, map[string]float64{"fast": 0.5, "slow": 2})
+	fast := submit(t, s, at, request(at, long, ""))
+	slow := submit(t, s, at, request(at, long, ""))
 	assert.Assert(t, fast.Target.ID == "fast" && slow.Target.ID == "slow")
 	tight := request(at, long, "")
 	tight.Objective = at.Add(400 * time.Millisecond)
-	first := enter(t, s, at, tight)
-	second := enter(t, s, at, request(at, long, ""))
+	first := submit(t, s, at, tight)
+	second := submit(t, s, at, request(at, long, ""))
 	placed := s.Release(at.Add(60*time.Millisecond), slow, schedule.Answered)
 	assert.Assert(t, len(placed) == 1 && placed[0] == second)
 	placed = s.Release(at.Add(90*time.Millisecond), fast, schedule.Answered)
--- a/basilcross/slot/overload_test.go
+++ b/basilcross/slot/overload_test.go
@@ -21,7 +21,7 @@
 	meanWork    = 10 * time.Millisecond
 	capacity    = targetSlots * 100.0
 	deadline    = 500 * time.Millisecond
-	span        = 20 * time.Second
+	runTime     = 20 * time.Second
 )
 
 // target has slots and a short queue, and sheds what does not fit; a queue
@@ -57,15 +57,15 @@
 	return slot.Answered
 }
 
-// outcome is what a run showed.
-type outcome struct {
+// runResult is what a run showed.
+type runResult struct {
 	mu            sync.Mutex
 	goodput       int
 	confirmations []time.Duration
 	lost          int
 }
 
-func (o *outcome) note(priority int, took time.Duration, good bool) {
+func (o *runResult) record(priority int, took time.Duration, good bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if good {
@@ -81,19 +81,19 @@
 	o.lost++
 }
 
-func (o *outcome) p99() time.Duration {
+func (o *runResult) p99() time.Duration {
 	slices.SortFunc(o.confirmations, cmp.Compare)
 	return o.confirmations[len(o.confirmations)*99/100]
 }
 
-// load sends requests at a multiple of the capacity; a tenth of the capacity
+// runLoad sends requests at a multiple of the capacity; a tenth of the capacity
 // are confirmations, the rest pulls that may wait.
-func load(times float64, send func(ctx context.Context, gateway, priority int, work time.Duration) bool) *outcome {
+func runLoad(times float64, send func(ctx context.Context, gateway, priority int, work time.Duration) bool) *runResult {
 	random := rand.New(rand.NewPCG(1, 2))
-	o := &outcome{}
+	o := &runResult{}
 	var group sync.WaitGroup
 	defer group.Wait()
-	for at := time.Duration(0); at < span; {
+	for at := time.Duration(0); at < runTime; {
 		gap := time.Duration(random.ExpFloat64() / (times * capacity) * float64(time.Second))
 		at += gap
 		time.Sleep(gap)
@@ -107,7 +107,7 @@
 			defer cancel()
 			began := time.Now()
 			good := send(ctx, gateway, priority, work) && ctx.Err() == nil
-			o.note(priority, time.Since(began), good)
+			o.record(priority, time.Since(began), good)
 		})
 	}
 	return o
@@ -140,9 +140,9 @@
 // nearly all its work is answered in time, and confirmations pass the waiting
 // pulls. Without limits the target works on requests whose callers have given
 // up, and confirmations stand in the same line as pulls.
-func TestOverload(t *testing.T) {
-	run := func(times float64, queue int, limits bool) *outcome {
-		var o *outcome
+func TestLimitsKeepGoodputUnderOverload(t *testing.T) {
+	run := func(times float64, queue int, limits bool) *runResult {
+		var o *runResult
 		synctest.Test(t, func(*testing.T) {
 			s := newTarget(queue)
 			send := withLimits(s)
@@ -151,16 +151,16 @@
 					return s.serve(ctx, work) == slot.Answered
 				}
 			}
-			o = load(times, send)
+			o = runLoad(times, send)
 		})
 		return o
 	}
-	share := func(o *outcome) float64 { return float64(o.goodput) / (capacity * span.Seconds()) }
+	share := func(o *runResult) float64 { return float64(o.goodput) / (capacity * runTime.Seconds()) }
 	calm := run(0.3, targetQueue, true)
 	limited := run(3, targetQueue, true)
 	fifo := run(3, targetQueue, false)
 	endless := run(3, 1<<30, false)
-	for name, o := range map[string]*outcome{"unloaded": calm, "limits": limited, "short queue, first come": fifo, "endless queue": endless} {
+	for name, o := range map[string]*runResult{"unloaded": calm, "limits": limited, "short queue, first come": fifo, "endless queue": endless} {
 		if len(o.confirmations) > 0 {
 			t.Logf("%-24s goodput %.3f of capacity, confirmations p99 %v, %d of %d lost", name, share(o), o.p99(), o.lost, o.lost+len(o.confirmations))
 		} else {
--- a/basilcross/slot/slot.go
+++ b/basilcross/slot/slot.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// Priorities is the number of classes; 0 goes first.
-	Priorities = 10
+	// NumPriorities is the number of classes; 0 goes first.
+	NumPriorities = 10
 	// classRatio is how many more turns a class gets than the next lower one
 	// while both wait. The lowest still gets some, so nothing starves.
 	classRatio = 4.0
@@ -22,22 +22,22 @@
 	// and a pause earned by pulls must not hold up a confirmation.
 	urgentBelow = 3
 
-	floorLimit = 1.0 / 64
-	shedCut    = 0.8
-	// rise is what an answer adds to the limit while it is used up.
-	rise = 0.02
-	// startLimit and startRise are for a target that this gateway knows
+	minLimit   = 1.0 / 64
+	shedFactor = 0.8
+	// limitStep is what an answer adds to the limit while it is used up.
+	limitStep = 0.02
+	// initialLimit and startRise are for a target that this gateway knows
 	// nothing of: it may have just been started and be cold. The limit rises
 	// fast until the target sheds for the first time.
-	startLimit = 1.0
-	startRise  = 0.25
-	// lateCut is milder than shedCut: a slow answer may be the request's own
+	initialLimit = 1.0
+	initialStep  = 0.25
+	// slowFactor is milder than shedCut: a slow answer may be the request's own
 	// nature, a shed one is the target's word.
-	lateCut   = 0.95
-	slowRatio = 6.0
+	slowFactor = 0.95
+	slowRatio  = 6.0
 	// smoothing of the latency averages, per answer.
-	fastShare = 0.1
-	slowShare = 0.01
+	recentWeight   = 0.1
+	baselineWeight = 0.01
 )
 
 // Result is how an admitted request ended.
@@ -53,21 +53,21 @@
 	Failed
 )
 
-// FullError says that too many requests wait already.
-type FullError struct {
+// QueueFullError says that too many requests wait already.
+type QueueFullError struct {
 	Waiting int
 }
 
-func (e *FullError) Error() string { return "slot: queue is full" }
+func (e *QueueFullError) Error() string { return "slot: queue is full" }
 
-// LateError says that a request would wait too long to be answered in time.
+// WaitTooLongError says that a request would wait too long to be answered in time.
 // Refused at once, its caller can try elsewhere; admitted at the end of its
 // time, it would only cost the target work that nobody waits for any more.
-type LateError struct {
+type WaitTooLongError struct {
 	Wait time.Duration
 }
 
-func (e *LateError) Error() string {
+func (e *WaitTooLongError) Error() string {
 	return "slot: the wait of " + e.Wait.String() + " would outlast the deadline"
 }
 
@@ -84,20 +84,20 @@
 	// QueueLimit is how many requests may wait.
 	QueueLimit int
 
-	mu       sync.Mutex
-	limit    float64
-	inFlight int
-	waiting  int
-	queues   [Priorities][]*waiter
-	pass     [Priorities]float64
-	resumeAt time.Time
-	timer    *time.Timer
-	// gap is the average time between two admissions while others wait.
-	gap     float64
-	admitAt time.Time
-	fast    float64
-	slow    float64
-	shed    bool
+	mu          sync.Mutex
+	limit       float64
+	inFlight    int
+	waiting     int
+	queues      [NumPriorities][]*waiter
+	pass        [NumPriorities]float64
+	pausedUntil time.Time
+	timer       *time.Timer
+	// admissionGap is the average time between two admissions while others wait.
+	admissionGap    float64
+	lastAdmission   time.Time
+	recentLatency   float64
+	baselineLatency float64
+	hasShed         bool
 }
 
 type waiter struct {
@@ -111,7 +111,7 @@
 // the request has ended. The error is the context's, a FullError or a LateError.
 func (l *Limiter) Acquire(ctx context.Context, priority int) (release func(Result), err error) {
 	deadline, _ := ctx.Deadline()
-	w, err := l.enter(priority, deadline)
+	w, err := l.admitOrQueue(priority, deadline)
 	if err != nil {
 		return nil, err
 	}
@@ -124,24 +124,24 @@
 	return func(r Result) { l.release(r, time.Since(began)) }, nil
 }
 
-// enter admits at once (nil waiter), or queues.
-func (l *Limiter) enter(priority int, deadline time.Time) (*waiter, error) {
+// admitOrQueue admits at once (nil waiter), or queues.
+func (l *Limiter) admitOrQueue(priority int, deadline time.Time) (*waiter, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
-	if l.room(time.Now(), priority) && (l.waiting == 0 || priority < urgentBelow && !l.waitingBefore(priority)) {
+	if l.hasCapacity(time.Now(), priority) && (l.waiting == 0 || priority < urgentBelow && !l.hasWaitersUpTo(priority)) {
 		l.inFlight++
 		return nil, nil
 	}
-	if wait := l.expect(priority); !deadline.IsZero() && wait > time.Until(deadline) {
-		return nil, &LateError{Wait: wait}
+	if wait := l.expectedTime(priority); !deadline.IsZero() && wait > time.Until(deadline) {
+		return nil, &WaitTooLongError{Wait: wait}
 	}
-	if l.waiting >= l.QueueLimit && !l.dropBelow(priority) {
-		return nil, &FullError{Waiting: l.waiting}
+	if l.waiting >= l.QueueLimit && !l.dropLowerClass(priority) {
+		return nil, &QueueFullError{Waiting: l.waiting}
 	}
 	w := &waiter{ready: make(chan struct{})}
 	if len(l.queues[priority]) == 0 {
-		l.pass[priority] = max(l.pass[priority], l.leastPass())
+		l.pass[priority] = max(l.pass[priority], l.minPass())
 	}
 	l.queues[priority] = append(l.queues[priority], w)
 	l.waiting++
@@ -149,40 +149,40 @@
 	return w, nil
 }
 
-// expect is how long a new waiter of a class would wait and then run.
-func (l *Limiter) expect(priority int) time.Duration {
+// expectedTime is how long a new waiter of a class would wait and then run.
+func (l *Limiter) expectedTime(priority int) time.Duration {
 	before := 1
 	for p := range priority + 1 {
 		before += len(l.queues[p])
 	}
-	return time.Duration((float64(before)*l.gap + l.fast) * float64(time.Second))
+	return time.Duration((float64(before)*l.admissionGap + l.recentLatency) * float64(time.Second))
 }
 
-// noteAdmission keeps the average gap. A pause without waiters says nothing
+// recordAdmission keeps the average gap. A pause without waiters says nothing
 // about the target.
-func (l *Limiter) noteAdmission(now time.Time) {
-	if !l.admitAt.IsZero() {
-		gap := now.Sub(l.admitAt).Seconds()
-		if l.gap == 0 {
-			l.gap = gap
+func (l *Limiter) recordAdmission(now time.Time) {
+	if !l.lastAdmission.IsZero() {
+		gap := now.Sub(l.lastAdmission).Seconds()
+		if l.admissionGap == 0 {
+			l.admissionGap = gap
 		}
-		l.gap += fastShare * (gap - l.gap)
+		l.admissionGap += recentWeight * (gap - l.admissionGap)
 	}
-	l.admitAt = time.Time{}
+	l.lastAdmission = time.Time{}
 	if l.waiting > 0 {
-		l.admitAt = now
+		l.lastAdmission = now
 	}
 }
 
 func (l *Limiter) init() {
 	if l.limit == 0 {
-		l.limit = startLimit
+		l.limit = initialLimit
 	}
 }
 
-// dropBelow makes room by dropping the newest waiter of a lower class.
-func (l *Limiter) dropBelow(priority int) bool {
-	for p := Priorities - 1; p > priority; p-- {
+// dropLowerClass makes room by dropping the newest waiter of a lower class.
+func (l *Limiter) dropLowerClass(priority int) bool {
+	for p := NumPriorities - 1; p > priority; p-- {
 		n := len(l.queues[p])
 		if n == 0 {
 			continue
@@ -206,7 +206,7 @@
 	defer l.mu.Unlock()
 	switch {
 	case w.dropped:
-		return &FullError{Waiting: l.waiting}
+		return &QueueFullError{Waiting: l.waiting}
 	case ctx.Err() == nil:
 		return nil
 	case w.admitted:
@@ -231,16 +231,16 @@
 	}
 }
 
-func (l *Limiter) room(now time.Time, priority int) bool {
+func (l *Limiter) hasCapacity(now time.Time, priority int) bool {
 	allowed := int(math.Floor(max(1, l.limit)))
 	if priority < urgentBelow {
 		return l.inFlight <= allowed
 	}
-	return l.inFlight < allowed && !now.Before(l.resumeAt)
+	return l.inFlight < allowed && !now.Before(l.pausedUntil)
 }
 
-// waitingBefore tells whether anybody waits in this class or a higher one.
-func (l *Limiter) waitingBefore(priority int) bool {
+// hasWaitersUpTo tells whether anybody waits in this class or a higher one.
+func (l *Limiter) hasWaitersUpTo(priority int) bool {
 	for p := range priority + 1 {
 		if len(l.queues[p]) > 0 {
 			return true
@@ -256,18 +256,18 @@
 		if class < 0 {
 			break
 		}
-		w := l.take(class)
-		l.noteAdmission(now)
+		w := l.dequeue(class)
+		l.recordAdmission(now)
 		w.admitted = true
 		l.inFlight++
 		close(w.ready)
 	}
-	if l.waiting > 0 && now.Before(l.resumeAt) {
-		l.wakeAt(l.resumeAt.Sub(now))
+	if l.waiting > 0 && now.Before(l.pausedUntil) {
+		l.admitAfter(l.pausedUntil.Sub(now))
 	}
 }
 
-func (l *Limiter) wakeAt(d time.Duration) {
+func (l *Limiter) admitAfter(d time.Duration) {
 	if l.timer != nil {
 		l.timer.Stop()
 	}
@@ -283,14 +283,14 @@
 func (l *Limiter) nextClass(now time.Time) int {
 	best := -1
 	for p := range l.queues {
-		if len(l.queues[p]) > 0 && l.room(now, p) && (best < 0 || l.pass[p] < l.pass[best]) {
+		if len(l.queues[p]) > 0 && l.hasCapacity(now, p) && (best < 0 || l.pass[p] < l.pass[best]) {
 			best = p
 		}
 	}
 	return best
 }
 
-func (l *Limiter) take(class int) *waiter {
+func (l *Limiter) dequeue(class int) *waiter {
 	w := l.queues[class][0]
 	l.queues[class] = l.queues[class][1:]
 	l.pass[class] += math.Pow(classRatio, float64(class))
@@ -298,9 +298,9 @@
 	return w
 }
 
-// leastPass is where a class joins that had nobody waiting: it must not claim
+// minPass is where a class joins that had nobody waiting: it must not claim
 // the turns that it did not want.
-func (l *Limiter) leastPass() float64 {
+func (l *Limiter) minPass() float64 {
 	least := math.Inf(1)
 	for p := range l.queues {
 		if len(l.queues[p]) > 0 {
@@ -308,7 +308,7 @@
 		}
 	}
 	if math.IsInf(least, 1) {
-		l.pass = [Priorities]float64{}
+		l.pass = [NumPriorities]float64{}
 		return 0
 	}
 	return least
@@ -319,47 +319,47 @@
 	defer l.mu.Unlock()
 	used := float64(l.inFlight) >= math.Floor(l.limit)
 	l.inFlight--
-	l.learn(r, took.Seconds(), used)
+	l.adjustLimit(r, took.Seconds(), used)
 	now := time.Now()
 	if l.limit < 1 {
-		pause := l.fast * (1/l.limit - 1)
-		l.resumeAt = now.Add(time.Duration(pause * float64(time.Second)))
+		pause := l.recentLatency * (1/l.limit - 1)
+		l.pausedUntil = now.Add(time.Duration(pause * float64(time.Second)))
 	}
 	l.admit(now)
 }
 
-func (l *Limiter) learn(r Result, took float64, used bool) {
+func (l *Limiter) adjustLimit(r Result, took float64, used bool) {
 	switch r {
 	case Shed:
-		l.shed = true
-		l.limit = max(floorLimit, l.limit*shedCut)
+		l.hasShed = true
+		l.limit = max(minLimit, l.limit*shedFactor)
 	case Answered:
-		l.measure(took)
-		if l.fast > slowRatio*l.slow {
-			l.limit = max(floorLimit, l.limit*lateCut)
+		l.recordLatency(took)
+		if l.recentLatency > slowRatio*l.baselineLatency {
+			l.limit = max(minLimit, l.limit*slowFactor)
 			return
 		}
 		if used {
-			l.limit = min(float64(max(1, l.Slots)), l.limit+l.step())
+			l.limit = min(float64(max(1, l.Slots)), l.limit+l.increment())
 		}
 	case Failed:
 	}
 }
 
-func (l *Limiter) step() float64 {
-	if l.shed {
-		return rise
+func (l *Limiter) increment() float64 {
+	if l.hasShed {
+		return limitStep
 	}
-	return startRise
+	return initialStep
 }
 
-func (l *Limiter) measure(took float64) {
-	if l.slow == 0 {
-		l.fast, l.slow = took, took
+func (l *Limiter) recordLatency(took float64) {
+	if l.baselineLatency == 0 {
+		l.recentLatency, l.baselineLatency = took, took
 		return
 	}
-	l.fast += fastShare * (took - l.fast)
-	l.slow += slowShare * (took - l.slow)
+	l.recentLatency += recentWeight * (took - l.recentLatency)
+	l.baselineLatency += baselineWeight * (took - l.baselineLatency)
 }
 
 // State is a view of a limiter for metrics and for choosing among targets.
@@ -376,5 +376,5 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
-	return State{Limit: l.limit, InFlight: l.inFlight, Waiting: l.waiting, Latency: l.fast}
+	return State{Limit: l.limit, InFlight: l.inFlight, Waiting: l.waiting, Latency: l.recentLatency}
 }
--- a/basilcross/slot/slot_test.go
+++ b/basilcross/slot/slot_test.go
@@ -98,7 +98,7 @@
 
 // A request's deadline passes while it waits. It leaves the queue, and the
 // next free slot goes to somebody who still wants it.
-func TestGivenUpWaiterFreesItsPlace(t *testing.T) {
+func TestAbandonedWaiterLeavesQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &slot.Limiter{Slots: 1, QueueLimit: 1}
 		release := acquire(t, l, 5)
@@ -112,17 +112,17 @@
 	})
 }
 
-func TestFullQueueRefuses(t *testing.T) {
+func TestFullQueueRejects(t *testing.T) {
 	l := &slot.Limiter{Slots: 1}
 	acquire(t, l, 5)
 	_, err := l.Acquire(context.Background(), 5)
-	var full *slot.FullError
+	var full *slot.QueueFullError
 	assert.Assert(t, errors.As(err, &full))
 }
 
 // A target has just been started and is cold. It gets one request at a time
 // first, and more with every answer.
-func TestUnknownTargetStartsSlowly(t *testing.T) {
+func TestNewTargetStartsWithLowLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &slot.Limiter{Slots: 4, QueueLimit: 10}
 		first := acquire(t, l, 5)
--- a/gateway/front/pools.go
+++ b/gateway/front/pools.go
@@ -7,9 +7,9 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// idlePerTarget is how many idle connections to a target are kept: a few more
+// maxIdlePerTarget is how many idle connections to a target are kept: a few more
 // than its slots.
-const idlePerTarget = 6
+const maxIdlePerTarget = 6
 
 // Pools holds the connections to all targets, by lifetime: another lifetime at
 // the same address is another target.
@@ -17,20 +17,20 @@
 	Dial pool.DialFunc
 
 	mu    sync.Mutex
-	pools map[roster.Life]*pool.Pool
+	pools map[roster.Incarnation]*pool.Pool
 }
 
-// To returns the connections to a target.
-func (l *Pools) To(t *roster.Target) *pool.Pool {
+// Get returns the connections to a target.
+func (l *Pools) Get(t *roster.Target) *pool.Pool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pools == nil {
-		l.pools = map[roster.Life]*pool.Pool{}
+		l.pools = map[roster.Incarnation]*pool.Pool{}
 	}
-	p := l.pools[t.Life()]
+	p := l.pools[t.Incarnation()]
 	if p == nil {
-		p = &pool.Pool{Address: t.Address, Dial: l.Dial, IdleLimit: idlePerTarget}
-		l.pools[t.Life()] = p
+		p = &pool.Pool{Address: t.Address, Dial: l.Dial, IdleLimit: maxIdlePerTarget}
+		l.pools[t.Incarnation()] = p
 	}
 	return p
 }
@@ -38,20 +38,20 @@
 // Drop closes the idle connections to a target.
 func (l *Pools) Drop(t *roster.Target) {
 	l.mu.Lock()
-	p := l.pools[t.Life()]
-	delete(l.pools, t.Life())
+	p := l.pools[t.Incarnation()]
+	delete(l.pools, t.Incarnation())
 	l.mu.Unlock()
 	if p != nil {
 		p.Close()
 	}
 }
 
-// Keep closes the connections to targets that are not in the view.
-func (l *Pools) Keep(v *roster.View) {
+// Prune closes the connections to targets that are not in the view.
+func (l *Pools) Prune(v *roster.View) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for life, p := range l.pools {
-		if t := v.Targets[life.ID]; t == nil || t.Born != life.Born {
+		if t := v.Targets[life.ID]; t == nil || t.Started != life.Started {
 			p.Close()
 			delete(l.pools, life)
 		}
--- a/standin/experiment/play.go
+++ b/standin/experiment/play.go
@@ -29,7 +29,7 @@
 // play is one run of a load against the product's schedule.
 type play struct {
 	events
-	schedule schedule.Schedule
+	schedule schedule.Scheduler
 	random   *rand.Rand
 	servers  []*server
 	queues   []*targetQueue
@@ -70,7 +70,7 @@
 	for n, s := range p.servers {
 		id := fmt.Sprintf("t%03d", n)
 		p.names[id] = n
-		list = append(list, &roster.Target{ID: id, Service: "s", Zone: "z", Slots: s.Slots, Born: 1})
+		list = append(list, &roster.Target{ID: id, Service: "s", Zone: "z", Slots: s.Slots, Started: 1})
 		p.queues = append(p.queues, &targetQueue{})
 	}
 	known := &roster.Roster{}
@@ -94,14 +94,14 @@
 func (p *play) enter(a *attempt) {
 	r := schedule.Request{
 		Service: "s", Kind: a.r.number, Zone: "z", Excluded: a.excluded, Priority: a.r.kind.Priority,
-		Objective: epoch.Add(a.at + millis(a.r.kind.Objective)),
-		Deadline:  epoch.Add(a.r.at + millis(a.r.kind.Deadline)),
-		Transit:   a.r.transit,
+		Objective:   epoch.Add(a.at + millis(a.r.kind.Objective)),
+		Deadline:    epoch.Add(a.r.at + millis(a.r.kind.Deadline)),
+		OneWayDelay: a.r.transit,
 	}
 	if a.r.target >= 0 {
 		r.Target = fmt.Sprintf("t%03d", a.r.target)
 	}
-	t, err := p.schedule.Enter(p.time(), r)
+	t, err := p.schedule.Submit(p.time(), r)
 	if err != nil {
 		p.refuse(a, err)
 		return
@@ -118,7 +118,7 @@
 }
 
 func (p *play) expireAt(t *schedule.Ticket) {
-	p.after(t.Until.Sub(p.time()), func() {
+	p.after(t.WaitUntil.Sub(p.time()), func() {
 		a := p.waiting[t]
 		if a == nil {
 			return
