--- a/ctl/client/client.go
+++ b/ctl/client/client.go
@@ -1,4 +1,4 @@
-// Package client calls the admin address of a gateway.
+// Package client calls a gateway's admin API.
 package client
 
 import (
@@ -13,33 +13,36 @@
 	"time"
 )
 
-// Client calls the gateway at Server, such as "http://127.0.0.1:8082".
+// Client calls the gateway whose admin URL is Server, such as "http://127.0.0.1:8082".
 type Client struct {
 	Server string
 	// Token is sent as a bearer token unless it is empty.
 	Token string
 }
 
-// StatusError is an answer other than 200.
+// StatusError reports a response with a status other than 200.
 type StatusError struct {
 	StatusCode int
-	Message    string
+	// Message is the "error" field of the response body, or the whole body.
+	Message string
 }
 
-func (e *StatusError) Error() string { return e.Message }
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("gateway responded with status %d: %s", e.StatusCode, e.Message)
+}
 
-// timeout bounds one call.
+// timeout limits one call, including the read of its response.
 const timeout = 15 * time.Second
 
-// maxResponseBytes bounds what is read of one answer.
+// maxResponseBytes limits how much of a response body is read.
 const maxResponseBytes = 64 << 20
 
-// Get calls a path with a query and decodes the answer into v.
+// Get requests a path and decodes the JSON response into v.
 func (c *Client) Get(ctx context.Context, path string, query url.Values, v any) error {
 	return c.call(ctx, http.MethodGet, path, query, nil, v)
 }
 
-// Post sends a body and decodes the answer into v.
+// Post sends body to a path and decodes the JSON response into v.
 func (c *Client) Post(ctx context.Context, path string, query url.Values, body []byte, v any) error {
 	return c.call(ctx, http.MethodPost, path, query, body, v)
 }
@@ -49,35 +52,35 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.Server+path+"?"+query.Encode(), bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("call %s: %w", path, err)
+		return fmt.Errorf("create request %s %s%s: %w", method, c.Server, path, err)
 	}
 	if c.Token != "" {
 		req.Header.Set("Authorization", "Bearer "+c.Token)
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return fmt.Errorf("call %s: %w", path, err)
+		return fmt.Errorf("call gateway %s: %w", c.Server, err)
 	}
 	defer res.Body.Close()
 	content, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
-		return fmt.Errorf("call %s: %w", path, err)
+		return fmt.Errorf("read response of %s %s%s: %w", method, c.Server, path, err)
 	}
 	if res.StatusCode != http.StatusOK {
 		return &StatusError{StatusCode: res.StatusCode, Message: errorMessage(content)}
 	}
 	if err := json.Unmarshal(content, v); err != nil {
-		return fmt.Errorf("decode answer of %s: %w", path, err)
+		return fmt.Errorf("decode response of %s %s%s: %w", method, c.Server, path, err)
 	}
 	return nil
 }
 
 func errorMessage(content []byte) string {
-	var p struct {
+	var body struct {
 		Error string `json:"error"`
 	}
-	if json.Unmarshal(content, &p) == nil && p.Error != "" {
-		return p.Error
+	if json.Unmarshal(content, &body) == nil && body.Error != "" {
+		return body.Error
 	}
 	return strings.TrimSpace(string(content))
 }
--- a/ctl/command/assignment.go
+++ b/ctl/command/assignment.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 )
 
-const usageShards = `List the shards of a divided service with their owners.
+const usageShards = `List the shards of a sharded service with their owners.
 
 Example:
   basilcross shards --service menus`
@@ -39,7 +39,7 @@
 			return s.print(c.OutOrStdout(), a, func(w io.Writer) { show(w, &a) })
 		},
 	}
-	c.Flags().StringVar(&service, "service", "", "the service")
+	c.Flags().StringVar(&service, "service", "", "name of the service")
 	_ = c.MarkFlagRequired("service")
 	return c
 }
--- a/ctl/command/audit.go
+++ b/ctl/command/audit.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
-const usageAudit = `Show the audit trail and verify its chain of hashes.
+const usageAudit = `Show the audit trail and verify its hash chain.
 
 Examples:
   basilcross audit
@@ -22,7 +22,7 @@
 		Use: "audit", Short: "Show and verify the audit trail", Long: usageAudit, Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return s.showAudit(c, stream) },
 	}
-	c.Flags().StringVar(&stream, "stream", audit.Operators, "operators, or system for the system's own decisions")
+	c.Flags().StringVar(&stream, "stream", audit.Operators, "stream to show: operators, or system for the system's own decisions")
 	return c
 }
 
--- a/ctl/command/command.go
+++ b/ctl/command/command.go
@@ -1,5 +1,4 @@
-// Package command has the subcommands of the operators' command line, one file
-// each.
+// Package command defines the subcommands of the operators' command line.
 package command
 
 import (
@@ -16,7 +15,7 @@
 	"github.com/spf13/cobra"
 )
 
-// The exit codes.
+// Exit codes, as listed in the root command's help text.
 const (
 	ExitUsage       = 1
 	ExitUnreachable = 2
@@ -26,7 +25,7 @@
 	ExitTimeout     = 6
 )
 
-// ExitError is an error with the exit code that fits it.
+// ExitError wraps an error with the exit code that the process returns for it.
 type ExitError struct {
 	Code  int
 	Cause error
@@ -37,7 +36,7 @@
 // Unwrap returns the cause.
 func (e *ExitError) Unwrap() error { return e.Cause }
 
-// withExitCode gives an error the exit code that fits it.
+// withExitCode adds the exit code for a client error; without an HTTP status it is ExitUnreachable.
 func withExitCode(err error) error {
 	if err == nil {
 		return nil
@@ -58,22 +57,22 @@
 	}
 }
 
-const usageRoot = `Operate a basilcross fleet by its defaults and exceptions.
+const usageRoot = `Operate a basilcross fleet: show its state and change its configuration.
 
-Commands ask one gateway's admin address; which one makes no difference, since
-all of them hold the same. Give it by --server or BASILCROSS_SERVER. On the
-users' platform, "fleet" has the commands that read the platform's store.
+Commands call the admin address of one gateway, set by --server or
+BASILCROSS_SERVER. Any gateway will do, since all of them hold the same data.
+On the users' platform, the "fleet" commands read the platform's store instead.
 
-Exit codes: 0 done, 1 usage, 2 unreachable or not possible now, 3 conflict with
-another operator's change, 4 invalid, 5 not found, 6 not reached in time.`
+Exit codes: 0 success, 1 usage error, 2 unreachable or currently not possible,
+3 conflict with another operator's change, 4 invalid data, 5 not found, 6 timeout.`
 
-// session is what all subcommands have in common.
+// session holds the gateway client and the output format that all subcommands use.
 type session struct {
 	client client.Client
 	output string
 }
 
-// New returns the command line.
+// New returns the root command with all subcommands.
 func New() *cobra.Command {
 	s := &session{}
 	root := &cobra.Command{
@@ -88,14 +87,14 @@
 		server = "http://127.0.0.1:8082"
 	}
 	root.PersistentFlags().StringVar(&s.client.Server, "server", server, "URL of a gateway's admin address")
-	root.PersistentFlags().StringVar(&s.output, "output", "table", "table, or json for programs")
+	root.PersistentFlags().StringVar(&s.output, "output", "table", "output format: table or json")
 	tokenFile := os.Getenv("BASILCROSS_TOKEN_FILE")
-	root.PersistentFlags().StringVar(&tokenFile, "token-file", tokenFile, "file with the bearer token, if the gateway asks for one")
+	root.PersistentFlags().StringVar(&tokenFile, "token-file", tokenFile, "file with the bearer token, if the gateway requires one")
 	root.PersistentPreRunE = func(*cobra.Command, []string) error {
 		if tokenFile != "" {
 			content, err := os.ReadFile(tokenFile) //nolint:gosec // named by the operator
 			if err != nil {
-				return fmt.Errorf("--token-file: %w", err)
+				return fmt.Errorf("read --token-file: %w", err)
 			}
 			s.client.Token = strings.TrimSpace(string(content))
 		}
@@ -113,7 +112,7 @@
 	return root
 }
 
-// print writes v as JSON, or calls table with a writer that lines columns up.
+// print writes v as JSON, or calls table with a writer that aligns tab-separated columns.
 func (s *session) print(out io.Writer, v any, table func(w io.Writer)) error {
 	if s.output == "json" {
 		e := json.NewEncoder(out)
--- a/ctl/command/command_test.go
+++ b/ctl/command/command_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// answers are what the gateway says to each path.
-var answers = map[string]string{
+// responses are the gateway's response bodies by path.
+var responses = map[string]string{
 	"/v1/status": `{"instance":"gw-graz-1","zone":"graz","ready":true,"versions":{"$config":3,"menus":7},
 		"leader":{"leading":true,"tableOk":true,"record":{"holder":"gw-graz-1","term":2},
 		"members":[{"Instance":"gw-graz-1","Address":"10.0.1.1:8081","Versions":{"$config":3}}]}}`,
@@ -37,7 +37,7 @@
 			_, _ = io.WriteString(w, `{"error":"based on version 3 while 4 is in force"}`)
 			return
 		}
-		_, _ = io.WriteString(w, answers[r.URL.Path])
+		_, _ = io.WriteString(w, responses[r.URL.Path])
 	}))
 	defer s.Close()
 	var out bytes.Buffer
@@ -79,9 +79,9 @@
 	}
 }
 
-// Another operator's change came first. The program can tell by the exit code,
-// and the person by the text; nothing was changed.
-func TestConflictHasItsExitCode(t *testing.T) {
+// Another operator's change came first: the exit code reports the conflict, the
+// message has both versions, and nothing is changed.
+func TestConflictExitCode(t *testing.T) {
 	_, err := run(t, "undrain", "t1", "--reason", "the disk was replaced", "--author", "bert")
 	var exit *command.ExitError
 	assert.Assert(t, errors.As(err, &exit), "%v", err)
@@ -89,7 +89,7 @@
 	assert.ErrorContains(t, err, "based on version 3 while 4 is in force")
 }
 
-func TestInvalidExceptionIsRefusedBeforeItIsSent(t *testing.T) {
+func TestInvalidExceptionIsNotSubmitted(t *testing.T) {
 	_, err := run(t, "exception", "add", "x", "--service", "menus", "--set", `{"priority":99}`, "--reason", "too high a number", "--author", "bert")
 	var exit *command.ExitError
 	assert.Assert(t, errors.As(err, &exit), "%v", err)
@@ -97,7 +97,7 @@
 	assert.ErrorContains(t, err, "exceptions[1].set.priority")
 }
 
-func TestTraceFaults(t *testing.T) {
+func TestTraceErrors(t *testing.T) {
 	var exit *command.ExitError
 	_, err := run(t, "trace", "unknown", "testdata/one.log")
 	assert.Assert(t, errors.As(err, &exit))
--- a/ctl/command/config.go
+++ b/ctl/command/config.go
@@ -16,9 +16,9 @@
 	"github.com/spf13/cobra"
 )
 
-const usageConfig = `Read and change the fleet's configuration. Every change is a whole new version,
-based on the one that you read; if somebody else was faster, nothing is changed
-and you are told.
+const usageConfig = `Read and change the fleet's configuration. Every change submits a complete new
+version, based on the version that was read. If another change came first,
+nothing is changed and the exit code is 3.
 
 Examples:
   basilcross config get > fleet.json
@@ -49,7 +49,7 @@
 	return c
 }
 
-// fetchDocument reads a version; zero is the newest.
+// fetchDocument fetches a version of the configuration; 0 is the newest.
 func (s *session) fetchDocument(ctx context.Context, version uint64) (*config.Document, error) {
 	var doc config.Document
 	query := url.Values{}
@@ -75,7 +75,7 @@
 	}
 	doc, err := config.Parse(content)
 	if err != nil {
-		return nil, &ExitError{Code: ExitInvalid, Cause: fmt.Errorf("%s: %w", name, err)}
+		return nil, &ExitError{Code: ExitInvalid, Cause: fmt.Errorf("parse configuration file %q: %w", name, err)}
 	}
 	return doc, nil
 }
@@ -96,7 +96,7 @@
 func configSetCommand(s *session) *cobra.Command {
 	return &cobra.Command{
 		Use: "set FILE", Short: "Submit a document as the next version", Args: cobra.ExactArgs(1),
-		Long: "Submit a document as the successor of the version that its field version names.",
+		Long: "Submit a document as the next version. Its field \"version\" names the version that it is based on.",
 		RunE: func(c *cobra.Command, args []string) error {
 			doc, err := readDocumentFile(args[0])
 			if err != nil {
@@ -107,7 +107,7 @@
 	}
 }
 
-// submit proposes the document and says which version it became.
+// submit sends the document as the successor of version basedOn and prints the new version.
 func (s *session) submit(ctx context.Context, out io.Writer, basedOn uint64, doc *config.Document) error {
 	content, err := json.Marshal(doc)
 	if err != nil {
@@ -126,7 +126,7 @@
 func configExplainCommand(s *session) *cobra.Command {
 	var scope config.Scope
 	c := &cobra.Command{
-		Use: "explain", Short: "Show which rule decides each value", Args: cobra.NoArgs,
+		Use: "explain", Short: "Show which rule sets each value", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var sources []config.Source
 			query := url.Values{
@@ -137,8 +137,8 @@
 			}
 			return s.print(c.OutOrStdout(), sources, func(w io.Writer) {
 				fmt.Fprintln(w, "FIELD\tVALUE\tRULE\tREASON")
-				for _, x := range sources {
-					fmt.Fprintf(w, "%s\t%v\t%s\t%s\n", x.Field, x.Value, x.Rule, x.Reason)
+				for _, src := range sources {
+					fmt.Fprintf(w, "%s\t%v\t%s\t%s\n", src.Field, src.Value, src.Rule, src.Reason)
 				}
 			})
 		},
@@ -155,7 +155,7 @@
 	c.Flags().StringVar(&scope.Key, "key", "", "key")
 }
 
-// pollInterval lies between two looks at the gateways.
+// pollInterval is the pause between two polls of the gateways in config wait.
 const pollInterval = 100 * time.Millisecond
 
 func configWaitCommand(s *session) *cobra.Command {
@@ -163,7 +163,7 @@
 	var gateways []string
 	var timeout time.Duration
 	c := &cobra.Command{
-		Use: "wait", Short: "Wait until a version is in force, and name the laggards", Args: cobra.NoArgs,
+		Use: "wait", Short: "Wait until gateways have a version in force; on timeout, list those without it", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if len(gateways) == 0 {
 				gateways = []string{s.client.Server}
@@ -171,36 +171,37 @@
 			ctx, cancel := context.WithTimeout(c.Context(), timeout)
 			defer cancel()
 			for {
-				late := s.outdatedGateways(ctx, gateways, version)
-				if len(late) == 0 {
+				outdated := s.outdatedGateways(ctx, gateways, version)
+				if len(outdated) == 0 {
 					fmt.Fprintf(c.OutOrStdout(), "version %d is in force on %d gateways\n", version, len(gateways))
 					return nil
 				}
 				select {
 				case <-ctx.Done():
-					return &ExitError{Code: ExitTimeout, Cause: fmt.Errorf("not in force yet on %v", late)}
+					return &ExitError{Code: ExitTimeout, Cause: fmt.Errorf("version %d is not in force after %s on %v", version, timeout, outdated)}
 				case <-time.After(pollInterval):
 				}
 			}
 		},
 	}
 	c.Flags().Uint64Var(&version, "version", 0, "version to wait for")
-	c.Flags().StringSliceVar(&gateways, "gateways", nil, "admin URLs to ask; empty: the --server")
-	c.Flags().DurationVar(&timeout, "timeout", 10*time.Second, "longest wait")
+	c.Flags().StringSliceVar(&gateways, "gateways", nil, "admin URLs of the gateways to poll; the --server if empty")
+	c.Flags().DurationVar(&timeout, "timeout", 10*time.Second, "maximum time to wait")
 	return c
 }
 
+// outdatedGateways returns the gateways that don't report version, or a later one, as in force.
 func (s *session) outdatedGateways(ctx context.Context, gateways []string, version uint64) []string {
-	var late []string
+	var outdated []string
 	for _, g := range gateways {
-		one := s.client
-		one.Server = g
+		gateway := s.client
+		gateway.Server = g
 		var st gatewayStatus
-		if err := one.Get(ctx, "/v1/status", nil, &st); err != nil || st.Versions["$config"] < version {
-			late = append(late, g)
+		if err := gateway.Get(ctx, "/v1/status", nil, &st); err != nil || st.Versions["$config"] < version {
+			outdated = append(outdated, g)
 		}
 	}
-	return late
+	return outdated
 }
 
 func configHistoryCommand(s *session) *cobra.Command {
@@ -231,15 +232,15 @@
 			return s.submit(c.Context(), c.OutOrStdout(), current.Version, old)
 		},
 	}
-	c.Flags().Uint64Var(&version, "to", 0, "version whose content is wanted again")
+	c.Flags().Uint64Var(&version, "to", 0, "version whose content is restored")
 	addReasonFlags(c, &reason, &author)
 	_ = c.MarkFlagRequired("to")
 	return c
 }
 
 func addReasonFlags(c *cobra.Command, reason, author *string) {
-	c.Flags().StringVar(reason, "reason", "", "written reason, kept in the audit trail")
-	c.Flags().StringVar(author, "author", os.Getenv("USER"), "who answers for it")
+	c.Flags().StringVar(reason, "reason", "", "reason for the change, recorded in the audit trail")
+	c.Flags().StringVar(author, "author", os.Getenv("USER"), "author of the change")
 	_ = c.MarkFlagRequired("reason")
 }
 
@@ -257,4 +258,4 @@
 	}
 }
 
-var errExceptionNotFound = errors.New("there is no exception of this name")
+var errExceptionNotFound = errors.New("not found")
--- a/ctl/command/drain.go
+++ b/ctl/command/drain.go
@@ -5,8 +5,8 @@
 	"github.com/spf13/cobra"
 )
 
-const usageDrain = `Take a target out of use: its shards move to others, it gets no new requests,
-and what runs there is finished. A drain is an exception with a reason.
+const usageDrain = `Take a target out of use: its shards move to other targets, it gets no new
+requests, and its running requests complete. A drain is stored as an exception.
 
 Examples:
   basilcross drain menus-graz-1 --reason "its disk is being replaced"
@@ -35,7 +35,7 @@
 func undrainCommand(s *session) *cobra.Command {
 	var reason, author string
 	c := &cobra.Command{
-		Use: "undrain TARGET", Short: "Take a drained target into use again", Long: usageDrain, Args: cobra.ExactArgs(1),
+		Use: "undrain TARGET", Short: "Put a drained target back into use", Long: usageDrain, Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return s.updateDocument(c, author, reason, func(d *config.Document) error { return removeException(d, drainExceptionID(args[0])) })
 		},
--- a/ctl/command/events.go
+++ b/ctl/command/events.go
@@ -1,7 +1,6 @@
 package command
 
 import (
-	"errors"
 	"fmt"
 	"strconv"
 
@@ -9,7 +8,7 @@
 	"github.com/spf13/cobra"
 )
 
-const usageEvents = `Explain a numbered log event, or list all.
+const usageEvents = `Explain the log event with the given number, or list all events.
 
 Examples:
   basilcross events 203
@@ -28,7 +27,7 @@
 			}
 			number, err := strconv.Atoi(args[0])
 			if err != nil {
-				return &ExitError{Code: ExitUsage, Cause: errors.New("want the number of an event")}
+				return &ExitError{Code: ExitUsage, Cause: fmt.Errorf("event number %q: want an integer", args[0])}
 			}
 			for _, e := range event.Catalogue() {
 				if e.Number == number {
@@ -36,7 +35,7 @@
 					return nil
 				}
 			}
-			return &ExitError{Code: ExitNotFound, Cause: fmt.Errorf("there is no event %d", number)}
+			return &ExitError{Code: ExitNotFound, Cause: fmt.Errorf("event %d is not in the catalogue", number)}
 		},
 	}
 }
--- a/ctl/command/exception.go
+++ b/ctl/command/exception.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/cobra"
 )
 
-const usageException = `List, add and remove exceptions. Each names its scope, the fields that it
-changes, and a written reason.
+const usageException = `List, add and remove exceptions. An exception has a scope, the fields that it
+overrides, and a reason.
 
 Examples:
   basilcross exception list
@@ -58,7 +58,7 @@
 	return string(content)
 }
 
-// updateDocument edits the newest document and submits it as the next version.
+// updateDocument applies edit to the newest configuration and submits it as the next version.
 func (s *session) updateDocument(c *cobra.Command, author, reason string, edit func(*config.Document) error) error {
 	doc, err := s.fetchDocument(c.Context(), 0)
 	if err != nil {
@@ -77,16 +77,16 @@
 func exceptionAddCommand(s *session) *cobra.Command {
 	var e config.Exception
 	var set string
-	var lasts time.Duration
+	var ttl time.Duration
 	c := &cobra.Command{
 		Use: "add ID", Short: "Add an exception", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			e.ID = args[0]
 			if err := json.Unmarshal([]byte(set), &e.Set); err != nil {
-				return &ExitError{Code: ExitInvalid, Cause: fmt.Errorf("--set: %w", err)}
+				return &ExitError{Code: ExitInvalid, Cause: fmt.Errorf("parse --set %q: %w", set, err)}
 			}
-			if lasts > 0 {
-				e.Expires = config.Ptr(time.Now().Add(lasts).UTC().Truncate(time.Second))
+			if ttl > 0 {
+				e.Expires = config.Ptr(time.Now().Add(ttl).UTC().Truncate(time.Second))
 			}
 			return s.updateDocument(c, e.Author, e.Reason, func(d *config.Document) error {
 				d.Exceptions = append(d.Exceptions, e)
@@ -96,8 +96,8 @@
 	}
 	addScopeFlags(c, &e.Scope)
 	addReasonFlags(c, &e.Reason, &e.Author)
-	c.Flags().StringVar(&set, "set", "", "the fields that it changes, as JSON")
-	c.Flags().DurationVar(&lasts, "lasts", 0, "time after which it ends by itself; 0 is never")
+	c.Flags().StringVar(&set, "set", "", "fields that the exception overrides, as a JSON object")
+	c.Flags().DurationVar(&ttl, "lasts", 0, "time after which the exception expires; 0 is never")
 	_ = c.MarkFlagRequired("set")
 	return c
 }
@@ -117,7 +117,7 @@
 func removeException(d *config.Document, id string) error {
 	i := slices.IndexFunc(d.Exceptions, func(e config.Exception) bool { return e.ID == id })
 	if i < 0 {
-		return &ExitError{Code: ExitNotFound, Cause: errExceptionNotFound}
+		return &ExitError{Code: ExitNotFound, Cause: fmt.Errorf("exception %q: %w", id, errExceptionNotFound)}
 	}
 	d.Exceptions = slices.Delete(d.Exceptions, i, i+1)
 	return nil
--- a/ctl/command/fleet.go
+++ b/ctl/command/fleet.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"net/http"
 	"time"
 
@@ -12,19 +13,19 @@
 	"github.com/spf13/cobra"
 )
 
-const usageFleet = `Show a fleet on the users' platform, from the tables in the platform's store.
+const usageFleet = `Show a fleet on the users' platform, as recorded in the platform's store.
 
-No gateway is asked, so this also works while none answers. Give the store's
-address by --store or BASILCROSS_STORE. Nothing is written.
+The commands call no gateway, so they also work while no gateway responds. They
+write nothing. The store's address is set by --store or BASILCROSS_STORE.
 
 Examples:
   basilcross fleet status --store 10.200.1.7:8142
   basilcross fleet owner 4711 --service menus`
 
-// storeTimeout bounds a command's calls: the store may be slow.
+// storeTimeout limits each call to the store, which may be slow.
 const storeTimeout = 10 * time.Second
 
-// fleet is what the commands of the group have in common.
+// fleet reads the tables of the platform's store for the commands of the group.
 type fleet struct {
 	*session
 	store platform.Store
@@ -39,26 +40,26 @@
 	return c
 }
 
-// readTable reads a whole table.
+// readTable reads all rows of a table, page by page.
 func (f *fleet) readTable(ctx context.Context, table string) (list []platform.Row, err error) {
 	if f.store.Address == "" {
-		return nil, &ExitError{Code: ExitUsage, Cause: errors.New("--store is not given")}
+		return nil, &ExitError{Code: ExitUsage, Cause: errors.New("neither --store nor BASILCROSS_STORE is set")}
 	}
 	after := ""
 	for {
-		got, err := f.store.Range(ctx, table, "", after)
+		page, err := f.store.Range(ctx, table, "", after)
 		if err != nil {
-			return nil, &ExitError{Code: ExitUnreachable, Cause: err}
+			return nil, &ExitError{Code: ExitUnreachable, Cause: fmt.Errorf("read table %q of the store %s: %w", table, f.store.Address, err)}
 		}
-		list = append(list, got.Rows...)
-		if !got.More || len(got.Rows) == 0 {
+		list = append(list, page.Rows...)
+		if !page.More || len(page.Rows) == 0 {
 			return list, nil
 		}
-		after = got.Rows[len(got.Rows)-1].Key
+		after = page.Rows[len(page.Rows)-1].Key
 	}
 }
 
-// readAssignment reads the assignment of a service.
+// readAssignment reads the assignment of a service and its revision.
 func (f *fleet) readAssignment(ctx context.Context, service string) (*ownership.Assignment, uint64, error) {
 	rows, err := f.readTable(ctx, coordinator.AssignmentTable)
 	if err != nil {
@@ -70,15 +71,14 @@
 		}
 		a, err := ownership.Parse(r.Value)
 		if err != nil {
-			return nil, 0, &ExitError{Code: ExitInvalid, Cause: err}
+			return nil, 0, &ExitError{Code: ExitInvalid, Cause: fmt.Errorf("service %q: %w", service, err)}
 		}
 		return a, r.Revision, nil
 	}
 	return nil, 0, &ExitError{Code: ExitNotFound, Cause: &NoAssignmentError{Service: service}}
 }
 
-// NoAssignmentError says that a service has no assignment: it is not divided, or
-// there is none of that name.
+// NoAssignmentError reports a service without an assignment: not sharded, or unknown.
 type NoAssignmentError struct{ Service string }
 
 func (e *NoAssignmentError) Error() string {
--- a/ctl/command/fleet_test.go
+++ b/ctl/command/fleet_test.go
@@ -35,7 +35,7 @@
 	store.Put("instance", "gw-2", []byte(`{"name":"gw-2","zone":"wien"}`))
 	store.Put(platform.TargetTable, "t1", []byte(strings.Replace(fleetTarget, "STATE", "ready", 1)))
 	store.Put(platform.TargetTable, "t2", []byte(strings.NewReplacer("STATE", "draining", "0.9:80", "0.8:80").Replace(fleetTarget)))
-	// Another target has come to t1's address, and t1's entry still stands.
+	// t4 has replaced t1 at its address, and t1's row is still in the store.
 	store.Put(platform.TargetTable, "t4", []byte(strings.NewReplacer("STATE", "ready", "1700", "1900").Replace(fleetTarget)))
 	store.Put(platform.TargetTable, "t3", []byte(`{"address":7}`))
 	s := httptest.NewServer(store)
@@ -69,7 +69,8 @@
 	}
 }
 
-func TestFleetFaults(t *testing.T) {
+// Scripts distinguish usage errors, missing entries and an unreachable store by exit code.
+func TestFleetExitCodes(t *testing.T) {
 	for _, c := range []struct {
 		args []string
 		code int
--- a/ctl/command/fleetowner.go
+++ b/ctl/command/fleetowner.go
@@ -12,9 +12,9 @@
 
 const usageFleetOwner = `Show which target a key's range is assigned to, as recorded in the store.
 
-A key is a number from 0 to 65535. What is recorded comes before what is granted:
-a target may not have taken the range yet. Orders go to the owner's address; who
-the platform names there now is shown beside it.
+A key is a number from 0 to 65535. An assignment is recorded before it is granted,
+so the target may not hold the range yet. Orders are sent to the owner's address;
+the target that the platform lists at that address now is shown as well.
 
 Example:
   basilcross fleet owner 4711 --service menus`
@@ -25,7 +25,7 @@
 	Piece    ownership.Piece `json:"piece"`
 	Term     int64           `json:"term"`
 	Revision uint64          `json:"revision"`
-	// TargetAtAddress is who the platform names at the owner's address.
+	// TargetAtAddress is the target that the platform lists at the owner's address.
 	TargetAtAddress *fleetTarget `json:"resident,omitempty"`
 }
 
@@ -48,13 +48,13 @@
 				return err
 			}
 			if at := view.ByAddress[o.Piece.Address]; at != nil {
-				resident := newFleetTarget(at, view)
-				o.TargetAtAddress = &resident
+				current := newFleetTarget(at, view)
+				o.TargetAtAddress = &current
 			}
 			return f.print(c.OutOrStdout(), o, func(w io.Writer) { o.print(w) })
 		},
 	}
-	c.Flags().StringVar(&service, "service", "", "the divided service")
+	c.Flags().StringVar(&service, "service", "", "name of the sharded service")
 	_ = c.MarkFlagRequired("service")
 	return c
 }
@@ -68,7 +68,7 @@
 	fmt.Fprintf(w, "recorded\tin term %d, revision %d\n", o.Term, o.Revision)
 }
 
-// addressText tells who lives at the owner's address.
+// addressText describes the target at the owner's address.
 func (o *fleetOwner) addressText() string {
 	r := o.TargetAtAddress
 	switch {
@@ -81,7 +81,7 @@
 	}
 }
 
-// ownerText tells who has a piece.
+// ownerText describes the owner of a piece.
 func ownerText(p *ownership.Piece) string {
 	switch {
 	case p.Owner == "":
--- a/ctl/command/fleetpieces.go
+++ b/ctl/command/fleetpieces.go
@@ -8,7 +8,7 @@
 	"github.com/spf13/cobra"
 )
 
-const usageFleetPieces = `List the ranges of keys of a divided service, with their owners.
+const usageFleetPieces = `List the key ranges of a sharded service with their owners.
 
 Example:
   basilcross fleet pieces --service menus`
@@ -16,7 +16,7 @@
 func fleetPiecesCommand(f *fleet) *cobra.Command {
 	var service string
 	c := &cobra.Command{
-		Use: "pieces", Short: "List ranges of keys", Long: usageFleetPieces, Args: cobra.NoArgs,
+		Use: "pieces", Short: "List the key ranges of a service", Long: usageFleetPieces, Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			a, _, err := f.readAssignment(c.Context(), service)
 			if err != nil {
@@ -25,7 +25,7 @@
 			return f.print(c.OutOrStdout(), a.Pieces, func(w io.Writer) { printPieces(w, a.Pieces) })
 		},
 	}
-	c.Flags().StringVar(&service, "service", "", "the divided service")
+	c.Flags().StringVar(&service, "service", "", "name of the sharded service")
 	_ = c.MarkFlagRequired("service")
 	return c
 }
--- a/ctl/command/fleetroutes.go
+++ b/ctl/command/fleetroutes.go
@@ -15,8 +15,8 @@
 
 const usageFleetRoutes = `List the routes of the operator's newest configuration.
 
-With a host and a path, show only the route that a request takes: the longest
-prefix of that host.
+With a host and a path, show only the route that such a request takes: the one
+with the longest matching prefix of that host.
 
 Examples:
   basilcross fleet routes
@@ -47,7 +47,7 @@
 
 func fleetRoutesCommand(f *fleet) *cobra.Command {
 	return &cobra.Command{
-		Use: "routes [HOST PATH]", Short: "List the routes in force", Long: usageFleetRoutes, Args: cobra.MaximumNArgs(2),
+		Use: "routes [HOST PATH]", Short: "List the routes of the newest configuration", Long: usageFleetRoutes, Args: cobra.MaximumNArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			if len(args) == 1 {
 				return &ExitError{Code: ExitUsage, Cause: errors.New("PATH is not given")}
@@ -60,7 +60,7 @@
 			if len(args) == 2 {
 				r := routing.New(config).Find(args[0], args[1])
 				if r == nil {
-					return &ExitError{Code: ExitNotFound, Cause: fmt.Errorf("version %d has no route for %s%s", config.Version, args[0], args[1])}
+					return &ExitError{Code: ExitNotFound, Cause: fmt.Errorf("configuration version %d has no route for %s%s", config.Version, args[0], args[1])}
 				}
 				routes = []routing.Route{*r}
 			}
@@ -73,7 +73,7 @@
 	}
 }
 
-// readConfig reads the operator's configuration.
+// readConfig reads the operator's newest configuration.
 func (f *fleet) readConfig(c *cobra.Command) (*routing.Config, error) {
 	rows, err := f.readTable(c.Context(), platform.OperatorTable)
 	if err != nil {
@@ -89,7 +89,7 @@
 		}
 		return config, nil
 	}
-	return nil, &ExitError{Code: ExitNotFound, Cause: errors.New("the operator has written no configuration")}
+	return nil, &ExitError{Code: ExitNotFound, Cause: fmt.Errorf("no configuration in table %q, key %q", platform.OperatorTable, platform.ConfigKey)}
 }
 
 func printRoutes(w io.Writer, version uint64, routes []fleetRoute) {
--- a/ctl/command/fleetstatus.go
+++ b/ctl/command/fleetstatus.go
@@ -12,9 +12,10 @@
 	"github.com/spf13/cobra"
 )
 
-const usageFleetStatus = `Show who coordinates, the configuration, and the instances and targets by zone.
+const usageFleetStatus = `Show the coordinator, the configuration, and the number of instances and targets
+in each zone.
 
-The rows of instances tell who has ever started; one that ended keeps its row.
+An instance that ended keeps its row, so every instance that ever started is counted.
 
 Example:
   basilcross fleet status`
@@ -35,7 +36,7 @@
 		Use: "status", Short: "Show the state of the fleet", Long: usageFleetStatus, Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			s := fleetSummary{Instances: map[string]int{}, Targets: map[string]int{}}
-			for table, take := range map[string]func(platform.Row){
+			for table, add := range map[string]func(platform.Row){
 				coordinator.LeaseTable: s.addLease, platform.OperatorTable: s.addConfig,
 				coordinator.InstanceTable: s.addInstance, platform.TargetTable: s.addTarget,
 			} {
@@ -44,7 +45,7 @@
 					return err
 				}
 				for _, r := range rows {
-					take(r)
+					add(r)
 				}
 			}
 			return f.print(c.OutOrStdout(), s, func(w io.Writer) { s.print(w) })
--- a/ctl/command/fleettargets.go
+++ b/ctl/command/fleettargets.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 )
 
-const usageFleetTargets = `List the targets that the platform names. Rows that name none are left out.
+const usageFleetTargets = `List the targets in the platform's store. Rows that cannot be parsed are left out.
 
 Examples:
   basilcross fleet targets
@@ -24,11 +24,11 @@
 	Zone    string `json:"zone"`
 	Address string `json:"address"`
 	Slots   int    `json:"slots"`
-	// Started is the start of this lifetime, in Unix milliseconds.
+	// Started is the start time of this incarnation, in Unix milliseconds.
 	Started  int64 `json:"born"`
 	Draining bool  `json:"draining"`
 	// ReplacedBy is a younger target at the same address: this one has ended,
-	// though its entry still stands.
+	// though the store still has its row.
 	ReplacedBy string `json:"replacedBy,omitempty"`
 }
 
@@ -51,7 +51,7 @@
 			return f.print(c.OutOrStdout(), list, func(w io.Writer) { printFleetTargets(w, list) })
 		},
 	}
-	c.Flags().StringVar(&service, "service", "", "only this service's")
+	c.Flags().StringVar(&service, "service", "", "list only the targets of this service")
 	return c
 }
 
@@ -63,7 +63,7 @@
 	return f
 }
 
-// readTargets reads the targets that the platform names.
+// readTargets reads the targets in the platform's store, except rows that cannot be parsed.
 func (f *fleet) readTargets(ctx context.Context) (*roster.View, error) {
 	rows, err := f.readTable(ctx, platform.TargetTable)
 	if err != nil {
@@ -80,9 +80,9 @@
 	return all.Load(), nil
 }
 
-// formatStarted tells a lifetime's start.
-func formatStarted(born int64) string {
-	return time.UnixMilli(born).UTC().Format("2006-01-02T15:04:05.000Z")
+// formatStarted formats a start time in Unix milliseconds.
+func formatStarted(ms int64) string {
+	return time.UnixMilli(ms).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
 func printFleetTargets(w io.Writer, list []fleetTarget) {
--- a/ctl/command/owner.go
+++ b/ctl/command/owner.go
@@ -10,7 +10,8 @@
 	"github.com/spf13/cobra"
 )
 
-const usageOwner = `Show which target owns a key, under which epoch, since which version, and why.
+const usageOwner = `Show the target that owns a key, the epoch, the version since which it owns the
+key, and the cause of the version in force.
 
 Example:
   basilcross owner graz-7 --service menus`
@@ -38,7 +39,7 @@
 			return s.print(c.OutOrStdout(), o, func(w io.Writer) { printOwner(w, o) })
 		},
 	}
-	c.Flags().StringVar(&service, "service", "", "the divided service")
+	c.Flags().StringVar(&service, "service", "", "name of the sharded service")
 	_ = c.MarkFlagRequired("service")
 	return c
 }
--- a/ctl/command/status.go
+++ b/ctl/command/status.go
@@ -8,14 +8,14 @@
 	"github.com/spf13/cobra"
 )
 
-const usageStatus = `Show what one gateway knows: its zone's leader, its members, the versions in
-force, and whether the table service answers.
+const usageStatus = `Show one gateway's view of the fleet: the leader and the members of its zone, the
+versions in force, and whether the table service responds.
 
 Examples:
   basilcross status
   basilcross status --server http://10.0.1.1:8082 --output json`
 
-// gatewayStatus is the part of a gateway's status that is shown.
+// gatewayStatus is the part of a gateway's /v1/status response that is shown.
 type gatewayStatus struct {
 	Instance string            `json:"instance"`
 	Zone     string            `json:"zone"`
@@ -66,8 +66,8 @@
 	}
 }
 
-func boolText(ok bool, yes, no string) string {
-	if ok {
+func boolText(b bool, yes, no string) string {
+	if b {
 		return yes
 	}
 	return no
