--- a/ctl/command/assignment.go
+++ b/ctl/command/assignment.go
@@ -47,13 +47,13 @@
 func printShards(w io.Writer, a *assignment.Assignment) {
 	fmt.Fprintln(w, "FIRST\tLAST\tOWNER\tEPOCH\tSINCE\tMOVING TO")
 	for _, sh := range a.Shards {
-		fmt.Fprintf(w, "%016x\t%016x\t%s\t%d\t%d\t%s\n", sh.First, sh.Last, sh.Owner, sh.Epoch, sh.Since, sh.MovingTo)
+		fmt.Fprintf(w, "%016x\t%016x\t%s\t%d\t%d\t%s\n", sh.First, sh.Last, sh.Owner, sh.Epoch, sh.OwnerSince, sh.MovingTo)
 	}
 }
 
 func printTargets(w io.Writer, a *assignment.Assignment) {
 	fmt.Fprintln(w, "TARGET\tZONE\tADDRESS\tSTATE\tSLOTS\tCHECKS\tSHARDS")
 	for _, t := range a.Targets {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%v\t%d\n", t.ID, t.Zone, t.Address, t.State, t.Slots, t.Fenced, len(a.Owned(t.ID)))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%v\t%d\n", t.ID, t.Zone, t.Address, t.State, t.Slots, t.Fenced, len(a.OwnedBy(t.ID)))
 	}
 }
--- a/ctl/command/audit.go
+++ b/ctl/command/audit.go
@@ -34,7 +34,7 @@
 	err := s.print(c.OutOrStdout(), records, func(w io.Writer) {
 		fmt.Fprintln(w, "NUMBER\tAT\tWHO\tWHAT\tFROM\tTO\tWHY")
 		for _, r := range records {
-			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%d\t%s\n", r.Number, r.At.Format(time.RFC3339), r.Who, r.What, r.From, r.To, r.Why)
+			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%d\t%s\n", r.Number, r.At.Format(time.RFC3339), r.Actor, r.Subject, r.From, r.To, r.Reason)
 		}
 	})
 	if err != nil {
--- a/ctl/command/owner.go
+++ b/ctl/command/owner.go
@@ -52,7 +52,7 @@
 	} else {
 		fmt.Fprintf(w, "owner\t%s in %s at %s, %s\n", o.Target.ID, o.Target.Zone, o.Target.Address, o.Target.State)
 	}
-	fmt.Fprintf(w, "epoch\t%d, since version %d\n", o.Shard.Epoch, o.Shard.Since)
+	fmt.Fprintf(w, "epoch\t%d, since version %d\n", o.Shard.Epoch, o.Shard.OwnerSince)
 	if o.Shard.MovingTo != "" {
 		fmt.Fprintf(w, "moving to\t%s\n", o.Shard.MovingTo)
 	}
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -86,7 +86,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	guard := &grant.Guard{Incarnation: rand.Text()}
-	guard.Held = func(g grant.Grant, from, until time.Time) {
+	guard.OnHeld = func(g grant.Grant, from, until time.Time) {
 		if !t.Fenced {
 			return
 		}
@@ -191,7 +191,7 @@
 	_ = json.NewEncoder(w).Encode(guard.Apply(time.Now(), o))
 }
 
-func refuse(w http.ResponseWriter, reason grant.Refused) {
+func refuse(w http.ResponseWriter, reason grant.RefusalReason) {
 	w.Header().Set(grant.RefusedHeader, string(reason))
 	w.WriteHeader(http.StatusConflict)
 }
@@ -214,8 +214,8 @@
 		Hash:    shard.Hash(t.Service.Name, r.PathValue("key")),
 		Write:   t.Write[kind],
 	}}
-	j.run.Unfenced = t.Service.Divided && !t.Fenced
-	if t.Service.Divided && t.Fenced && !j.enter(w, r, guard) {
+	j.run.Unfenced = t.Service.Sharded && !t.Fenced
+	if t.Service.Sharded && t.Fenced && !j.enter(w, r, guard) {
 		return
 	}
 	if j.admission != nil {
@@ -242,7 +242,7 @@
 
 func (j *work) enter(w http.ResponseWriter, r *http.Request, guard *grant.Guard) bool {
 	j.run.Epoch, _ = strconv.ParseUint(r.Header.Get(grant.EpochHeader), 10, 64)
-	admission, err := guard.Enter(time.Now(), j.run.Hash, j.run.Epoch)
+	admission, err := guard.Admit(time.Now(), j.run.Hash, j.run.Epoch)
 	var refused *grant.RefusedError
 	if errors.As(err, &refused) {
 		refuse(w, refused.Reason)
@@ -299,7 +299,7 @@
 // touch reads or writes the key's value. The target trusts its memory as long
 // as it owns the key, which is what sole ownership is for.
 func (t *Target) touch(j *work) {
-	if !t.Service.Divided {
+	if !t.Service.Sharded {
 		return
 	}
 	t.mu.Lock()
