--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -145,7 +145,7 @@
 			continue
 		}
 		if err != nil {
-			c.Outcome, c.Cause = judge.Cut, "connection to the gateway broke"
+			c.Outcome, c.Cause = judge.ConnectionBroken, "connection to the gateway broke"
 		}
 		return
 	}
@@ -155,7 +155,7 @@
 // dividedKey is the key for the check of values; only divided services have one.
 func (l *Load) dividedKey(service, key string) string {
 	for _, s := range l.Deployment.Services {
-		if s.Name == service && s.Divided {
+		if s.Name == service && s.Sharded {
 			return key
 		}
 	}
@@ -221,8 +221,8 @@
 		c.Outcome = judge.Answered
 		var a target.Answer
 		err := json.Unmarshal(content, &a)
-		c.Right = err == nil && a.Request == c.Request && a.End
-		c.Ran = res.StatusCode == http.StatusOK
+		c.Valid = err == nil && a.Request == c.Request && a.End
+		c.Executed = res.StatusCode == http.StatusOK
 		c.Value = a.Value
 		return
 	}
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -214,8 +214,8 @@
 		Hash:    shard.Hash(t.Service.Name, r.PathValue("key")),
 		Write:   t.Write[kind],
 	}}
-	j.run.Unfenced = t.Service.Divided && !t.Fenced
-	if t.Service.Divided && t.Fenced && !j.enter(w, r, guard) {
+	j.run.Unfenced = t.Service.Sharded && !t.Fenced
+	if t.Service.Sharded && t.Fenced && !j.enter(w, r, guard) {
 		return
 	}
 	if j.admission != nil {
@@ -299,7 +299,7 @@
 // touch reads or writes the key's value. The target trusts its memory as long
 // as it owns the key, which is what sole ownership is for.
 func (t *Target) touch(j *work) {
-	if !t.Service.Divided {
+	if !t.Service.Sharded {
 		return
 	}
 	t.mu.Lock()
