--- a/standin/judge/judge.go
+++ b/standin/judge/judge.go
@@ -1,4 +1,4 @@
-// Package judge compares what callers were told with what targets really did.
+// Package judge compares the outcomes that callers saw with what targets executed.
 package judge
 
 import (
@@ -16,13 +16,13 @@
 	Hash    uint64
 	Epoch   uint64
 	At      time.Time
-	// Write is set for requests that must run at most once.
+	// Write marks a request that must be executed at most once.
 	Write bool
-	// Unfenced runs were not checked by their target.
+	// Unfenced marks an execution whose target does not check grants.
 	Unfenced bool
 }
 
-// Hold is a span in which a target was ready to admit requests for a range.
+// Hold is a period in which a target could admit requests for a range of hashes.
 type Hold struct {
 	Target  string
 	Service string
@@ -33,7 +33,7 @@
 	Until   time.Time
 }
 
-// Outcome is what a caller was told.
+// Outcome is the result of a request as its caller saw it.
 type Outcome string
 
 // The outcomes of a call.
@@ -41,7 +41,7 @@
 	Answered  Outcome = "answered"
 	DidNotRun Outcome = "didNotRun"
 	Unknown   Outcome = "unknown"
-	// ConnectionBroken is a connection broken off before or within the answer.
+	// ConnectionBroken means that the connection broke before or within the response.
 	ConnectionBroken Outcome = "cut"
 )
 
@@ -53,47 +53,47 @@
 	Hash    uint64
 	Write   bool
 	Gateway string
-	// Due is when it should have been sent, Done when the answer was complete.
+	// Due is the intended time of sending, Done when the response was complete.
 	Due     time.Time
 	Done    time.Time
 	Outcome Outcome
 	Cause   string
-	// Key and Value are those of a divided service: what was read, or empty.
+	// Key is set for sharded services; Value is the value that was returned for it.
 	Key   string
 	Value string
-	// Valid tells whether an answer belongs to the request and is whole.
+	// Valid reports whether the response belongs to the request and is complete.
 	Valid bool
-	// Probe marks requests that only look whether a key is served.
+	// Probe marks requests that only test whether a key is served.
 	Probe bool
-	// Executed tells whether an answer says that the request was carried out.
+	// Executed reports whether the response states that the request was executed.
 	Executed bool
 }
 
-// Leaving is a target that was told to leave.
+// Leaving records when the platform marked a target as leaving.
 type Leaving struct {
 	Target string
 	At     time.Time
 }
 
-// Shutdown is a gateway that was asked to shut down.
+// Shutdown is the period from a gateway's SIGTERM to its exit.
 type Shutdown struct {
 	Gateway string
 	At      time.Time
 	Ended   time.Time
 }
 
-// leaveGrace is how long a leaving target may still get new work.
+// leaveGrace is how long a leaving target may still receive new requests.
 const leaveGrace = 3 * time.Second
 
-// History is everything recorded. It is safe for concurrent use.
+// History holds what was recorded in a run. Its methods are safe for concurrent use.
 type History struct {
-	mu       sync.Mutex
-	Runs     []Run
-	Holds    []Hold
-	Calls    []Call
-	Leavings []Leaving
-	Shutdowns    []Shutdown
-	// ConfigReversions counts configurations seen to go backwards.
+	mu        sync.Mutex
+	Runs      []Run
+	Holds     []Hold
+	Calls     []Call
+	Leavings  []Leaving
+	Shutdowns []Shutdown
+	// ConfigReversions counts gateways' reports of an older configuration version than before.
 	ConfigReversions int
 
 	lastHold map[holdKey]int
@@ -104,7 +104,7 @@
 	first, epoch    uint64
 }
 
-// AddRun records a run.
+// AddRun records the execution of a request.
 func (h *History) AddRun(r Run) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -118,7 +118,7 @@
 	h.Calls = append(h.Calls, c)
 }
 
-// AddLeaving records that a target was told to leave.
+// AddLeaving records that a target was marked as leaving.
 func (h *History) AddLeaving(l Leaving) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -132,30 +132,30 @@
 	h.Shutdowns = append(h.Shutdowns, s)
 }
 
-// AddConfigReversion records a configuration that went backwards.
+// AddConfigReversion records that a gateway reported an older configuration version.
 func (h *History) AddConfigReversion() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ConfigReversions++
 }
 
-// AddHold records a span, joined to the one before if they touch.
+// AddHold records a hold, merged with the previous one of its range and epoch if contiguous.
 func (h *History) AddHold(s Hold) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.lastHold == nil {
 		h.lastHold = map[holdKey]int{}
 	}
-	name := holdKey{s.Target, s.Service, s.First, s.Epoch}
-	if i, ok := h.lastHold[name]; ok && !s.From.After(h.Holds[i].Until) && s.Last == h.Holds[i].Last {
+	key := holdKey{s.Target, s.Service, s.First, s.Epoch}
+	if i, ok := h.lastHold[key]; ok && !s.From.After(h.Holds[i].Until) && s.Last == h.Holds[i].Last {
 		h.Holds[i].Until = s.Until
 		return
 	}
-	h.lastHold[name] = len(h.Holds)
+	h.lastHold[key] = len(h.Holds)
 	h.Holds = append(h.Holds, s)
 }
 
-// Violations counts what must never happen.
+// Violations counts broken guarantees by kind; all counts must be zero.
 type Violations struct {
 	TwoOwners        int `json:"twoOwners"`
 	RanTwice         int `json:"ranTwice"`
@@ -167,7 +167,7 @@
 	CutAtShutdown    int `json:"cutAtShutdown"`
 }
 
-// Total adds them up.
+// Total returns the sum of all counts.
 func (v Violations) Total() int {
 	return v.TwoOwners + v.RanTwice + v.RefusalUntrue + v.WrongOrCutAnswer +
 		v.AcknowledgedLost + v.ConfigReverted + v.WorkAfterLeaving + v.CutAtShutdown
@@ -182,7 +182,7 @@
 	return v
 }
 
-// checkRuns looks at what targets did, and returns how often each request ran.
+// checkRuns checks the executions and returns their number for each request.
 func (h *History) checkRuns(v *Violations) map[string]int {
 	runs := map[string]int{}
 	for _, r := range h.Runs {
@@ -200,7 +200,7 @@
 	return runs
 }
 
-// checkCalls looks at what callers were told.
+// checkCalls compares the outcomes that callers saw with the number of executions.
 func (h *History) checkCalls(v *Violations, runs map[string]int) {
 	for _, c := range h.Calls {
 		switch {
@@ -216,7 +216,7 @@
 	}
 }
 
-// heldByOther tells whether another target held the key when this one ran.
+// heldByOther reports whether another target held the key at the time of the execution.
 func (h *History) heldByOther(r Run) bool {
 	return slices.ContainsFunc(h.Holds, func(s Hold) bool {
 		covers := s.Service == r.Service && s.First <= r.Hash && r.Hash <= s.Last
@@ -236,7 +236,7 @@
 	})
 }
 
-// countOverlaps counts pairs of targets that held the same hash at the same time.
+// countOverlaps counts pairs of holds in which two targets held the same hash at the same time.
 func countOverlaps(holds []Hold) int {
 	sorted := slices.Clone(holds)
 	slices.SortFunc(sorted, func(a, b Hold) int { return a.From.Compare(b.From) })
@@ -254,8 +254,8 @@
 	return count
 }
 
-// Imbalance returns the most runs of one target over the mean of those of its
-// service that ran any, within a span.
+// Imbalance returns the highest number of executions of one target divided by the mean of
+// those targets of the service that executed any, between two times.
 func (h *History) Imbalance(service string, from, until time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -277,7 +277,7 @@
 	return float64(most) * float64(len(byTarget)) / float64(total)
 }
 
-// MovedShare returns the share of the hash space of a service that changed owners.
+// MovedShare returns the share of a service's hash space that changed owners, once per move.
 func (h *History) MovedShare(service string, from, until time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -289,8 +289,8 @@
 		if s.Service != service {
 			continue
 		}
-		before, known := owner[s.First]
-		if known && before != s.Target && s.From.After(from) && s.From.Before(until) {
+		previous, known := owner[s.First]
+		if known && previous != s.Target && s.From.After(from) && s.From.Before(until) {
 			moved += float64(s.Last-s.First) / float64(^uint64(0))
 		}
 		owner[s.First] = s.Target
@@ -298,7 +298,7 @@
 	return moved
 }
 
-// CallsSince returns the calls recorded after the first n.
+// CallsSince returns a copy of the recorded calls without the first n.
 func (h *History) CallsSince(n int) []Call {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/standin/judge/judge_test.go
+++ b/standin/judge/judge_test.go
@@ -12,8 +12,8 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// sound returns a history without any violation.
-func sound() *judge.History {
+// validHistory returns a history without violations.
+func validHistory() *judge.History {
 	h := &judge.History{}
 	h.AddHold(judge.Hold{Target: "t1", Service: "menus", First: 0, Last: 99, Epoch: 1, From: at(0), Until: at(500)})
 	h.AddHold(judge.Hold{Target: "t1", Service: "menus", First: 0, Last: 99, Epoch: 1, From: at(500), Until: at(1000)})
@@ -27,55 +27,56 @@
 	return h
 }
 
-func TestSoundHistory(t *testing.T) {
-	assert.Equal(t, sound().CountViolations(), judge.Violations{})
+func TestValidHistoryHasNoViolations(t *testing.T) {
+	assert.Equal(t, validHistory().CountViolations(), judge.Violations{})
 }
 
-// Each violation is planted alone, and the judge reports exactly that one.
-func TestPlantedViolations(t *testing.T) {
+// Guards against a violation that is not counted, or counted as another one: each is added
+// alone to a valid history.
+func TestEachViolationIsCounted(t *testing.T) {
 	tests := map[string]struct {
-		plant func(*judge.History)
-		want  judge.Violations
+		add  func(*judge.History)
+		want judge.Violations
 	}{
 		"two owners": {func(h *judge.History) {
 			h.AddHold(judge.Hold{Target: "t9", Service: "menus", First: 50, Last: 60, From: at(1999), Until: at(2001)})
 		}, judge.Violations{TwoOwners: 1}},
-		"ran at a former owner that does not check": {func(h *judge.History) {
+		"executed by a former owner that does not check grants": {func(h *judge.History) {
 			h.AddRun(judge.Run{Request: "r6", Target: "t8", Service: "menus", Hash: 5, At: at(1200), Unfenced: true})
 		}, judge.Violations{TwoOwners: 1}},
-		"ran twice": {func(h *judge.History) {
+		"executed twice": {func(h *judge.History) {
 			h.AddRun(judge.Run{Request: "r1", Target: "t2", At: at(1200), Write: true})
 		}, judge.Violations{RanTwice: 1}},
-		"untrue refusal": {func(h *judge.History) {
+		"executed although refused as not executed": {func(h *judge.History) {
 			h.AddRun(judge.Run{Request: "r2", Target: "t2", At: at(1200), Write: true})
 		}, judge.Violations{RefusalUntrue: 1}},
-		"wrong answer": {func(h *judge.History) {
+		"invalid response": {func(h *judge.History) {
 			h.AddCall(judge.Call{Request: "r1", Outcome: judge.Answered, Executed: true})
 		}, judge.Violations{WrongOrCutAnswer: 1}},
-		"acknowledged and lost": {func(h *judge.History) {
+		"acknowledged but not executed": {func(h *judge.History) {
 			h.AddCall(judge.Call{Request: "r9", Outcome: judge.Answered, Valid: true, Executed: true})
 		}, judge.Violations{AcknowledgedLost: 1}},
 		"configuration reverted": {func(h *judge.History) {
 			h.AddConfigReversion()
 		}, judge.Violations{ConfigReverted: 1}},
-		"work after leaving": {func(h *judge.History) {
+		"executed too long after leaving": {func(h *judge.History) {
 			h.AddRun(judge.Run{Request: "r5", Target: "t3", At: at(3001)})
 		}, judge.Violations{WorkAfterLeaving: 1}},
-		"cut at shutdown": {func(h *judge.History) {
+		"connection broken during shutdown": {func(h *judge.History) {
 			h.AddShutdown(judge.Shutdown{Gateway: "g1", At: at(150), Ended: at(300)})
 		}, judge.Violations{CutAtShutdown: 1}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			h := sound()
-			tt.plant(h)
+			h := validHistory()
+			tt.add(h)
 			assert.Equal(t, h.CountViolations(), tt.want)
 		})
 	}
 }
 
-// A key is written and read in turn; then one read returns what was overwritten
-// before it began, as from the memory of a former owner.
+// Guards against a stale read that goes unnoticed: after w2 was read, a later read returns
+// the overwritten w1, as from the memory of a former owner.
 func TestStaleReadIsNotLinearizable(t *testing.T) {
 	h := &judge.History{}
 	call := func(request string, from, until int, write bool, value string, outcome judge.Outcome) {
@@ -85,9 +86,9 @@
 	call("r1", 20, 30, false, "w1", judge.Answered)
 	call("w2", 25, 90, true, "", judge.Unknown)
 	call("r2", 40, 50, false, "w2", judge.Answered)
-	yes, complete := h.Linearizable()
-	assert.Assert(t, yes && complete)
+	ok, complete := h.Linearizable()
+	assert.Assert(t, ok && complete)
 	call("r3", 60, 70, false, "w1", judge.Answered)
-	yes, _ = h.Linearizable()
-	assert.Assert(t, !yes)
+	ok, _ = h.Linearizable()
+	assert.Assert(t, !ok)
 }
--- a/standin/judge/linear.go
+++ b/standin/judge/linearizable.go
@@ -6,17 +6,17 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// linearizabilityTimeout bounds the search for an order of one history's operations.
+// linearizabilityTimeout bounds the search for a valid order of a history's operations.
 const linearizabilityTimeout = 20 * time.Second
 
-// registerOp is an operation on one key: a write of a value, or a read.
+// registerOp is a write of a value to one key, or a read of it.
 type registerOp struct {
 	key   string
 	write bool
 	value string
 }
 
-// registerModel is a variable per key, empty at first.
+// registerModel models each key as an independent register that is empty at first.
 var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -40,13 +40,11 @@
 	},
 }
 
-// Linearizable tells whether the reads and writes of every key can have
-// happened one after another, each between its sending and its answer. Writes
-// whose outcome is unknown may have happened at any later time, or never.
-// Targets keep values in memory while they own a key, so a second owner shows
-// as a read of what was overwritten. An answer that took too long to find is
-// taken as yes and told by complete.
-func (h *History) Linearizable() (yes, complete bool) {
+// Linearizable reports whether the reads and writes of every key are linearizable. A write
+// whose outcome is unknown may take effect at any later time, or never. Targets cache the
+// values of the keys that they own, so that a second owner shows as a stale read. If the
+// search times out, ok is true and complete is false.
+func (h *History) Linearizable() (ok, complete bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	end := int64(0)
