--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -1,5 +1,5 @@
-// Package link stands in for the network: an egress proxy per gateway that
-// delays, limits, cuts and silences what passes between zones.
+// Package link simulates the network between zones: an egress proxy per gateway adds
+// latency, bandwidth limits, partitions and lost bytes.
 package link
 
 import (
@@ -17,47 +17,47 @@
 )
 
 const (
-	// maxQueuedChunks is how many pieces one direction of a connection holds under way.
-	maxQueuedChunks    = 256
-	chunkSize = 16 << 10
-	// cutConnectDelay is how long a connection attempt across a cut hangs.
+	// maxQueuedChunks bounds the chunks in flight in one direction of a connection.
+	maxQueuedChunks = 256
+	chunkSize       = 16 << 10
+	// cutConnectDelay is how long a connection attempt across a cut hangs before it fails.
 	cutConnectDelay = 5 * time.Second
 )
 
-// Network knows where every address is and what is wrong between places.
+// Network holds the zone of every address and the faults between zones.
 type Network struct {
 	Deployment deployment.Deployment
 
-	mu       sync.Mutex
-	zones   map[string]deployment.Zone
-	isControl  map[string]bool
-	cuts      map[[2]string]bool
+	mu           sync.Mutex
+	zones        map[string]deployment.Zone
+	isControl    map[string]bool
+	cuts         map[[2]string]bool
 	cutsChanged  chan struct{}
-	linkFreeAt map[string]time.Time
+	linkFreeAt   map[string]time.Time
 	controlBytes map[string]*atomic.Int64
-	conns    map[*connection]bool
-	// extraDelay is added to the way between any two zones.
+	conns        map[*connection]bool
+	// extraDelay is added to the one-way delay between any two zones.
 	extraDelay time.Duration
 }
 
 // New returns a network without faults.
 func New(d deployment.Deployment) *Network {
 	return &Network{
-		Deployment: d,
-		zones:     map[string]deployment.Zone{},
+		Deployment:   d,
+		zones:        map[string]deployment.Zone{},
 		isControl:    map[string]bool{},
-		cuts:        map[[2]string]bool{},
-		cutsChanged:    make(chan struct{}),
+		cuts:         map[[2]string]bool{},
+		cutsChanged:  make(chan struct{}),
 		linkFreeAt:   map[string]time.Time{},
-		controlBytes:   map[string]*atomic.Int64{},
-		conns:      map[*connection]bool{},
+		controlBytes: map[string]*atomic.Int64{},
+		conns:        map[*connection]bool{},
 	}
 }
 
-// PlatformZone is the platform's place for cuts.
+// PlatformZone is a name for the platform that is used in cuts, as if it had a zone of its own.
 const PlatformZone = "platform"
 
-// AddAddress tells where an address is. Control addresses are counted as such.
+// AddAddress sets the zone of an address. Bytes from and to control addresses are counted.
 func (n *Network) AddAddress(address string, zone deployment.Zone, control bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -66,7 +66,7 @@
 	n.controlBytes[address] = &atomic.Int64{}
 }
 
-// ControlBytes returns the control bytes of connections to an address, both ways.
+// ControlBytes returns the bytes sent over control connections to an address, in both directions.
 func (n *Network) ControlBytes(address string) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -76,7 +76,7 @@
 	return 0
 }
 
-// SetCut separates two places, both ways, or joins them again.
+// SetCut begins or ends a cut between two zones, in both directions.
 func (n *Network) SetCut(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -86,7 +86,7 @@
 	n.cutsChanged = make(chan struct{})
 }
 
-// SetOneWayCut lets nothing pass from one place to another, or lets it pass again.
+// SetOneWayCut begins or ends a cut in the direction from one zone to another.
 func (n *Network) SetOneWayCut(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -95,21 +95,21 @@
 	n.cutsChanged = make(chan struct{})
 }
 
-// SetExtraDelay adds a delay to the way between any two zones.
+// SetExtraDelay sets a delay that is added to the one-way delay between any two zones.
 func (n *Network) SetExtraDelay(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.extraDelay = d
 }
 
-// ResetConnections breaks off all open connections.
+// ResetConnections closes all open connections with a TCP reset.
 func (n *Network) ResetConnections() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for p := range n.conns {
 		for _, end := range p.ends {
 			if tcp, ok := end.(*net.TCPConn); ok {
-				// Without it the bytes under way would still arrive, and the close in order.
+				// Without linger 0, the bytes in flight would still arrive, followed by a regular close.
 				_ = tcp.SetLinger(0)
 			}
 			_ = end.Close()
@@ -117,8 +117,7 @@
 	}
 }
 
-// BlackholeConnections makes all open connections lose everything from now on, while new
-// ones work.
+// BlackholeConnections drops all further bytes of the connections that are open now.
 func (n *Network) BlackholeConnections() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -127,19 +126,20 @@
 	}
 }
 
-// IsCut tells whether two places are separated.
+// IsCut reports whether the direction from a to b is cut.
 func (n *Network) IsCut(a, b string) bool {
 	cut, _ := n.cutState(a, b)
 	return cut
 }
 
+// cutState is IsCut with a channel that is closed when any cut changes.
 func (n *Network) cutState(a, b string) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cuts[[2]string{a, b}], n.cutsChanged
 }
 
-// arrivalTime is when size bytes sent now from one zone to another are there.
+// arrivalTime returns when size bytes that are sent now from one zone to another arrive.
 func (n *Network) arrivalTime(from, to deployment.Zone, size int) time.Time {
 	now := time.Now()
 	if from.Name == to.Name {
@@ -151,24 +151,24 @@
 	if from.Region == to.Region {
 		return now.Add(n.Deployment.ZoneDelay)
 	}
-	free := n.linkFreeAt[from.Region]
-	if free.Before(now) {
-		free = now
+	freeAt := n.linkFreeAt[from.Region]
+	if freeAt.Before(now) {
+		freeAt = now
 	}
-	free = free.Add(time.Duration(size) * time.Second / time.Duration(n.Deployment.LinkBytesPerSecond))
-	n.linkFreeAt[from.Region] = free
-	return free.Add(n.Deployment.RegionDelay)
+	freeAt = freeAt.Add(time.Duration(size) * time.Second / time.Duration(n.Deployment.LinkBytesPerSecond))
+	n.linkFreeAt[from.Region] = freeAt
+	return freeAt.Add(n.Deployment.RegionDelay)
 }
 
-// Egress is one gateway's way out.
+// Egress is one gateway's connection to the network, and its counters.
 type Egress struct {
 	Zone deployment.Zone
-	// ControlBytes counts both ways with the platform and other gateways.
+	// ControlBytes counts bytes from and to the platform and other gateways, and those of grants.
 	ControlBytes  atomic.Int64
 	ControlChunks atomic.Int64
 }
 
-// Serve proxies for one gateway until the listener closes.
+// Serve runs the egress proxy of one gateway until the listener is closed.
 func (n *Network) Serve(l net.Listener, e *Egress) {
 	var group sync.WaitGroup
 	for {
@@ -180,91 +180,91 @@
 	}
 }
 
-func (n *Network) handle(c net.Conn, e *Egress) {
-	defer func() { _ = c.Close() }()
-	reader := bufio.NewReader(c)
+func (n *Network) handle(client net.Conn, e *Egress) {
+	defer func() { _ = client.Close() }()
+	reader := bufio.NewReader(client)
 	req, err := http.ReadRequest(reader)
 	if err != nil || req.Method != http.MethodConnect {
 		return
 	}
 	n.mu.Lock()
-	to, known := n.zones[req.Host]
-	control := n.isControl[req.Host]
-	received := n.controlBytes[req.Host]
+	zone, known := n.zones[req.Host]
+	isControl := n.isControl[req.Host]
+	controlBytes := n.controlBytes[req.Host]
 	n.mu.Unlock()
 	if !known {
-		_, _ = io.WriteString(c, "HTTP/1.1 502 Bad Gateway\r\n\r\n")
+		_, _ = io.WriteString(client, "HTTP/1.1 502 Bad Gateway\r\n\r\n")
 		return
 	}
-	if n.IsCut(e.Zone.Name, to.Name) || n.IsCut(to.Name, e.Zone.Name) {
+	if n.IsCut(e.Zone.Name, zone.Name) || n.IsCut(zone.Name, e.Zone.Name) {
 		time.Sleep(cutConnectDelay)
 		return
 	}
-	time.Sleep(2 * time.Until(n.arrivalTime(e.Zone, to, 1)))
+	time.Sleep(2 * time.Until(n.arrivalTime(e.Zone, zone, 1)))
 	target, err := net.Dial("tcp", req.Host)
 	if err != nil {
-		_, _ = io.WriteString(c, "HTTP/1.1 502 Bad Gateway\r\n\r\n")
+		_, _ = io.WriteString(client, "HTTP/1.1 502 Bad Gateway\r\n\r\n")
 		return
 	}
 	defer func() { _ = target.Close() }()
-	_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
-	p := &connection{network: n, egress: e, controlBytes: received, ends: [2]net.Conn{c, target}}
-	p.isControl.Store(control)
-	n.forward(p, c, target, to)
+	_, _ = io.WriteString(client, "HTTP/1.1 200 OK\r\n\r\n")
+	c := &connection{network: n, egress: e, controlBytes: controlBytes, ends: [2]net.Conn{client, target}}
+	c.isControl.Store(isControl)
+	n.forward(c, client, target, zone)
 }
 
-// connection is one open connection through the network.
+// connection is an open connection through the proxy.
 type connection struct {
-	network  *Network
-	egress   *Egress
+	network      *Network
+	egress       *Egress
 	controlBytes *atomic.Int64
-	isControl  atomic.Bool
+	isControl    atomic.Bool
 	blackholed   atomic.Bool
-	ends     [2]net.Conn
+	ends         [2]net.Conn
 }
 
-func (n *Network) forward(p *connection, c, target net.Conn, to deployment.Zone) {
+func (n *Network) forward(c *connection, client, target net.Conn, zone deployment.Zone) {
 	n.mu.Lock()
-	n.conns[p] = true
+	n.conns[c] = true
 	n.mu.Unlock()
 	defer func() {
 		n.mu.Lock()
-		delete(n.conns, p)
+		delete(n.conns, c)
 		n.mu.Unlock()
 	}()
 	var group sync.WaitGroup
-	group.Go(func() { p.forward(c, target, p.egress.Zone, to) })
-	group.Go(func() { p.forward(target, c, to, p.egress.Zone) })
+	group.Go(func() { c.forward(client, target, c.egress.Zone, zone) })
+	group.Go(func() { c.forward(target, client, zone, c.egress.Zone) })
 	group.Wait()
 }
 
 type chunk struct {
-	data []byte
-	arrival     time.Time
+	data    []byte
+	arrival time.Time
 }
 
-// forward carries bytes one way. When either end is gone, both are closed, which
-// ends the other direction too.
-func (p *connection) forward(from, to net.Conn, a, b deployment.Zone) {
+// forward copies bytes in one direction. When either end is closed, both are, which also
+// ends the other direction.
+func (c *connection) forward(src, dst net.Conn, from, to deployment.Zone) {
 	queue := make(chan chunk, maxQueuedChunks)
 	var group sync.WaitGroup
 	group.Go(func() {
-		p.deliver(queue, to, a, b)
-		_ = from.Close()
+		c.deliver(queue, dst, from, to)
+		_ = src.Close()
 	})
 	for {
 		buffer := make([]byte, chunkSize)
-		count, err := from.Read(buffer)
+		count, err := src.Read(buffer)
 		if count > 0 {
 			if bytes.HasPrefix(buffer[:count], []byte("POST "+grant.Path)) {
-				p.isControl.Store(true)
+				c.isControl.Store(true)
 			}
-			if p.isControl.Load() {
-				p.controlBytes.Add(int64(count))
-				p.egress.ControlBytes.Add(int64(count))
-				p.egress.ControlChunks.Add(1)
+			if c.isControl.Load() {
+				c.controlBytes.Add(int64(count))
+				c.egress.ControlBytes.Add(int64(count))
+				c.egress.ControlChunks.Add(1)
 			}
-			queue <- chunk{buffer[:count], p.network.arrivalTime(a, b, count)}
+			queue <- chunk{buffer[:count], c.network.arrivalTime(from, to, count)}
 		}
 		if err != nil {
 			break
@@ -274,26 +274,26 @@
 	group.Wait()
 }
 
-func (p *connection) deliver(queue <-chan chunk, to net.Conn, a, b deployment.Zone) {
+func (c *connection) deliver(queue <-chan chunk, dst net.Conn, from, to deployment.Zone) {
 	failed := false
 	for item := range queue {
 		time.Sleep(time.Until(item.arrival))
-		p.awaitCutEnd(a, b)
-		if p.blackholed.Load() || failed {
+		c.awaitCutEnd(from, to)
+		if c.blackholed.Load() || failed {
 			continue
 		}
-		_, err := to.Write(item.data)
+		_, err := dst.Write(item.data)
 		failed = err != nil
 	}
-	if !p.blackholed.Load() {
-		_ = to.Close()
+	if !c.blackholed.Load() {
+		_ = dst.Close()
 	}
 }
 
-// awaitCutEnd holds bytes back during a cut, as TCP's retransmissions would.
-func (p *connection) awaitCutEnd(a, b deployment.Zone) {
+// awaitCutEnd delays bytes until a cut ends, as TCP's retransmissions would.
+func (c *connection) awaitCutEnd(from, to deployment.Zone) {
 	for {
-		cut, changed := p.network.cutState(a.Name, b.Name)
+		cut, changed := c.network.cutState(from.Name, to.Name)
 		if !cut {
 			return
 		}
