--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -1,5 +1,4 @@
-// Package deployment describes the users' fleets of today: zones, delays,
-// services, endpoints, slots, and the mix of requests.
+// Package deployment describes the users' deployments: zones, services, targets and load.
 package deployment
 
 import (
@@ -11,20 +10,21 @@
 	"basilcross.example/basilcross/config"
 )
 
-// Deployment is one user's fleet.
+// Deployment is the deployment of one user.
 type Deployment struct {
 	Name     string
 	Zones    []Zone
 	Services []Service
 	Kinds    []Kind
-	// ZoneDelay, RegionDelay and CallerDelay are one way.
+	// ZoneDelay, RegionDelay and CallerDelay are one-way delays between zones of a region,
+	// between regions, and between a caller and a gateway.
 	ZoneDelay   time.Duration
 	RegionDelay time.Duration
 	CallerDelay time.Duration
-	// LinkBytesPerSecond is what the link between regions carries a second, each way.
+	// LinkBytesPerSecond is the bandwidth between regions, in each direction.
 	LinkBytesPerSecond int
-	Gateways  int
-	// StoreZone is where the platform stands.
+	Gateways           int
+	// StoreZone is the zone of the platform and its table service.
 	StoreZone string
 }
 
@@ -34,7 +34,7 @@
 	Region string
 }
 
-// Service is a set of endpoints.
+// Service is a set of targets; Slots and Shards are those of a target and of the service.
 type Service struct {
 	Name    string
 	Sharded bool
@@ -43,7 +43,7 @@
 	Shards  int
 }
 
-// Kind is a sort of request with its share of the load and its work.
+// Kind is a kind of request with its share of the load and its mean execution time.
 type Kind struct {
 	Name       string
 	Service    string
@@ -70,7 +70,7 @@
 		}
 		known = append(known, d.Name)
 	}
-	return Deployment{}, fmt.Errorf("deployment %q is not known; known are %s", name, strings.Join(known, ", "))
+	return Deployment{}, fmt.Errorf("deployment %q is not known, want one of %s", name, strings.Join(known, ", "))
 }
 
 func tortenprobe() Deployment {
@@ -113,14 +113,14 @@
 	}
 }
 
-// Instance is a named gateway or target in its place.
+// Instance is a gateway or target with its zone; Service is empty for gateways.
 type Instance struct {
 	Name    string
 	Zone    Zone
 	Service Service
 }
 
-// GatewayInstances returns the gateways, spread over the zones.
+// GatewayInstances returns the gateways, distributed evenly over the zones.
 func (d Deployment) GatewayInstances() []Instance {
 	var out []Instance
 	for i := range d.Gateways {
@@ -130,7 +130,7 @@
 	return out
 }
 
-// TargetInstances returns the targets of all services, spread over the zones.
+// TargetInstances returns the targets of all services, distributed evenly over the zones.
 func (d Deployment) TargetInstances() []Instance {
 	var out []Instance
 	for _, s := range d.Services {
@@ -143,7 +143,7 @@
 	return out
 }
 
-// Names returns every name that a scenario may use.
+// Names returns the names that a scenario may use: zones, gateways and targets.
 func (d Deployment) Names() []string {
 	var names []string
 	for _, z := range d.Zones {
@@ -155,7 +155,7 @@
 	return names
 }
 
-// InitialConfig returns the deployment's first configuration.
+// InitialConfig returns the deployment's first configuration document.
 func (d Deployment) InitialConfig() *config.Document {
 	doc := &config.Document{Author: "demo", Reason: "first configuration of " + d.Name}
 	for _, s := range d.Services {
@@ -174,18 +174,18 @@
 	return doc
 }
 
-// Capacity is how many requests a second the targets can run at the mix.
+// Capacity returns how many requests of this mix the targets can execute per second.
 func (d Deployment) Capacity() float64 {
 	slots := map[string]float64{}
 	for _, s := range d.Services {
 		slots[s.Name] = float64(s.Targets * s.Slots)
 	}
-	need := map[string]float64{}
+	demand := map[string]float64{}
 	for _, k := range d.Kinds {
-		need[k.Service] += k.Share * k.Work.Seconds()
+		demand[k.Service] += k.Share * k.Work.Seconds()
 	}
 	capacity := 0.0
-	for service, n := range need {
+	for service, n := range demand {
 		if c := slots[service] / n; capacity == 0 || c < capacity {
 			capacity = c
 		}
--- a/standin/scenario/random.go
+++ b/standin/scenario/random.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// quietStartMs is left at the beginning, and settleMs at the end of a random run for
-	// everything to be served again.
-	quietStartMs   = 1500
-	recoveryMs = 5000
-	// faultsPerSecond begin on average; they last up to longestMs and overlap.
+	// quietStartMs at the beginning of a random run and recoveryMs at its end are free of
+	// faults; at the end, everything must be served again.
+	quietStartMs = 1500
+	recoveryMs   = 5000
+	// faultsPerSecond is the mean rate of drawn faults, which may overlap.
 	faultsPerSecond = 0.7
 	minFaultMs      = 200
-	maxFaultMs       = 4000
-	// seriesProbability of the faults come a few times in a row.
+	maxFaultMs      = 4000
+	// seriesProbability is the share of faults that are repeated until the run ends.
 	seriesProbability = 0.25
 )
 
-// randomFaults are drawn alike often, unless they stand here more than once. Starts
-// are left out, since each fault is mended after its time.
+// randomFaults are drawn with equal probability; a type that is listed twice is drawn twice
+// as often. Starts are left out, since each fault is reverted after its duration.
 var randomFaults = []string{
 	"killTarget", "killTarget", "freezeTarget", "drainTarget",
 	"killGateway", "killGateway", "freezeGateway", "freezeGateway", "stopGateway",
@@ -29,29 +29,29 @@
 	"storeDown", "storeSlow", "loseStoreAnswers", "silenceConnections", "resetConnections", "slowLinks", "changeConfig",
 }
 
-// Random draws a run: faults of all sorts, in series and overlapping. A seed gives
-// one scenario.
+// Random returns a scenario with random faults of all types, some repeated and
+// overlapping. The same arguments give the same scenario.
 func Random(d deployment.Deployment, seed uint64, seconds int) *Scenario {
-	random := rand.New(rand.NewPCG(seed, 29))
-	none, half := 0, 50.0
+	rng := rand.New(rand.NewPCG(seed, 29))
+	maxViolations, minEndPercent := 0, 50.0
 	s := &Scenario{
 		Deployment: d.Name, Seed: seed, Seconds: seconds, Load: Load{RequestsPerSecond: 200},
-		Expect: Expect{Violations: &none, EndAnsweredPercent: &half},
+		Expect: Expect{Violations: &maxViolations, EndAnsweredPercent: &minEndPercent},
 	}
 	last := max(quietStartMs+1, seconds*1000-recoveryMs)
 	for range int(faultsPerSecond * float64(seconds)) {
-		f := Fault{AtMs: quietStartMs + random.IntN(last-quietStartMs), Do: randomFaults[random.IntN(len(randomFaults))]}
+		f := Fault{AtMs: quietStartMs + rng.IntN(last-quietStartMs), Do: randomFaults[rng.IntN(len(randomFaults))]}
 		if names := ResourceNames(d, FaultTypes[f.Do]); len(names) > 0 {
-			f.On = names[random.IntN(len(names))]
+			f.On = names[rng.IntN(len(names))]
 		}
-		f.ForMs = min(minFaultMs+random.IntN(maxFaultMs-minFaultMs), last-f.AtMs+1)
+		f.ForMs = min(minFaultMs+rng.IntN(maxFaultMs-minFaultMs), last-f.AtMs+1)
 		s.Faults = append(s.Faults, f)
-		if random.Float64() >= seriesProbability {
+		if rng.Float64() >= seriesProbability {
 			continue
 		}
-		for again := f; again.AtMs+2*f.ForMs < last && len(s.Faults) < 3*seconds; {
-			again.AtMs += f.ForMs + random.IntN(f.ForMs+1)
-			s.Faults = append(s.Faults, again)
+		for repeat := f; repeat.AtMs+2*f.ForMs < last && len(s.Faults) < 3*seconds; {
+			repeat.AtMs += f.ForMs + rng.IntN(f.ForMs+1)
+			s.Faults = append(s.Faults, repeat)
 		}
 	}
 	all := slices.Clone(s.Faults)
@@ -62,17 +62,17 @@
 	return s
 }
 
-// drainNoticeMs is how long everybody has to hear that a target is leaving.
+// drainNoticeMs is how long it may take until every gateway has received that a target leaves.
 const drainNoticeMs = 4000
 
-// drainHidingFaults are faults by which a gateway may not hear of a target that leaves in
-// time; nothing is promised for it then.
+// drainHidingFaults may keep a gateway from receiving in time that a target is leaving.
+// New requests may then still be sent to the target.
 var drainHidingFaults = []string{
 	"freezeGateway", "cutZone", "cutZoneOneWay", "cutZoneFromPlatform", "cutRegions",
 	"storeDown", "storeSlow", "loseStoreAnswers", "silenceConnections",
 }
 
-// drainMayBeMissed tells whether another fault keeps gateways from hearing of this one.
+// drainMayBeMissed reports whether another fault may hide this drain from a gateway.
 func drainMayBeMissed(all []Fault, drain Fault) bool {
 	return slices.ContainsFunc(all, func(f Fault) bool {
 		return slices.Contains(drainHidingFaults, f.Do) && f.AtMs < drain.AtMs+drainNoticeMs && f.AtMs+f.ForMs > drain.AtMs-drainNoticeMs
--- a/standin/scenario/scenario.go
+++ b/standin/scenario/scenario.go
@@ -1,4 +1,4 @@
-// Package scenario reads what the demo is to do and to expect.
+// Package scenario reads the load, faults and expectations of a run of the demo.
 package scenario
 
 import (
@@ -19,18 +19,18 @@
 	Seed       uint64 `json:"seed"`
 	Seconds    int    `json:"seconds"`
 	Load       Load   `json:"load"`
-	// Unfenced names targets that do not check grants.
+	// Unfenced lists targets that do not check grants.
 	Unfenced []string `json:"unfenced,omitempty"`
 	Faults   []Fault  `json:"faults"`
 	Expect   Expect   `json:"expect"`
 }
 
-// Load is the rate of requests.
+// Load configures the rate of requests.
 type Load struct {
 	RequestsPerSecond float64 `json:"requestsPerSecond"`
 }
 
-// Fault is one thing that goes wrong.
+// Fault is a fault to inject, with its start time and its duration; see At and For.
 type Fault struct {
 	AtMs  int    `json:"atMs"`
 	Do    string `json:"do"`
@@ -38,20 +38,20 @@
 	ForMs int    `json:"forMs,omitempty"`
 }
 
-// Expect are bounds; a missing one is not checked.
+// Expect holds the bounds that a run must meet; a nil bound is not checked.
 type Expect struct {
 	Violations      *int     `json:"violations,omitempty"`
 	ServedAgainMs   *int     `json:"servedAgainMs,omitempty"`
 	AnsweredPercent *float64 `json:"answeredPercent,omitempty"`
 	UnknownPercent  *float64 `json:"unknownPercent,omitempty"`
-	// EndAnsweredPercent is the least share of the last requests.
+	// EndAnsweredPercent is the minimum of answered requests at the end of the run.
 	EndAnsweredPercent *float64 `json:"endAnsweredPercent,omitempty"`
 }
 
-// ResourceType says what a verb is done to.
+// ResourceType is the type of resource that a fault is applied to.
 type ResourceType int
 
-// The sorts of things that verbs are done to.
+// The resource types.
 const (
 	NoResource ResourceType = iota
 	TargetResource
@@ -59,7 +59,7 @@
 	ZoneResource
 )
 
-// FaultTypes are the known faults.
+// FaultTypes maps the known fault types to what they are applied to.
 var FaultTypes = map[string]ResourceType{
 	"killTarget": TargetResource, "freezeTarget": TargetResource, "drainTarget": TargetResource, "startTarget": TargetResource,
 	"killGateway": GatewayResource, "freezeGateway": GatewayResource, "stopGateway": GatewayResource, "startGateway": GatewayResource,
@@ -68,68 +68,68 @@
 	"silenceConnections": NoResource, "resetConnections": NoResource, "slowLinks": NoResource, "changeConfig": NoResource,
 }
 
-// Parse reads a scenario strictly.
+// Parse decodes and validates a scenario. Unknown fields are errors.
 func Parse(content []byte) (*Scenario, error) {
 	dec := json.NewDecoder(bytes.NewReader(content))
 	dec.DisallowUnknownFields()
 	var s Scenario
 	if err := dec.Decode(&s); err != nil {
-		return nil, fmt.Errorf("scenario: %w", err)
+		return nil, fmt.Errorf("decode scenario: %w", err)
 	}
 	return &s, s.Validate()
 }
 
-// Validate reports every fault of the scenario, joined.
+// Validate returns all errors of the scenario, joined.
 func (s *Scenario) Validate() error {
-	var faults []error
-	fault := func(format string, args ...any) { faults = append(faults, fmt.Errorf("scenario: "+format, args...)) }
+	var errs []error
+	addError := func(format string, args ...any) { errs = append(errs, fmt.Errorf("scenario: "+format, args...)) }
 	d, err := deployment.Find(s.Deployment)
 	if err != nil {
 		return fmt.Errorf("scenario: %w", err)
 	}
 	if s.Seconds < 1 || s.Seconds > 3600 {
-		fault("seconds = %d: want 1 to 3600", s.Seconds)
+		addError("seconds = %d: want 1 to 3600", s.Seconds)
 	}
 	if s.Load.RequestsPerSecond <= 0 || s.Load.RequestsPerSecond > 20000 {
-		fault("load.requestsPerSecond = %v: want more than 0 and at most 20000", s.Load.RequestsPerSecond)
+		addError("load.requestsPerSecond = %v: want more than 0 and at most 20000", s.Load.RequestsPerSecond)
 	}
 	for i, name := range s.Unfenced {
 		if names := ResourceNames(d, TargetResource); !slices.Contains(names, name) {
-			fault("unfenced[%d] = %q is not known; known are %s", i, name, strings.Join(names, ", "))
+			addError("unfenced[%d] = %q is not known, want one of %s", i, name, strings.Join(names, ", "))
 		}
 	}
 	for i, f := range s.Faults {
-		on, known := FaultTypes[f.Do]
+		resource, known := FaultTypes[f.Do]
 		if !known {
-			fault("faults[%d].do = %q is not known; known are %s", i, f.Do, strings.Join(faultTypeNames(), ", "))
+			addError("faults[%d].do = %q is not known, want one of %s", i, f.Do, strings.Join(faultTypeNames(), ", "))
 			continue
 		}
 		if f.AtMs < 0 || f.AtMs > s.Seconds*1000 {
-			fault("faults[%d].atMs = %d: want 0 to the end of the run", i, f.AtMs)
+			addError("faults[%d].atMs = %d: want 0 to the end of the run", i, f.AtMs)
 		}
 		if f.ForMs < 0 {
-			fault("faults[%d].forMs = %d: want 0 or more", i, f.ForMs)
+			addError("faults[%d].forMs = %d: want 0 or more", i, f.ForMs)
 		}
-		if names := ResourceNames(d, on); on != NoResource && !slices.Contains(names, f.On) {
-			fault("faults[%d].on = %q is not known; known are %s", i, f.On, strings.Join(names, ", "))
+		if names := ResourceNames(d, resource); resource != NoResource && !slices.Contains(names, f.On) {
+			addError("faults[%d].on = %q is not known, want one of %s", i, f.On, strings.Join(names, ", "))
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 func faultTypeNames() []string {
 	var names []string
-	for v := range FaultTypes {
-		names = append(names, v)
+	for name := range FaultTypes {
+		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// ResourceNames returns the names that a verb may be done to.
-func ResourceNames(d deployment.Deployment, on ResourceType) []string {
+// ResourceNames returns the names of the deployment's resources of a type.
+func ResourceNames(d deployment.Deployment, resource ResourceType) []string {
 	var names []string
-	switch on {
+	switch resource {
 	case TargetResource:
 		for _, i := range d.TargetInstances() {
 			names = append(names, i.Name)
@@ -147,31 +147,31 @@
 	return names
 }
 
-// Default is the run without a scenario file: one fault of each common sort.
+// Default returns the scenario of a run without a scenario file: one fault of each common type.
 func Default(d deployment.Deployment, seconds int) *Scenario {
-	span := seconds * 1000
+	totalMs := seconds * 1000
 	targets := d.TargetInstances()
-	divided := targets[len(targets)-1]
-	zero, again := 0, 2000
+	sharded := targets[len(targets)-1]
+	maxViolations, maxServedAgainMs := 0, 2000
 	return &Scenario{
 		Deployment: d.Name,
 		Seed:       1,
 		Seconds:    seconds,
 		Load:       Load{RequestsPerSecond: 400},
 		Faults: []Fault{
-			{AtMs: span * 8 / 100, Do: "killTarget", On: divided.Name, ForMs: span * 25 / 100},
-			{AtMs: span * 22 / 100, Do: "killGateway", On: d.GatewayInstances()[1].Name, ForMs: span * 12 / 100},
-			{AtMs: span * 38 / 100, Do: "cutZone", On: d.Zones[2].Name, ForMs: span * 14 / 100},
-			{AtMs: span * 60 / 100, Do: "storeDown", ForMs: span * 10 / 100},
-			{AtMs: span * 78 / 100, Do: "drainTarget", On: targets[len(targets)-3].Name},
-			{AtMs: span * 86 / 100, Do: "changeConfig"},
+			{AtMs: totalMs * 8 / 100, Do: "killTarget", On: sharded.Name, ForMs: totalMs * 25 / 100},
+			{AtMs: totalMs * 22 / 100, Do: "killGateway", On: d.GatewayInstances()[1].Name, ForMs: totalMs * 12 / 100},
+			{AtMs: totalMs * 38 / 100, Do: "cutZone", On: d.Zones[2].Name, ForMs: totalMs * 14 / 100},
+			{AtMs: totalMs * 60 / 100, Do: "storeDown", ForMs: totalMs * 10 / 100},
+			{AtMs: totalMs * 78 / 100, Do: "drainTarget", On: targets[len(targets)-3].Name},
+			{AtMs: totalMs * 86 / 100, Do: "changeConfig"},
 		},
-		Expect: Expect{Violations: &zero, ServedAgainMs: &again},
+		Expect: Expect{Violations: &maxViolations, ServedAgainMs: &maxServedAgainMs},
 	}
 }
 
-// At returns when the fault begins.
+// At returns the start time of the fault, counted from the start of the run.
 func (f Fault) At() time.Duration { return time.Duration(f.AtMs) * time.Millisecond }
 
-// For returns how long it lasts; zero is to the end.
+// For returns the duration of the fault; zero means until the end of the run.
 func (f Fault) For() time.Duration { return time.Duration(f.ForMs) * time.Millisecond }
