--- a/standin/demo/demo.go
+++ b/standin/demo/demo.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// readinessInterval is how often the balancer asks gateways for readiness.
+	// readinessInterval is the interval of the load balancer's health checks of a gateway.
 	readinessInterval = 250 * time.Millisecond
-	// warmup is the load's time before the first figures count.
+	// warmup is the first part of the run, which the imbalance leaves out.
 	warmup = time.Second
-	// progressInterval lies between two lines of progress.
+	// progressInterval is the interval between two lines of progress.
 	progressInterval = 2 * time.Second
 )
 
-// Run carries out a scenario, shows its progress, and returns the report.
+// Run builds the gateway, runs a scenario, writes its progress to out, and returns the report.
 func Run(ctx context.Context, s *scenario.Scenario, out io.Writer) (*Report, error) {
 	d, err := deployment.Find(s.Deployment)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return f.runScenario(ctx, s, out)
 }
 
-// runScenario runs load and faults on a fleet that is up.
+// runScenario runs the load and the faults of a scenario on a fleet that is running.
 func (f *fleet) runScenario(ctx context.Context, s *scenario.Scenario, out io.Writer) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -57,57 +57,57 @@
 		f.load.Gateways = append(f.load.Gateways, g.entry)
 	}
 	f.load.Init()
-	var watch sync.WaitGroup
-	watch.Go(func() { f.pollGateways(ctx) })
-	if err := f.await(ctx, "gateways are ready", func() bool { return f.load.Gateways[0].Ready.Load() }); err != nil {
+	var background sync.WaitGroup
+	background.Go(func() { f.pollGateways(ctx) })
+	if err := f.await(ctx, "a ready gateway", func() bool { return f.load.Gateways[0].Ready.Load() }); err != nil {
 		return nil, err
 	}
 	began := time.Now()
-	usage := f.usage()
+	before := f.usage()
 	loadCtx, stopLoad := context.WithDeadline(ctx, began.Add(time.Duration(s.Seconds)*time.Second))
 	defer stopLoad()
-	watch.Go(func() { f.printProgress(loadCtx, began, out) })
+	background.Go(func() { f.printProgress(loadCtx, began, out) })
 	results := f.scheduleFaults(ctx, s, began, out)
 	f.load.Run(loadCtx)
 	faults := results()
-	used := f.usage().since(usage)
-	lagging := f.staleGateways(ctx)
+	used := f.usage().since(before)
+	stale := f.staleGateways(ctx)
 	for _, t := range f.targets {
 		t.Thaw()
 		t.Flush()
 	}
 	cancel()
-	watch.Wait()
+	background.Wait()
 	r := f.report(s, began, faults, used)
-	r.Unmet = append(r.Unmet, lagging...)
+	r.Unmet = append(r.Unmet, stale...)
 	return r, nil
 }
 
-// staleGateways names the gateways that do not have the newest configuration when all
-// faults are mended.
+// staleGateways returns an entry for the report for each gateway that still lacks the newest
+// configuration after all faults are reverted.
 func (f *fleet) staleGateways(ctx context.Context) []string {
 	newest := uint64(0)
-	behind := func() []string {
+	list := func() []string {
 		var names []string
 		for _, g := range f.gateways {
 			g.mu.Lock()
 			newest = max(newest, g.version)
-			late := g.process != nil && g.version < newest
+			stale := g.process != nil && g.version < newest
 			g.mu.Unlock()
-			if late && !f.network.IsCut(g.Zone.Name, link.PlatformZone) {
+			if stale && !f.network.IsCut(g.Zone.Name, link.PlatformZone) {
 				names = append(names, g.Name+" lacks the newest configuration at the end")
 			}
 		}
 		return names
 	}
-	behind()
-	if f.await(ctx, "newest configuration everywhere", func() bool { return len(behind()) == 0 }) != nil {
-		return behind()
+	list()
+	if f.await(ctx, "the newest configuration on every gateway", func() bool { return len(list()) == 0 }) != nil {
+		return list()
 	}
 	return nil
 }
 
-// scheduleFaults starts every fault at its time; the returned function waits for all.
+// scheduleFaults starts each fault at its time; the returned function waits for their results.
 func (f *fleet) scheduleFaults(ctx context.Context, s *scenario.Scenario, began time.Time, out io.Writer) func() []*FaultResult {
 	results := make([]*FaultResult, len(s.Faults))
 	var group sync.WaitGroup
@@ -124,7 +124,8 @@
 	}
 }
 
-// pollGateways keeps the readiness of every gateway and watches the versions.
+// pollGateways polls readiness and configuration version of every gateway, as the load
+// balancer of the callers would.
 func (f *fleet) pollGateways(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -171,14 +172,14 @@
 		}
 		calls := f.history.CallsSince(seen)
 		seen += len(calls)
-		answered, refused := 0, 0
+		answered, unanswered := 0, 0
 		for _, c := range calls {
 			if c.Outcome == judge.Answered {
 				answered++
 			} else {
-				refused++
+				unanswered++
 			}
 		}
-		fmt.Fprintf(out, "%6.1fs  %5d answered, %4d not\n", time.Since(began).Seconds(), answered, refused)
+		fmt.Fprintf(out, "%6.1fs  %5d answered, %4d not\n", time.Since(began).Seconds(), answered, unanswered)
 	}
 }
--- a/standin/demo/demo_test.go
+++ b/standin/demo/demo_test.go
@@ -11,10 +11,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// Real gateways under load lose a target, a gateway, the table's answers and a
-// zone, and one is stopped in good order. Callers may be refused meanwhile, but
-// nothing that must never happen happens, and requests are served in the end.
-func TestNothingForbiddenUnderFaults(t *testing.T) {
+// Guards against violations under load when targets and gateways are killed, frozen, drained
+// or stopped, responses of the table are lost and a zone is cut off. Requests may be refused
+// meanwhile, but must be answered in the end.
+func TestNoViolationsUnderFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts twelve gateways")
 	}
@@ -41,9 +41,9 @@
 	assert.Equal(t, len(r.Unmet), 0, "%v", r.Unmet)
 }
 
-// Guards against what only faults in series and at the same time bring about; more
-// seeds are run by hand with the command soak.
-func TestNothingForbiddenUnderRandomFaults(t *testing.T) {
+// Guards against violations that only repeated and overlapping faults cause; the command
+// soak runs more seeds.
+func TestNoViolationsUnderRandomFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts twelve gateways")
 	}
--- a/standin/demo/fault.go
+++ b/standin/demo/fault.go
@@ -17,54 +17,54 @@
 )
 
 const (
-	// storeDelay is the delay of storeSlow, slowLinks that of the verb.
+	// storeDelay is added to each store call by storeSlow, linkDelay to each message by slowLinks.
 	storeDelay = 400 * time.Millisecond
-	linkDelay = 150 * time.Millisecond
-	// probeInterval lies between two probes of a lost key, probeFor bounds them.
+	linkDelay  = 150 * time.Millisecond
+	// probeInterval is the interval between two probes of a key, probeTimeout the limit for all.
 	probeInterval = 50 * time.Millisecond
-	probeTimeout = 8 * time.Second
-	// maxProbedRanges bounds the parts that are probed, lest probes be the load.
+	probeTimeout  = 8 * time.Second
+	// maxProbedRanges bounds the ranges that are probed, to keep probes from adding much load.
 	maxProbedRanges = 12
-	// configTimeout bounds the wait for a configuration.
+	// configTimeout bounds the wait until a configuration is in force on all gateways.
 	configTimeout = 10 * time.Second
 )
 
-// FaultResult is what a fault led to.
+// FaultResult holds the measured effects of a fault. Times are counted from its start.
 type FaultResult struct {
 	Do   string `json:"do"`
 	On   string `json:"on,omitempty"`
 	AtMs int    `json:"atMs"`
-	// ServedAgainMs is when the last of the keys concerned was answered
-	// again, -1 if one was not; absent where no key is concerned.
+	// ServedAgainMs is the time until all probed keys were served again; -1 if one was not,
+	// nil if the fault takes no key from its owner.
 	ServedAgainMs *int `json:"servedAgainMs,omitempty"`
-	// InForceMs is when a configuration was in force on every gateway.
-	InForceMs *int `json:"inForceMs,omitempty"`
-	Unanswered   int  `json:"refused"`
+	// InForceMs is the time until a new configuration was in force on all reachable gateways, or -1.
+	InForceMs  *int `json:"inForceMs,omitempty"`
+	Unanswered int  `json:"refused"`
 
 	started time.Time
 }
 
-// runFault brings a fault about, measures, and mends it after its time.
+// runFault injects a fault, measures its effects, and reverts it after its duration.
 func (f *fleet) runFault(ctx context.Context, fault scenario.Fault) *FaultResult {
 	r := &FaultResult{Do: fault.Do, On: fault.On, AtMs: fault.AtMs, started: time.Now()}
 	ranges := f.lostRanges(fault)
-	mend := f.injectFault(ctx, fault, r)
+	revert := f.injectFault(ctx, fault, r)
 	var group sync.WaitGroup
 	if len(ranges) > 0 {
 		group.Go(func() { r.ServedAgainMs = f.probeRanges(ctx, ranges, fault.On, r.started) })
 	}
-	if fault.ForMs > 0 && mend != nil {
+	if fault.ForMs > 0 && revert != nil {
 		select {
 		case <-time.After(time.Until(r.started.Add(fault.For()))):
 		case <-ctx.Done():
 		}
-		mend()
+		revert()
 	}
 	group.Wait()
 	return r
 }
 
-func (f *fleet) injectFault(ctx context.Context, fault scenario.Fault, r *FaultResult) (mend func()) {
+func (f *fleet) injectFault(ctx context.Context, fault scenario.Fault, r *FaultResult) (revert func()) {
 	t := f.targets[fault.On]
 	g := f.gatewayByName(fault.On)
 	switch fault.Do {
@@ -98,24 +98,24 @@
 	return nil
 }
 
-func (f *fleet) injectNetworkFault(fault scenario.Fault) (mend func()) {
-	both := func(act func(bool)) func() {
-		act(true)
-		return func() { act(false) }
+func (f *fleet) injectNetworkFault(fault scenario.Fault) (revert func()) {
+	toggle := func(set func(bool)) func() {
+		set(true)
+		return func() { set(false) }
 	}
 	switch fault.Do {
 	case "cutZone":
-		return both(func(cut bool) { f.cutZone(fault.On, cut) })
+		return toggle(func(cut bool) { f.cutZone(fault.On, cut) })
 	case "cutZoneOneWay":
-		return both(func(cut bool) { f.cutZoneOneWay(fault.On, cut) })
+		return toggle(func(cut bool) { f.cutZoneOneWay(fault.On, cut) })
 	case "cutZoneFromPlatform":
-		return both(func(cut bool) { f.network.SetCut(fault.On, link.PlatformZone, cut) })
+		return toggle(func(cut bool) { f.network.SetCut(fault.On, link.PlatformZone, cut) })
 	case "cutRegions":
-		return both(f.cutRegions)
+		return toggle(f.cutRegions)
 	case "storeDown":
-		return both(f.store.SetDown)
+		return toggle(f.store.SetDown)
 	case "loseStoreAnswers":
-		return both(f.store.SetLose)
+		return toggle(f.store.SetLose)
 	case "storeSlow":
 		f.store.SetSlow(storeDelay)
 		return func() { f.store.SetSlow(0) }
@@ -148,7 +148,7 @@
 	}
 }
 
-// cutZoneOneWay lets the zone hear and not be heard.
+// cutZoneOneWay blocks what the zone sends; it still receives.
 func (f *fleet) cutZoneOneWay(name string, cut bool) {
 	f.network.SetOneWayCut(name, link.PlatformZone, cut)
 	for _, z := range f.deployment.Zones {
@@ -172,13 +172,13 @@
 	}
 }
 
-// lostRange is a part of a service whose owner a fault takes away.
+// lostRange is a range of hashes whose owner a fault makes unavailable.
 type lostRange struct {
 	service     string
 	first, last uint64
 }
 
-// lostRanges returns the parts whose keys a fault takes from their owner.
+// lostRanges returns the ranges whose owners the fault makes unavailable or drains.
 func (f *fleet) lostRanges(fault scenario.Fault) []lostRange {
 	var owners []string
 	switch fault.Do {
@@ -191,7 +191,7 @@
 			}
 		}
 	}
-	var parts []lostRange
+	var ranges []lostRange
 	for _, s := range f.deployment.Services {
 		var a struct {
 			Shards []struct {
@@ -204,14 +204,14 @@
 		}
 		for _, sh := range a.Shards {
 			if slices.Contains(owners, sh.Owner) {
-				parts = append(parts, lostRange{s.Name, sh.First, sh.Last})
+				ranges = append(ranges, lostRange{s.Name, sh.First, sh.Last})
 			}
 		}
 	}
-	return parts
+	return ranges
 }
 
-// readyGateway returns a ready gateway outside of a zone.
+// readyGateway returns a ready gateway outside of a zone, or the first one if there is none.
 func (f *fleet) readyGateway(zone string) *gateway {
 	for _, g := range f.gateways {
 		if g.Zone.Name != zone && g.entry.Ready.Load() {
@@ -221,13 +221,13 @@
 	return f.gateways[0]
 }
 
-// probeRanges asks for a key of each part until it is answered, through gateways
-// outside of a lost zone: those inside reach its targets until the leases end.
-func (f *fleet) probeRanges(ctx context.Context, parts []lostRange, on string, began time.Time) *int {
-	var ways []*caller.Gateway
+// probeRanges probes a key of each range until it is answered, through gateways outside of
+// the lost zone: those inside can reach its targets until the leases expire.
+func (f *fleet) probeRanges(ctx context.Context, ranges []lostRange, zone string, began time.Time) *int {
+	var gateways []*caller.Gateway
 	for _, g := range f.gateways {
-		if g.Zone.Name != on {
-			ways = append(ways, g.entry)
+		if g.Zone.Name != zone {
+			gateways = append(gateways, g.entry)
 		}
 	}
 	ctx, cancel := context.WithDeadline(ctx, began.Add(probeTimeout))
@@ -235,9 +235,9 @@
 	latest := 0
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	for _, part := range sampleEvenly(parts, maxProbedRanges) {
+	for _, r := range sampleEvenly(ranges, maxProbedRanges) {
 		group.Go(func() {
-			ms := f.probeRange(ctx, ways, part, began)
+			ms := f.probeRange(ctx, gateways, r, began)
 			mu.Lock()
 			defer mu.Unlock()
 			if ms < 0 || latest < 0 {
@@ -251,21 +251,21 @@
 	return &latest
 }
 
-// sampleEvenly picks at most n of the parts, evenly.
-func sampleEvenly(parts []lostRange, n int) []lostRange {
-	if len(parts) <= n {
-		return parts
+// sampleEvenly returns at most n of the ranges, evenly spaced.
+func sampleEvenly(ranges []lostRange, n int) []lostRange {
+	if len(ranges) <= n {
+		return ranges
 	}
 	picked := make([]lostRange, n)
 	for i := range picked {
-		picked[i] = parts[i*len(parts)/n]
+		picked[i] = ranges[i*len(ranges)/n]
 	}
 	return picked
 }
 
-func (f *fleet) probeRange(ctx context.Context, ways []*caller.Gateway, part lostRange, began time.Time) int {
-	kind := f.probeKind(part.service)
-	key := caller.KeyIn(part.service, part.first, part.last)
+func (f *fleet) probeRange(ctx context.Context, gateways []*caller.Gateway, r lostRange, began time.Time) int {
+	kind := f.probeKind(r.service)
+	key := caller.KeyIn(r.service, r.first, r.last)
 	if key == "" {
 		return 0
 	}
@@ -283,7 +283,7 @@
 		case <-tick.C:
 		}
 		group.Go(func() {
-			c := f.load.Probe(ways, kind, key)
+			c := f.load.Probe(gateways, kind, key)
 			if c.Outcome == judge.Answered {
 				select {
 				case answered <- c.Done:
@@ -294,7 +294,7 @@
 	}
 }
 
-// probeKind is an idempotent kind of the service.
+// probeKind returns an idempotent kind of the service.
 func (f *fleet) probeKind(service string) deployment.Kind {
 	for _, k := range f.deployment.Kinds {
 		if k.Service == service && k.Idempotent {
@@ -304,18 +304,18 @@
 	return f.deployment.Kinds[0]
 }
 
-// changeConfig accepts a new version and returns when all have it in force that
-// can be reached; the others are looked at when the run ends.
+// changeConfig submits a new configuration and returns the milliseconds until it is in force
+// on all reachable gateways, or -1. The others are checked at the end of the run.
 func (f *fleet) changeConfig(ctx context.Context) *int {
-	// One operator makes one change after the other; the later of two on the same
-	// version would be refused.
+	// Changes are made one at a time, since the second of two based on the same version
+	// would be refused.
 	f.configMu.Lock()
 	defer f.configMu.Unlock()
 	never := -1
 	var doc config.Document
-	// What is in force is read from the table, which may be down for a while.
+	// The configuration is read from the table, which may be unavailable for a while.
 	read := func() bool { return f.readyGateway("").get("/v1/config", &doc) == nil }
-	if f.await(ctx, "configuration read", read) != nil {
+	if f.await(ctx, "the configuration in force", read) != nil {
 		return &never
 	}
 	version := doc.Version
--- a/standin/demo/fleet.go
+++ b/standin/demo/fleet.go
@@ -1,5 +1,5 @@
-// Package demo runs a whole deployment on one machine: gateways as processes,
-// the rest in this one, with load, faults, and a judge at the end.
+// Package demo runs a whole deployment on one machine, with load and faults, and checks the
+// recorded history. Gateways are processes; all else runs in this process.
 package demo
 
 import (
@@ -32,12 +32,12 @@
 	"basilcross.example/standin/target"
 )
 
-// gateway is one gateway process with what surrounds it.
+// gateway is a gateway process with its egress proxy, its flags and its addresses.
 type gateway struct {
 	deployment.Instance
-	entry   *caller.Gateway
-	egress  *link.Egress
-	flags   []string
+	entry          *caller.Gateway
+	egress         *link.Egress
+	flags          []string
 	adminAddress   string
 	controlAddress string
 
@@ -48,11 +48,11 @@
 	version uint64
 }
 
-// fleet is everything that runs.
+// fleet is a running deployment: platform, network, targets and gateways.
 type fleet struct {
 	deployment deployment.Deployment
 	binary     string
-	logDir       string
+	logDir     string
 	unfenced   []string
 	history    *judge.History
 	store      *store.Store
@@ -65,7 +65,7 @@
 	group      sync.WaitGroup
 }
 
-// buildGateway compiles the gateway into a folder of its own.
+// buildGateway compiles the gateway into the folder and returns the path of the binary.
 func buildGateway(folder string) (string, error) {
 	binary := filepath.Join(folder, "basilcross-gateway")
 	out, err := exec.Command("go", "build", "-o", binary, "basilcross.example/gateway").CombinedOutput()
@@ -79,7 +79,7 @@
 	return &fleet{
 		deployment: d,
 		binary:     binary,
-		logDir:       logs,
+		logDir:     logs,
 		history:    &judge.History{},
 		store:      &store.Store{},
 		network:    link.New(d),
@@ -96,7 +96,7 @@
 	return deployment.Zone{}
 }
 
-// start brings up the platform, the targets and the gateways.
+// start starts the platform, the targets and the gateways, and submits the first configuration.
 func (f *fleet) start(ctx context.Context) error {
 	platformAddress, err := f.startPlatform()
 	if err != nil {
@@ -126,9 +126,9 @@
 	server := &http.Server{Handler: f.store, ReadHeaderTimeout: time.Minute}
 	f.group.Go(func() { _ = server.Serve(l) })
 	f.closers = append(f.closers, func() { _ = server.Close() })
-	place := f.zoneByName(f.deployment.StoreZone)
-	place.Name = link.PlatformZone
-	f.network.AddAddress(l.Addr().String(), place, true)
+	zone := f.zoneByName(f.deployment.StoreZone)
+	zone.Name = link.PlatformZone
+	f.network.AddAddress(l.Addr().String(), zone, true)
 	return l.Addr().String(), nil
 }
 
@@ -155,23 +155,22 @@
 	return nil
 }
 
-// Ports for gateways lie below the range from which the system takes those of
-// outgoing connections: one of these could take a port between its choice and
-// the gateway's start, or while the gateway is being restarted.
+// Gateway ports lie below the ephemeral port range. From that range, an outgoing connection
+// could take a port between its choice and the gateway's start, or during a restart.
 const (
 	firstPort = 20_000
 	portCount = 10_000
 )
 
-// nextPort counts on from a random beginning. Drawn one by one, two of a fleet's
-// ports would sooner or later be the same.
+// nextPort counts up from a random start. Ports that are each drawn at random would
+// eventually collide within a fleet.
 var nextPort = func() *atomic.Uint32 {
 	var n atomic.Uint32
 	n.Store(rand.Uint32N(portCount))
 	return &n
 }()
 
-// freeAddress finds a free loopback address and lets go of it again.
+// freeAddress returns a loopback address that was free when it was tried.
 func freeAddress() (string, error) {
 	var last error
 	for range portCount {
@@ -233,7 +232,7 @@
 	c.Env = append(os.Environ(), "GOMAXPROCS=2")
 	c.Stderr = log
 	if err := c.Start(); err != nil {
-		return fmt.Errorf("start %s: %w", g.Name, err)
+		return fmt.Errorf("start gateway %s: %w", g.Name, err)
 	}
 	g.process, g.exited, g.version = c, make(chan struct{}), 0
 	exited := g.exited
@@ -258,8 +257,8 @@
 	}
 }
 
-// stopGateway asks a gateway to shut down and records the span, unless it was killed
-// meanwhile, as nothing is promised then.
+// stopGateway shuts a gateway down and records the period, unless the process was killed
+// meanwhile, since then its open requests may be cut off.
 func (f *fleet) stopGateway(g *gateway) {
 	g.mu.Lock()
 	exited := g.exited
@@ -284,7 +283,7 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answered %d", path, res.StatusCode)
+		return fmt.Errorf("GET %s of gateway %s: status %d", path, g.Name, res.StatusCode)
 	}
 	if v == nil {
 		return nil
@@ -301,15 +300,15 @@
 	} `json:"leader"`
 }
 
-// configVersionKey is the configuration among the versions of a status.
+// configVersionKey is the key of the configuration in status.Versions.
 const configVersionKey = "$config"
 
-// configure submits the first configuration and waits until every key is served.
+// configure submits the first configuration and waits until every shard has an owner.
 func (f *fleet) configure(ctx context.Context) error {
 	if err := f.submit(ctx, 0, f.deployment.InitialConfig(), "first"); err != nil {
 		return err
 	}
-	return f.await(ctx, "every gateway has every assignment", func() bool {
+	return f.await(ctx, "all assignments on every gateway and an owner for every shard", func() bool {
 		for _, g := range f.gateways {
 			var s status
 			if g.get("/v1/status", &s) != nil || len(s.Versions) < len(f.deployment.Services)+1 {
@@ -320,7 +319,7 @@
 	})
 }
 
-// allShardsOwned tells whether every part of every divided service has an owner.
+// allShardsOwned reports whether every shard of every sharded service has an owner.
 func (f *fleet) allShardsOwned() bool {
 	for _, s := range f.deployment.Services {
 		var a struct {
@@ -343,7 +342,7 @@
 	return true
 }
 
-// awaitTimeout bounds each wait of the beginning.
+// awaitTimeout bounds each call of await.
 const awaitTimeout = 30 * time.Second
 
 func (f *fleet) await(ctx context.Context, what string, done func() bool) error {
@@ -352,14 +351,14 @@
 	for !done() {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("not reached: %s; the gateways' logs are in %s", what, f.logDir)
+			return fmt.Errorf("wait for %s: not reached; gateway logs are in %s", what, f.logDir)
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
-// submit proposes a configuration through any gateway that answers.
+// submit submits a configuration to one gateway after another until one accepts it.
 func (f *fleet) submit(ctx context.Context, basedOn uint64, doc *config.Document, id string) error {
 	content, err := json.Marshal(doc)
 	if err != nil {
@@ -374,8 +373,8 @@
 		}
 		return false
 	}
-	if err := f.await(ctx, "configuration accepted", accepted); err != nil {
-		return fmt.Errorf("%w: %w", err, last)
+	if err := f.await(ctx, "a gateway that accepts the configuration", accepted); err != nil {
+		return fmt.Errorf("submit configuration %q: %w: %w", id, err, last)
 	}
 	return nil
 }
@@ -388,12 +387,12 @@
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(res.Body)
-		return fmt.Errorf("%s answered %d: %s", path, res.StatusCode, strings.TrimSpace(string(text)))
+		return fmt.Errorf("POST %s to gateway %s: status %d: %s", path, g.Name, res.StatusCode, strings.TrimSpace(string(text)))
 	}
 	return nil
 }
 
-// close ends everything that was started.
+// close kills the gateways and stops all servers and proxies.
 func (f *fleet) close() {
 	for _, g := range f.gateways {
 		g.signal(syscall.SIGCONT)
--- a/standin/demo/report.go
+++ b/standin/demo/report.go
@@ -15,30 +15,30 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is the outcome of a run.
+// Report holds the results of a run.
 type Report struct {
-	Deployment string              `json:"deployment"`
-	Seconds    int                 `json:"seconds"`
-	Requests   Requests            `json:"requests"`
-	Violations judge.Violations    `json:"violations"`
-	LatencyMs  map[string]Latency  `json:"latencyMs"`
-	Causes     map[string]int      `json:"causes"`
-	Faults     []*FaultResult      `json:"faults"`
-	Imbalance  map[string]float64  `json:"imbalanceMaxOverMean"`
-	MovedShare      map[string]float64  `json:"movedShare"`
-	LeastMovedShare map[string]float64  `json:"leastMovedShare"`
-	Control    map[string]*ControlUsage `json:"control"`
-	Platform   PlatformLoad            `json:"platform"`
-	Unmet      []string            `json:"unmet"`
-	// Linearizable is yes, no, or unknown if the check took too long.
+	Deployment      string                   `json:"deployment"`
+	Seconds         int                      `json:"seconds"`
+	Requests        Requests                 `json:"requests"`
+	Violations      judge.Violations         `json:"violations"`
+	LatencyMs       map[string]Latency       `json:"latencyMs"`
+	Causes          map[string]int           `json:"causes"`
+	Faults          []*FaultResult           `json:"faults"`
+	Imbalance       map[string]float64       `json:"imbalanceMaxOverMean"`
+	MovedShare      map[string]float64       `json:"movedShare"`
+	LeastMovedShare map[string]float64       `json:"leastMovedShare"`
+	Control         map[string]*ControlUsage `json:"control"`
+	Platform        PlatformLoad             `json:"platform"`
+	Unmet           []string                 `json:"unmet"`
+	// Linearizable is "yes", "no", or "unknown" if the check timed out.
 	Linearizable string `json:"linearizable"`
-	// EndAnsweredPercent is the share of the last requests that were answered.
+	// EndAnsweredPercent is the percentage of requests within endWindow that were answered.
 	EndAnsweredPercent float64 `json:"endAnsweredPercent"`
-	// Logs is the folder with the gateways' lines.
+	// Logs is the folder with the gateways' logs.
 	Logs string `json:"logs"`
 }
 
-// Requests counts them by outcome.
+// Requests counts the requests of the load by outcome.
 type Requests struct {
 	Sent             int `json:"sent"`
 	Answered         int `json:"answered"`
@@ -46,14 +46,14 @@
 	Unknown          int `json:"unknown"`
 }
 
-// Latency is counted from the intended time of sending.
+// Latency holds percentiles in milliseconds, counted from the intended time of sending.
 type Latency struct {
 	P50  float64 `json:"p50"`
 	P99  float64 `json:"p99"`
 	P999 float64 `json:"p999"`
 }
 
-// ControlUsage is what a gateway used; CPU and memory include the requests' own.
+// ControlUsage is what a gateway used; CPU and memory include those for requests.
 type ControlUsage struct {
 	CPUShare          float64 `json:"cpuShare"`
 	RSSMB             float64 `json:"rssMB"`
@@ -61,13 +61,13 @@
 	MessagesPerSecond float64 `json:"messagesPerSecond"`
 }
 
-// PlatformLoad is the load on the table service.
+// PlatformLoad is the rate of calls to the table service.
 type PlatformLoad struct {
 	ReadsPerSecond  float64 `json:"readsPerSecond"`
 	WritesPerSecond float64 `json:"writesPerSecond"`
 }
 
-// usage is a reading of all counters.
+// usage holds the values of all counters at one time.
 type usage struct {
 	at       time.Time
 	reads    uint64
@@ -76,9 +76,9 @@
 }
 
 type gatewayUsage struct {
-	cpu   time.Duration
-	rss   int64
-	bytes int64
+	cpu    time.Duration
+	rss    int64
+	bytes  int64
 	chunks int64
 }
 
@@ -87,26 +87,26 @@
 	u.reads, u.writes = f.store.Table.Counts()
 	for _, g := range f.gateways {
 		g.mu.Lock()
-		one := gatewayUsage{bytes: g.egress.ControlBytes.Load() + f.network.ControlBytes(g.controlAddress), chunks: g.egress.ControlChunks.Load()}
+		gw := gatewayUsage{bytes: g.egress.ControlBytes.Load() + f.network.ControlBytes(g.controlAddress), chunks: g.egress.ControlChunks.Load()}
 		if g.process != nil {
-			one.cpu, one.rss = processUsage(g.process.Process.Pid)
+			gw.cpu, gw.rss = processUsage(g.process.Process.Pid)
 		}
 		g.mu.Unlock()
-		u.gateways[g.Name] = one
+		u.gateways[g.Name] = gw
 	}
 	return u
 }
 
-// clockTick is the unit of processor time in /proc.
+// clockTick is the unit of CPU time in /proc.
 const clockTick = 10 * time.Millisecond
 
-// processUsage reads processor time and resident memory from /proc.
+// processUsage reads the CPU time and resident memory of a process from /proc.
 func processUsage(pid int) (cpu time.Duration, rss int64) {
 	content, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
 		return 0, 0
 	}
-	// The name in parentheses may hold spaces; fields are counted after it.
+	// The process name in parentheses may contain spaces; fields are counted after it.
 	fields := strings.Fields(string(content[strings.LastIndexByte(string(content), ')')+1:]))
 	const user, system, resident = 11, 12, 21
 	u, _ := strconv.ParseInt(fields[user], 10, 64)
@@ -117,9 +117,9 @@
 
 func (u usage) since(before usage) usage {
 	out := usage{at: before.at, reads: u.reads - before.reads, writes: u.writes - before.writes, gateways: map[string]gatewayUsage{}}
-	for name, now := range u.gateways {
-		then := before.gateways[name]
-		out.gateways[name] = gatewayUsage{cpu: max(0, now.cpu-then.cpu), rss: now.rss, bytes: now.bytes - then.bytes, chunks: now.chunks - then.chunks}
+	for name, g := range u.gateways {
+		prev := before.gateways[name]
+		out.gateways[name] = gatewayUsage{cpu: max(0, g.cpu-prev.cpu), rss: g.rss, bytes: g.bytes - prev.bytes, chunks: g.chunks - prev.chunks}
 	}
 	return out
 }
@@ -161,9 +161,9 @@
 }
 
 func linearizable(h *judge.History) string {
-	yes, complete := h.Linearizable()
+	ok, complete := h.Linearizable()
 	switch {
-	case !yes:
+	case !ok:
 		return "no"
 	case !complete:
 		return "unknown"
@@ -172,7 +172,7 @@
 	}
 }
 
-// faultWindow is how long after a fault refusals are put down to it.
+// faultWindow is how long after the start of a fault unanswered requests are attributed to it.
 const faultWindow = 3 * time.Second
 
 func unansweredAfter(calls []judge.Call, at time.Time) int {
@@ -185,7 +185,7 @@
 	return n
 }
 
-// endWindow is the last part of a run, when all faults are mended.
+// endWindow is the last part of a run, after all faults are reverted.
 const endWindow = 1500 * time.Millisecond
 
 func endAnsweredPercent(calls []judge.Call, end time.Time) float64 {
@@ -202,27 +202,27 @@
 	return 100 * float64(answered) / float64(max(1, sent))
 }
 
-// leastMovedShare is what a planner with perfect knowledge would have moved: the
-// share of each target that was lost or drained, once.
+// leastMovedShare returns the share of keys that a planner with perfect knowledge would have
+// moved: that of each target that was lost or drained, once.
 func (f *fleet) leastMovedShare(s *scenario.Scenario) float64 {
-	divided := map[string]string{}
+	zones := map[string]string{}
 	total := 0
 	for _, i := range f.deployment.TargetInstances() {
 		if i.Service.Sharded {
-			divided[i.Name] = i.Zone.Name
+			zones[i.Name] = i.Zone.Name
 			total++
 		}
 	}
-	gone := map[string]bool{}
+	lost := map[string]bool{}
 	for _, fault := range s.Faults {
-		for name, zone := range divided {
+		for name, zone := range zones {
 			onTarget := slices.Contains([]string{"killTarget", "freezeTarget", "drainTarget"}, fault.Do) && fault.On == name
 			if onTarget || fault.Do == "cutZone" && fault.On == zone {
-				gone[name] = true
+				lost[name] = true
 			}
 		}
 	}
-	return float64(len(gone)) / float64(total)
+	return float64(len(lost)) / float64(total)
 }
 
 func (r *Report) countCalls(calls []judge.Call) {
@@ -257,7 +257,7 @@
 	}
 }
 
-// checkExpectations notes every expectation that does not hold.
+// checkExpectations adds each unmet expectation to Unmet.
 func (r *Report) checkExpectations(e scenario.Expect) {
 	unmet := func(format string, args ...any) { r.Unmet = append(r.Unmet, fmt.Sprintf(format, args...)) }
 	if n := r.Violations.Total(); n > 0 && (e.Violations == nil || n > *e.Violations) {
@@ -287,14 +287,14 @@
 	}
 }
 
-// WriteJSON writes the report.
+// WriteJSON writes the report as indented JSON.
 func (r *Report) WriteJSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(r)
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report as text.
 func (r *Report) WriteText(w io.Writer) {
 	fmt.Fprintf(w, "\nrequests: %d sent, %d answered, %d refused and did not run, %d unknown\n",
 		r.Requests.Sent, r.Requests.Answered, r.Requests.RefusedDidNotRun, r.Requests.Unknown)
--- a/standin/experiment.go
+++ b/standin/experiment.go
@@ -10,12 +10,12 @@
 	"github.com/spf13/cobra"
 )
 
-const usageExperiment = `Play loads against the product's decisions about slots, in virtual time.
+const usageExperiment = `Simulate loads with the product's scheduler of slots, in virtual time.
 
-Each load is a file; standin/experiment/loads has some. For each of its levels the
-table shows what became of each kind of request by the product's schedule, by a queue
-that knows all work and all that is to come (bound), and without any decision
-(arrivalOrder). --plot writes a picture for each load.
+Each load is a file; standin/experiment/loads has examples. For each level of a load, the
+table shows the results of each kind of request with the product's scheduler, with a queue
+that knows all future requests and their work (bound), and without a scheduler
+(arrivalOrder). --plot writes an SVG file for each load.
 
 Examples:
   go run ./standin experiment standin/experiment/loads/mixed-divided.json
@@ -25,11 +25,11 @@
 	var seed uint64
 	var plots string
 	c := &cobra.Command{
-		Use: "experiment LOAD...", Short: "Play loads against the decisions about slots",
+		Use: "experiment LOAD...", Short: "Simulate loads with the scheduler of slots",
 		Long: usageExperiment, Args: cobra.MinimumNArgs(1),
 	}
-	c.Flags().Uint64Var(&seed, "seed", 1, "what is drawn by chance")
-	c.Flags().StringVar(&plots, "plot", "", "folder for a picture of each load")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the random load")
+	c.Flags().StringVar(&plots, "plot", "", "folder for an SVG file of each load")
 	c.RunE = func(c *cobra.Command, files []string) error {
 		for _, file := range files {
 			if err := runExperiment(c, file, seed, plots); err != nil {
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,5 +1,5 @@
-// Command basilcross-standin runs small stand-ins for the users' platform,
-// targets and callers, with real gateways between them.
+// Command basilcross-standin tests real gateways with small stand-ins for the users'
+// platform, targets and callers.
 package main
 
 import (
@@ -16,14 +16,14 @@
 	"github.com/spf13/cobra"
 )
 
-const usageDemo = `Run a whole deployment on this machine with load and faults, and judge it.
+const usageDemo = `Run a whole deployment on this machine with load and faults, and check the results.
 
 Examples:
   go run ./standin demo
   go run ./standin demo --deployment swanfold --seconds 60
   go run ./standin demo --scenario scenarios/zone-loss.json --report report.json`
 
-// errExpectationsUnmet makes the exit status tell that an expectation does not hold.
+// errExpectationsUnmet makes the command exit with status 1 if an expectation does not hold.
 var errExpectationsUnmet = errors.New("an expectation does not hold")
 
 func main() {
@@ -46,9 +46,9 @@
 	var seconds int
 	c := &cobra.Command{Use: "demo", Short: "Run a deployment with load and faults", Long: usageDemo, Args: cobra.NoArgs}
 	c.Flags().StringVar(&name, "deployment", "tortenprobe", "tortenprobe or swanfold")
-	c.Flags().StringVar(&file, "scenario", "", "scenario file; empty: one fault of each common sort")
-	c.Flags().StringVar(&reportFile, "report", "", "file for the report as JSON")
-	c.Flags().IntVar(&seconds, "seconds", 30, "length of the run without a scenario file")
+	c.Flags().StringVar(&file, "scenario", "", "scenario file; if empty, one fault of each common type")
+	c.Flags().StringVar(&reportFile, "report", "", "file to write the report to, as JSON")
+	c.Flags().IntVar(&seconds, "seconds", 30, "duration of the run without a scenario file, in seconds")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		s, err := loadScenario(name, file, seconds)
 		if err != nil {
--- a/standin/soak.go
+++ b/standin/soak.go
@@ -16,28 +16,28 @@
 	"github.com/spf13/cobra"
 )
 
-const usageSoak = `Run a deployment under faults that are drawn from seeds, one run a seed, and judge each.
+const usageSoak = `Run a deployment with random faults, one run per seed, and check the results of each.
 
-A run fails if the judge finds anything that must never happen, or if requests are not
-served in the end. Its scenario, report and the gateways' logs are kept.
+A run fails if it finds a violation, or if too few requests are answered at its end. Its
+scenario, report and the gateways' logs are kept.
 
 Examples:
   go run ./standin soak --seeds 1-50 --seconds 20
   go run ./standin demo --scenario FOLDER/scenario.json`
 
-// seedRange is the flag --seeds.
+// seedRange is the value of the flag --seeds: the seeds from first to last.
 type seedRange struct{ first, last uint64 }
 
-// String returns the flag's text.
+// String returns the range as N-M.
 func (r *seedRange) String() string { return fmt.Sprintf("%d-%d", r.first, r.last) }
 
-// Type names the flag's values.
+// Type returns the name of the type for the help text.
 func (*seedRange) Type() string { return "seeds" }
 
-// Set reads N or N-M.
+// Set parses N or N-M.
 func (r *seedRange) Set(text string) error {
-	first, last, two := strings.Cut(text, "-")
-	if !two {
+	first, last, isRange := strings.Cut(text, "-")
+	if !isRange {
 		last = first
 	}
 	var err error
@@ -48,7 +48,7 @@
 		return fmt.Errorf("want N or N-M: %w", err)
 	}
 	if r.last < r.first {
-		return fmt.Errorf("want N or N-M with N up to M")
+		return fmt.Errorf("want N or N-M with N <= M, got %q", text)
 	}
 	return nil
 }
@@ -57,10 +57,10 @@
 	seeds := seedRange{1, 10}
 	var name string
 	var seconds int
-	c := &cobra.Command{Use: "soak", Short: "Run a deployment under random faults", Long: usageSoak, Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "soak", Short: "Run a deployment with random faults", Long: usageSoak, Args: cobra.NoArgs}
 	c.Flags().Var(&seeds, "seeds", "seeds to run, N or N-M")
 	c.Flags().StringVar(&name, "deployment", "tortenprobe", "tortenprobe or swanfold")
-	c.Flags().IntVar(&seconds, "seconds", 20, "length of a run")
+	c.Flags().IntVar(&seconds, "seconds", 20, "duration of a run, in seconds")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		d, err := deployment.Find(name)
 		if err != nil {
@@ -84,8 +84,8 @@
 	return c
 }
 
-// runSeed runs one seed and tells whether all expectations hold. The folder of a run
-// that met them is removed.
+// runSeed runs the scenario of one seed and reports whether all expectations were met; if so,
+// it removes the folder of the run.
 func runSeed(ctx context.Context, d deployment.Deployment, seed uint64, seconds int, out io.Writer) (met bool, err error) {
 	s := scenario.Random(d, seed, seconds)
 	if err := s.Validate(); err != nil {
