--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -160,7 +160,7 @@
 	return freeAt.Add(n.Deployment.RegionDelay)
 }
 
-// Egress is one gateway's connection to the network, and its counters.
+// Egress holds the zone and the counters of one gateway's egress proxy.
 type Egress struct {
 	Zone deployment.Zone
 	// ControlBytes counts bytes from and to the platform and other gateways, and those of grants.
