--- a/standin/soak.go
+++ b/standin/soak.go
@@ -48,7 +48,7 @@
 		return fmt.Errorf("want N or N-M: %w", err)
 	}
 	if r.last < r.first {
-		return fmt.Errorf("want N or N-M with N <= M, got %q", text)
+		return fmt.Errorf("want N or N-M with N <= M")
 	}
 	return nil
 }
