--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -159,7 +159,7 @@
 func (d Deployment) InitialConfig() *config.Document {
 	doc := &config.Document{Author: "demo", Reason: "first configuration of " + d.Name}
 	for _, s := range d.Services {
-		doc.Services = append(doc.Services, config.Service{Name: s.Name, Divided: s.Sharded, Shards: s.Shards})
+		doc.Services = append(doc.Services, config.Service{Name: s.Name, Sharded: s.Sharded, Shards: s.Shards})
 	}
 	for _, k := range d.Kinds {
 		doc.Kinds = append(doc.Kinds, config.Kind{
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -86,7 +86,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	guard := &grant.Guard{Incarnation: rand.Text()}
-	guard.Held = func(g grant.Grant, from, until time.Time) {
+	guard.OnHeld = func(g grant.Grant, from, until time.Time) {
 		if !t.Fenced {
 			return
 		}
@@ -191,7 +191,7 @@
 	_ = json.NewEncoder(w).Encode(guard.Apply(time.Now(), o))
 }
 
-func refuse(w http.ResponseWriter, reason grant.Refused) {
+func refuse(w http.ResponseWriter, reason grant.RefusalReason) {
 	w.Header().Set(grant.RefusedHeader, string(reason))
 	w.WriteHeader(http.StatusConflict)
 }
@@ -242,7 +242,7 @@
 
 func (j *work) enter(w http.ResponseWriter, r *http.Request, guard *grant.Guard) bool {
 	j.run.Epoch, _ = strconv.ParseUint(r.Header.Get(grant.EpochHeader), 10, 64)
-	admission, err := guard.Enter(time.Now(), j.run.Hash, j.run.Epoch)
+	admission, err := guard.Admit(time.Now(), j.run.Hash, j.run.Epoch)
 	var refused *grant.RefusedError
 	if errors.As(err, &refused) {
 		refuse(w, refused.Reason)
