--- a/basilcross/ownership/address_test.go
+++ b/basilcross/ownership/address_test.go
@@ -9,44 +9,44 @@
 	"gotest.tools/v3/assert"
 )
 
-// spot plays a manager by hand: orders to t0 end as told, all others are carried
+// scriptedManager plays a manager by hand: orders to t0 end as told, all others are carried
 // out at once.
-type spot struct {
+type scriptedManager struct {
 	manager *ownership.Manager
 	now     time.Time
-	list    []*roster.Target
+	targets []*roster.Target
 	// answer ends a grant to t0's address.
 	answer func(g *ownership.Grant) ownership.Outcome
 	orders []ownership.Order
-	// hold keeps writes unanswered.
-	hold    bool
-	written *ownership.Assignment
-	channel uint64
-	// heard is when t0 answered last.
-	heard time.Time
+	// holdWrites keeps writes unanswered.
+	holdWrites bool
+	written    *ownership.Assignment
+	channel    uint64
+	// lastAnswered is when t0 answered last.
+	lastAnswered time.Time
 }
 
-func newSpot(recorded *ownership.Assignment) *spot {
-	s := &spot{now: time.Unix(1000, 0), list: targets(2)}
-	s.manager = manager(s.now, 1, recorded)
+func newScriptedManager(recorded *ownership.Assignment) *scriptedManager {
+	s := &scriptedManager{now: time.Unix(1000, 0), targets: newTargets(2)}
+	s.manager = newManager(s.now, 1, recorded)
 	s.manager.Jitter = func(time.Duration) time.Duration { return 0 }
 	return s
 }
 
-// play goes on for a while, in steps of 40 ms.
-func (s *spot) play(d time.Duration) {
+// run goes on for a while, in steps of 40 ms.
+func (s *scriptedManager) run(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(40 * time.Millisecond) {
-		for _, o := range s.manager.Step(s.now, s.list) {
+		for _, o := range s.manager.Step(s.now, s.targets) {
 			s.orders = append(s.orders, o)
-			s.carryOut(o)
+			s.execute(o)
 		}
 	}
 }
 
-func (s *spot) carryOut(o ownership.Order) {
+func (s *scriptedManager) execute(o ownership.Order) {
 	switch o := o.(type) {
 	case *ownership.Record:
-		if !s.hold {
+		if !s.holdWrites {
 			s.written = o.Assignment
 			s.manager.Recorded(s.now, true)
 		}
@@ -60,7 +60,7 @@
 			o.Channel = s.channel
 		}
 		if out == ownership.Done && o.Address == "t0:1" {
-			s.heard = s.now
+			s.lastAnswered = s.now
 		}
 		s.manager.Granted(s.now, s.now, o, out)
 	case *ownership.Release:
@@ -68,20 +68,20 @@
 	}
 }
 
-// newcomer lists a younger target at t0's address, and t0 no more.
-func (s *spot) newcomer(service string) *roster.Target {
+// replaceT0 lists a younger target at t0's address, and t0 no more.
+func (s *scriptedManager) replaceT0(service string) *roster.Target {
 	next := &roster.Target{ID: "next", Started: 2, Address: "t0:1", Slots: 3, FirstSeen: s.now}
-	s.list = s.list[1:]
+	s.targets = s.targets[1:]
 	if service != "" {
-		s.manager.Gone(roster.Incarnation{ID: "t0", Started: 1}, true)
+		s.manager.OwnerReplaced(roster.Incarnation{ID: "t0", Started: 1}, true)
 		return nil
 	}
-	s.list = append(s.list, next)
+	s.targets = append(s.targets, next)
 	return next
 }
 
-// othersGot tells whether t1 was granted any of the keys that it did not have.
-func (s *spot) othersGot(since int) bool {
+// t1GotT0Keys tells whether t1 was granted any of the keys that it did not have.
+func (s *scriptedManager) t1GotT0Keys(since int) bool {
 	for _, g := range grantsTo(s.orders[since:], "t1") {
 		if g.First < 32768 {
 			return true
@@ -93,8 +93,8 @@
 // The channel of an epoch is closed, and a new one reaches whoever lives at the
 // address now. It must not see the same epoch.
 func TestEpochBelongsToItsChannel(t *testing.T) {
-	s := newSpot(nil)
-	s.play(2 * time.Second)
+	s := newScriptedManager(nil)
+	s.run(2 * time.Second)
 	had := grantsTo(s.orders, "t0")
 	sent := map[int64]uint64{}
 	lost := false
@@ -105,7 +105,7 @@
 		}
 		return ownership.Done
 	}
-	s.play(2 * time.Second)
+	s.run(2 * time.Second)
 	assert.Assert(t, lost)
 	all := grantsTo(s.orders, "t0")
 	assert.Assert(t, len(all) > len(had))
@@ -117,8 +117,8 @@
 
 // A connection is refused, so nothing was sent, and the epoch may go out on the
 // next one; but from then on on that one only.
-func TestRefusedConnectionLeavesTheEpochUnsent(t *testing.T) {
-	s := newSpot(nil)
+func TestEpochMayBeSentAfterRefusedConnection(t *testing.T) {
+	s := newScriptedManager(nil)
 	refused := 0
 	s.answer = func(*ownership.Grant) ownership.Outcome {
 		if refused++; refused < 4 {
@@ -126,7 +126,7 @@
 		}
 		return ownership.Done
 	}
-	s.play(2 * time.Second)
+	s.run(2 * time.Second)
 	all := grantsTo(s.orders, "t0")
 	assert.Equal(t, all[0].Epoch, all[3].Epoch)
 	assert.Assert(t, all[4].Channel != 0)
@@ -134,33 +134,33 @@
 
 // Another target comes to the address. The keys stay there, under its name and
 // a new epoch: it may have taken orders that were meant for the one before.
-func TestNewcomerInheritsTheKeysAtItsAddress(t *testing.T) {
-	s := newSpot(nil)
-	s.play(2 * time.Second)
+func TestYoungerTargetInheritsTheKeysAtItsAddress(t *testing.T) {
+	s := newScriptedManager(nil)
+	s.run(2 * time.Second)
 	last := grantsTo(s.orders, "t0")[0]
-	s.newcomer("")
+	s.replaceT0("")
 	since := len(s.orders)
-	s.play(200 * time.Millisecond)
+	s.run(200 * time.Millisecond)
 	got := grantsTo(s.orders[since:], "next")
 	assert.Assert(t, len(got) > 0)
 	assert.Assert(t, got[0].Epoch > last.Epoch)
 	assert.Equal(t, got[0].Channel, uint64(0)+s.channel, "on a channel of its own")
 	assert.Equal(t, s.written.Find(0).Owner, "next")
-	assert.Assert(t, !s.othersGot(since))
+	assert.Assert(t, !s.t1GotT0Keys(since))
 }
 
 // An order meant for the one before reached the newcomer and was left without an
 // answer: it may be applied late. The newcomer leaves at once. Its release is
 // worth nothing before a higher epoch has shut that order out.
-func TestStrayOrderIsShutOutBeforeTheKeysGoOn(t *testing.T) {
-	s := newSpot(nil)
-	s.play(2 * time.Second)
+func TestMisdirectedGrantIsFencedBeforeRelease(t *testing.T) {
+	s := newScriptedManager(nil)
+	s.run(2 * time.Second)
 	s.answer = func(*ownership.Grant) ownership.Outcome { return ownership.Unknown }
-	s.play(900 * time.Millisecond)
+	s.run(900 * time.Millisecond)
 	s.answer = nil
-	s.newcomer("").Draining = true
+	s.replaceT0("").Draining = true
 	since := len(s.orders)
-	s.play(400 * time.Millisecond)
+	s.run(400 * time.Millisecond)
 	for _, o := range s.orders[since:] {
 		if g, ok := o.(*ownership.Grant); ok && g.Owner.ID == "next" {
 			break
@@ -169,46 +169,46 @@
 		assert.Assert(t, !released, "released before it was shut out")
 	}
 	assert.Assert(t, len(grantsTo(s.orders[since:], "next")) > 0)
-	assert.Assert(t, s.othersGot(since))
+	assert.Assert(t, s.t1GotT0Keys(since))
 }
 
 // The keys were given up, and the store has the moment at which they are free.
 // A newcomer gets them sooner; but first the store must say so, or a successor
 // gives them to another one at that moment.
-func TestGivenUpKeysAreRecordedBeforeANewcomerGetsThem(t *testing.T) {
-	s := newSpot(nil)
-	s.play(2 * time.Second)
+func TestInheritedKeysAreRecordedBeforeTheirGrant(t *testing.T) {
+	s := newScriptedManager(nil)
+	s.run(2 * time.Second)
 	s.answer = func(*ownership.Grant) ownership.Outcome { return ownership.Unsent }
-	s.hold = true
+	s.holdWrites = true
 	for range 100 {
-		s.play(40 * time.Millisecond)
+		s.run(40 * time.Millisecond)
 		if s.manager.Assignment().Find(0).FreeAt > 0 {
 			break
 		}
 	}
 	assert.Assert(t, s.manager.Assignment().Find(0).FreeAt > 0)
 	s.answer = nil
-	s.newcomer("")
+	s.replaceT0("")
 	since := len(s.orders)
-	s.play(200 * time.Millisecond)
+	s.run(200 * time.Millisecond)
 	assert.Equal(t, len(grantsTo(s.orders[since:], "next")), 0, "a write without it is under way")
 	s.manager.Recorded(s.now, true)
-	s.play(200 * time.Millisecond)
+	s.run(200 * time.Millisecond)
 	assert.Equal(t, len(grantsTo(s.orders[since:], "next")), 0, "the write of it is under way")
 	s.manager.Recorded(s.now, true)
-	s.hold = false
-	s.play(200 * time.Millisecond)
+	s.holdWrites = false
+	s.run(200 * time.Millisecond)
 	assert.Assert(t, len(grantsTo(s.orders[since:], "next")) > 0)
 }
 
 // The target is at another address under its name. What was its address may
 // have another one by now that took its orders, so the keys are asked back there.
-func TestTargetThatMovesIsReleasedWhereItWas(t *testing.T) {
-	s := newSpot(nil)
-	s.play(2 * time.Second)
-	s.list[0] = &roster.Target{ID: "t0", Started: 2, Address: "t0:2", Slots: 3, FirstSeen: s.now}
+func TestTargetThatMovesIsReleasedAtItsFormerAddress(t *testing.T) {
+	s := newScriptedManager(nil)
+	s.run(2 * time.Second)
+	s.targets[0] = &roster.Target{ID: "t0", Started: 2, Address: "t0:2", Slots: 3, FirstSeen: s.now}
 	since := len(s.orders)
-	s.play(400 * time.Millisecond)
+	s.run(400 * time.Millisecond)
 	first, ok := s.orders[since].(*ownership.Release)
 	assert.Assert(t, ok, "%T", s.orders[since])
 	assert.Equal(t, first.Address, "t0:1")
@@ -217,7 +217,7 @@
 // Another service's target has the address. It can have none of the keys if the
 // last one that answered there, for long, was still alive too short a time
 // before every channel was opened. Otherwise the keys wait for the stray order.
-func TestKeysWaitForOrdersThatAnotherServiceMayHave(t *testing.T) {
+func TestKeysWaitForGrantsSentToAnotherService(t *testing.T) {
 	long := 9 * time.Second
 	for _, c := range []struct {
 		name string
@@ -232,13 +232,13 @@
 		{"answers that began lately", time.Second, -1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newSpot(nil)
-			s.play(800*time.Millisecond + c.steady)
+			s := newScriptedManager(nil)
+			s.run(800*time.Millisecond + c.steady)
 			s.answer = func(g *ownership.Grant) ownership.Outcome {
 				if c.opened < 0 || g.Channel != 0 {
 					return ownership.Unsent
 				}
-				g.Opened = s.heard.Add(c.opened)
+				g.ChannelOpened = s.lastAnswered.Add(c.opened)
 				return ownership.Unknown
 			}
 			if c.opened >= 0 {
@@ -253,53 +253,53 @@
 					return opened(g)
 				}
 			}
-			s.play(900 * time.Millisecond)
-			s.newcomer("other")
+			s.run(900 * time.Millisecond)
+			s.replaceT0("other")
 			since := len(s.orders)
-			s.play(400 * time.Millisecond)
-			assert.Equal(t, s.othersGot(since), !c.waits)
-			s.play(5 * time.Second)
-			assert.Assert(t, s.othersGot(since))
+			s.run(400 * time.Millisecond)
+			assert.Equal(t, s.t1GotT0Keys(since), !c.waits)
+			s.run(5 * time.Second)
+			assert.Assert(t, s.t1GotT0Keys(since))
 		})
 	}
 }
 
 // A target was slow and has ended. Another lifetime has its name, and nothing
 // says that it is slow too: it gets its share of the keys.
-func TestSpeedEndsWithTheTarget(t *testing.T) {
+func TestLatencyIsDroppedWithItsTarget(t *testing.T) {
 	now := time.Unix(1000, 0)
-	list := targets(2)
+	list := newTargets(2)
 	for _, target := range list {
 		target.FirstSeen = now
 	}
-	k := manager(now, 1, nil)
-	k.Speed("t0", time.Second)
-	k.Speed("t1", 100*time.Millisecond)
+	k := newManager(now, 1, nil)
+	k.SetLatency("t0", time.Second)
+	k.SetLatency("t1", 100*time.Millisecond)
 	k.Step(now, list[1:])
-	step(k, now.Add(2*time.Second), list)
+	stepUntilIdle(k, now.Add(2*time.Second), list)
 	a := k.Assignment()
 	assert.Equal(t, len(a.Pieces), 2)
-	assert.Assert(t, a.Pieces[0].Last > ownership.Keys/2-1000 && a.Pieces[0].Last < ownership.Keys/2+1000, "%v", a.Pieces)
+	assert.Assert(t, a.Pieces[0].Last > ownership.KeyCount/2-1000 && a.Pieces[0].Last < ownership.KeyCount/2+1000, "%v", a.Pieces)
 }
 
 // The write that gives a newcomer the given-up keys is one that the store never
 // takes. What its address may hold runs out before others get them.
-func TestKeysWaitIfTheRecordIsNeverTaken(t *testing.T) {
-	s := newSpot(nil)
-	s.play(2 * time.Second)
-	held := s.heard.Add(holds.Usual * 102 / 100)
+func TestKeysWaitIfTheWriteFails(t *testing.T) {
+	s := newScriptedManager(nil)
+	s.run(2 * time.Second)
+	held := s.lastAnswered.Add(holds.Normal * 102 / 100)
 	s.answer = func(*ownership.Grant) ownership.Outcome { return ownership.Unsent }
-	s.play(2200 * time.Millisecond)
+	s.run(2200 * time.Millisecond)
 	assert.Assert(t, s.written.Find(0).FreeAt > 0)
-	s.newcomer("")
-	s.hold = true
-	s.play(80 * time.Millisecond)
+	s.replaceT0("")
+	s.holdWrites = true
+	s.run(80 * time.Millisecond)
 	since := len(s.orders)
 	s.manager.Recorded(s.now, false)
-	s.hold = false
+	s.holdWrites = false
 	for s.now.Before(held) {
-		s.play(40 * time.Millisecond)
-		assert.Assert(t, !s.othersGot(since))
+		s.run(40 * time.Millisecond)
+		assert.Assert(t, !s.t1GotT0Keys(since))
 		assert.Equal(t, len(grantsTo(s.orders[since:], "next")), 0)
 	}
 }
@@ -307,40 +307,40 @@
 // A release of stray keys reaches the newcomer and gets no answer. A second one,
 // later, is answered at once though the work has not ended: it proves nothing,
 // also after the newcomer got the keys under its own name.
-func TestLostReleaseCountsForTheNewcomer(t *testing.T) {
-	s := newSpot(nil)
-	s.play(2 * time.Second)
-	s.list = s.list[1:]
-	for _, o := range s.manager.Step(s.now, s.list) {
+func TestUnansweredReleaseCountsForTheInheritor(t *testing.T) {
+	s := newScriptedManager(nil)
+	s.run(2 * time.Second)
+	s.targets = s.targets[1:]
+	for _, o := range s.manager.Step(s.now, s.targets) {
 		if r, ok := o.(*ownership.Release); ok && r.Address == "t0:1" {
 			s.manager.Released(s.now, r, "", ownership.Unknown)
 			continue
 		}
-		s.carryOut(o)
+		s.execute(o)
 	}
 	next := &roster.Target{ID: "next", Started: 2, Address: "t0:1", Slots: 3, FirstSeen: s.now}
-	s.list = append(s.list, next)
-	s.play(300 * time.Millisecond)
+	s.targets = append(s.targets, next)
+	s.run(300 * time.Millisecond)
 	assert.Assert(t, len(grantsTo(s.orders, "next")) > 0)
 	next.Draining = true
 	since := len(s.orders)
-	s.play(300 * time.Millisecond)
-	assert.Assert(t, !s.othersGot(since))
-	s.play(holds.Usual * 11 / 10)
-	assert.Assert(t, s.othersGot(since))
+	s.run(300 * time.Millisecond)
+	assert.Assert(t, !s.t1GotT0Keys(since))
+	s.run(holds.Normal * 11 / 10)
+	assert.Assert(t, s.t1GotT0Keys(since))
 }
 
 // Two divided services may have the same address one after the other. Their
 // epochs are numbered together, so a target that took an order of the other
 // service's, too, never has the epoch of another one.
-func TestServicesShareTheirEpochs(t *testing.T) {
+func TestServicesShareEpochNumbers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	epochs := &ownership.Epochs{Term: 1}
 	seen := map[int64]bool{}
 	for _, service := range []string{"lists", "others"} {
 		k := &ownership.Manager{Service: service, Term: 1, Epochs: epochs, Holds: holds}
-		k.Take(now, nil, holds.Long, storeTime(now))
-		for _, o := range step(k, now, targets(3)) {
+		k.BeginTerm(now, nil, holds.Long, storeTime(now))
+		for _, o := range stepUntilIdle(k, now, newTargets(3)) {
 			if g, ok := o.(*ownership.Grant); ok {
 				assert.Assert(t, !seen[g.Epoch], "epoch %d of both services", g.Epoch)
 				seen[g.Epoch] = true
--- a/basilcross/ownership/assignment.go
+++ b/basilcross/ownership/assignment.go
@@ -12,8 +12,8 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// Keys is the number of keys; they are 0 to Keys-1.
-const Keys = 1 << 16
+// KeyCount is the number of keys; they are 0 to Keys-1.
+const KeyCount = 1 << 16
 
 // Piece is a contiguous range of keys with one owner. Both ends belong to it.
 type Piece struct {
@@ -22,7 +22,7 @@
 	First   int    `json:"first"`
 	Last    int    `json:"last"`
 	Owner   string `json:"owner,omitempty"`
-	Born    int64  `json:"born,omitempty"`
+	Started int64  `json:"born,omitempty"`
 	Address string `json:"address,omitempty"`
 	// FreeAt is set once the owner is given up without proof: the moment on
 	// the store's clock, in milliseconds, at which it holds nothing any more.
@@ -30,8 +30,10 @@
 	FreeAt int64 `json:"freeAt,omitempty"`
 }
 
-// Life names the owner's lifetime.
-func (p *Piece) Life() roster.Incarnation { return roster.Incarnation{ID: p.Owner, Started: p.Born} }
+// Incarnation names the owner's lifetime.
+func (p *Piece) Incarnation() roster.Incarnation {
+	return roster.Incarnation{ID: p.Owner, Started: p.Started}
+}
 
 // Assignment is what is recorded of a service: sorted pieces that cover all
 // keys. It is written before a key is granted, so that whoever coordinates
@@ -64,7 +66,7 @@
 		}
 		next = p.Last + 1
 	}
-	if next != Keys {
+	if next != KeyCount {
 		return nil, fmt.Errorf("parse assignment: %w", &GapError{Key: next})
 	}
 	return a, nil
@@ -79,8 +81,8 @@
 	return &a.Pieces[i]
 }
 
-// Differences returns the pieces of next that a does not have in the same way.
-func (a *Assignment) Differences(next *Assignment) []Piece {
+// Diff returns the pieces of next that a does not have in the same way.
+func (a *Assignment) Diff(next *Assignment) []Piece {
 	same := make(map[Piece]bool, len(a.Pieces))
 	for _, p := range a.Pieces {
 		same[p] = true
@@ -94,8 +96,8 @@
 	return changed
 }
 
-// Moved returns the ranges of keys that have another owner in next.
-func (a *Assignment) Moved(next *Assignment) []Piece {
+// OwnerChanges returns the ranges of keys that have another owner in next.
+func (a *Assignment) OwnerChanges(next *Assignment) []Piece {
 	var moved []Piece
 	for i, j := 0, 0; i < len(a.Pieces) && j < len(next.Pieces); {
 		old, p := a.Pieces[i], next.Pieces[j]
@@ -121,17 +123,17 @@
 	first := 0
 	rest := a.Pieces
 	for _, p := range over {
-		rest = next.copyUntil(rest, first, p.First-1)
+		rest = next.appendRange(rest, first, p.First-1)
 		next.Pieces = append(next.Pieces, p)
 		first = p.Last + 1
 	}
-	next.copyUntil(rest, first, Keys-1)
+	next.appendRange(rest, first, KeyCount-1)
 	return next
 }
 
-// copyUntil appends what others' pieces say of the keys from first to last. It
+// appendRange appends what others' pieces say of the keys from first to last. It
 // returns the pieces that may say something of the keys after these.
-func (a *Assignment) copyUntil(others []Piece, first, last int) (rest []Piece) {
+func (a *Assignment) appendRange(others []Piece, first, last int) (rest []Piece) {
 	for len(others) > 0 {
 		p := others[0]
 		p.First, p.Last = max(p.First, first), min(p.Last, last)
--- a/basilcross/ownership/assignment_test.go
+++ b/basilcross/ownership/assignment_test.go
@@ -13,8 +13,8 @@
 // randomAssignment cuts the keys into pieces of random owners.
 func randomAssignment(random *rand.Rand, pieces int) *ownership.Assignment {
 	a := &ownership.Assignment{Service: "s"}
-	for first := 0; first < ownership.Keys; {
-		last := min(ownership.Keys-1, first+random.IntN(2*ownership.Keys/pieces))
+	for first := 0; first < ownership.KeyCount; {
+		last := min(ownership.KeyCount-1, first+random.IntN(2*ownership.KeyCount/pieces))
 		a.Pieces = append(a.Pieces, ownership.Piece{First: first, Last: last, Owner: fmt.Sprintf("t%d", random.IntN(pieces))})
 		first = last + 1
 	}
@@ -23,11 +23,11 @@
 
 // Guards against keys that are lost, or in two pieces, when a change comes in
 // several datagrams of any order.
-func TestChangesInAnyOrderMakeTheNextAssignment(t *testing.T) {
+func TestDiffAppliedInAnyOrderGivesTheNextAssignment(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 200 {
 		base, next := randomAssignment(random, 12), randomAssignment(random, 12)
-		changes := base.Differences(next)
+		changes := base.Diff(next)
 		random.Shuffle(len(changes), func(i, j int) { changes[i], changes[j] = changes[j], changes[i] })
 		got := base.With(2, changes)
 		covered := 0
@@ -35,7 +35,7 @@
 			assert.Equal(t, p.First, covered)
 			covered = p.Last + 1
 		}
-		assert.Equal(t, covered, ownership.Keys)
+		assert.Equal(t, covered, ownership.KeyCount)
 		for _, p := range next.Pieces {
 			assert.Equal(t, got.Find(p.First).Owner, p.Owner)
 			assert.Equal(t, got.Find(p.Last).Owner, p.Owner)
@@ -44,12 +44,12 @@
 }
 
 // Guards against a key whose change of owner is not noticed.
-func TestMovedIsWhatChangedItsOwner(t *testing.T) {
+func TestOwnerChangesFindsEveryChange(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 8))
 	for range 100 {
 		base, next := randomAssignment(random, 10), randomAssignment(random, 10)
-		moved := base.Moved(next)
-		for key := 0; key < ownership.Keys; key += 97 {
+		moved := base.OwnerChanges(next)
+		for key := 0; key < ownership.KeyCount; key += 97 {
 			in := slices.ContainsFunc(moved, func(p ownership.Piece) bool { return p.First <= key && key <= p.Last })
 			assert.Equal(t, in, base.Find(key).Owner != next.Find(key).Owner, "key %d", key)
 		}
--- a/basilcross/ownership/balance_test.go
+++ b/basilcross/ownership/balance_test.go
@@ -12,49 +12,49 @@
 	"gotest.tools/v3/assert"
 )
 
-// loadPlay plays a manager whose busy keys change at once: a small neighbourhood
+// loadSimulation plays a manager whose busy keys change at once: a small neighbourhood
 // gets much of the load. Targets answer all orders; a release takes as long as
 // the work on its keys, a write as long as the store needs.
-type loadPlay struct {
+type loadSimulation struct {
 	rand    *rand.Rand
 	now     time.Time
 	queue   timedEvents
 	manager *ownership.Manager
-	list    []*roster.Target
+	targets []*roster.Target
 	// load is each key's true load, in slots.
 	load []float64
 }
 
-func newLoadPlay(targets int) *loadPlay {
-	s := &loadPlay{rand: rand.New(rand.NewPCG(1, 7)), now: time.Unix(1000, 0), load: make([]float64, ownership.Keys)}
-	s.list = make([]*roster.Target, targets)
-	for i := range s.list {
-		s.list[i] = &roster.Target{ID: fmt.Sprintf("t%d", i), Started: 1, Address: fmt.Sprintf("a%d", i), Slots: 3, FirstSeen: s.now.Add(-time.Minute)}
+func newLoadSimulation(targets int) *loadSimulation {
+	s := &loadSimulation{rand: rand.New(rand.NewPCG(1, 7)), now: time.Unix(1000, 0), load: make([]float64, ownership.KeyCount)}
+	s.targets = make([]*roster.Target, targets)
+	for i := range s.targets {
+		s.targets[i] = &roster.Target{ID: fmt.Sprintf("t%d", i), Started: 1, Address: fmt.Sprintf("a%d", i), Slots: 3, FirstSeen: s.now.Add(-time.Minute)}
 	}
-	s.manager = manager(s.now, 1, nil)
+	s.manager = newManager(s.now, 1, nil)
 	// A stream of its own, so that the load of a seed does not depend on the orders.
 	jitter := rand.New(rand.NewPCG(1, 8))
 	s.manager.Jitter = func(below time.Duration) time.Duration { return time.Duration(jitter.Int64N(int64(below))) }
 	return s
 }
 
-// spread sets the load: total slots in use, and the share of it that falls on
+// setLoad sets the load: total slots in use, and the share of it that falls on
 // count keys from the first one on.
-func (s *loadPlay) spread(total, hot float64, first, count int) {
+func (s *loadSimulation) setLoad(total, hot float64, first, count int) {
 	for k := range s.load {
-		s.load[k] = total * (1 - hot) / ownership.Keys
+		s.load[k] = total * (1 - hot) / ownership.KeyCount
 		if k >= first && k < first+count {
 			s.load[k] += total * hot / float64(count)
 		}
 	}
 }
 
-func (s *loadPlay) later(d time.Duration, do func()) {
+func (s *loadSimulation) after(d time.Duration, do func()) {
 	heap.Push(&s.queue, timedEvent{s.now.Add(d), do})
 }
 
-// play goes on for a while. Loads are seen as requests of 0.65 s.
-func (s *loadPlay) play(d time.Duration) {
+// simulate goes on for a while. Loads are seen as requests of 0.65 s.
+func (s *loadSimulation) simulate(d time.Duration) {
 	const tick, work = 40 * time.Millisecond, 0.65
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(tick) {
 		for len(s.queue) > 0 && !s.queue[0].at.After(s.now) {
@@ -65,30 +65,30 @@
 				s.manager.Load.Add(s.now, k, work)
 			}
 		}
-		for _, o := range s.manager.Step(s.now, s.list) {
-			s.carryOut(o)
+		for _, o := range s.manager.Step(s.now, s.targets) {
+			s.execute(o)
 		}
 	}
 }
 
-func (s *loadPlay) carryOut(o ownership.Order) {
+func (s *loadSimulation) execute(o ownership.Order) {
 	switch o := o.(type) {
 	case *ownership.Record:
-		s.later(100*time.Millisecond, func() { s.manager.Recorded(s.now, true) })
+		s.after(100*time.Millisecond, func() { s.manager.Recorded(s.now, true) })
 	case *ownership.Grant:
 		sent := s.now
 		if o.Channel == 0 {
 			o.Channel = 1
 		}
-		o.Opened = time.Unix(1000, 0)
-		s.later(20*time.Millisecond, func() { s.manager.Granted(s.now, sent, o, ownership.Done) })
+		o.ChannelOpened = time.Unix(1000, 0)
+		s.after(20*time.Millisecond, func() { s.manager.Granted(s.now, sent, o, ownership.Done) })
 	case *ownership.Release:
-		s.later(400*time.Millisecond, func() { s.manager.Released(s.now, o, "h", ownership.Done) })
+		s.after(400*time.Millisecond, func() { s.manager.Released(s.now, o, "h", ownership.Done) })
 	}
 }
 
-// unserved is the share of the load that is on targets beyond their slots.
-func (s *loadPlay) unserved() float64 {
+// overloadShare is the share of the load that is on targets beyond their slots.
+func (s *loadSimulation) overloadShare() float64 {
 	loads, all := map[string]float64{}, 0.0
 	for _, p := range s.manager.Assignment().Pieces {
 		for k := p.First; k <= p.Last; k++ {
@@ -96,7 +96,7 @@
 		}
 	}
 	over := 0.0
-	for _, t := range s.list {
+	for _, t := range s.targets {
 		all += loads[t.ID]
 		over += max(0, loads[t.ID]-float64(t.Slots))
 	}
@@ -108,7 +108,7 @@
 // targets. The busiest keys change every few seconds, so it must be split
 // within a second or two. A few moves a second are too slow for hundreds of
 // targets, and a key busier than the room of a target must be moved as well.
-func TestHotNeighbourhoodIsSplitSoon(t *testing.T) {
+func TestHotRangeIsSplitWithinSeconds(t *testing.T) {
 	for _, c := range []struct {
 		targets, keys int
 		share         float64
@@ -119,19 +119,19 @@
 		{20, 60, 0.36},
 	} {
 		t.Run(fmt.Sprintf("%d targets, %d keys", c.targets, c.keys), func(t *testing.T) {
-			s := newLoadPlay(c.targets)
+			s := newLoadSimulation(c.targets)
 			total := 0.58 * 3 * float64(c.targets)
-			s.play(time.Second)
-			s.spread(total, 0, 0, 0)
-			s.play(5 * time.Second)
-			s.spread(total, c.share, 20_000, c.keys)
-			before := s.unserved()
-			s.play(1500 * time.Millisecond)
-			after1 := s.unserved()
-			s.play(1500 * time.Millisecond)
+			s.simulate(time.Second)
+			s.setLoad(total, 0, 0, 0)
+			s.simulate(5 * time.Second)
+			s.setLoad(total, c.share, 20_000, c.keys)
+			before := s.overloadShare()
+			s.simulate(1500 * time.Millisecond)
+			after1 := s.overloadShare()
+			s.simulate(1500 * time.Millisecond)
 			t.Logf("unserved %.3f at once, %.3f after 1.5 s, %.3f after 3 s; %d pieces, moved %+v",
-				before, after1, s.unserved(), len(s.manager.Assignment().Pieces), s.manager.Moved)
-			assert.Assert(t, s.unserved() < 0.12)
+				before, after1, s.overloadShare(), len(s.manager.Assignment().Pieces), s.manager.Moves)
+			assert.Assert(t, s.overloadShare() < 0.12)
 		})
 	}
 }
@@ -139,31 +139,31 @@
 // Busy keys change again and again, and each time pieces are cut off. Pieces
 // that nobody asks for any more go back to their neighbours' owners; otherwise
 // none is left to cut after a while, and busy keys stay where they are.
-func TestPiecesAreMergedAgain(t *testing.T) {
-	s := newLoadPlay(60)
+func TestIdlePiecesAreMerged(t *testing.T) {
+	s := newLoadSimulation(60)
 	total := 0.5 * 3 * 60
-	s.play(time.Second)
+	s.simulate(time.Second)
 	for i := range 8 {
-		s.spread(total, 0.4, 3000+7000*i, 100)
-		s.play(4 * time.Second)
+		s.setLoad(total, 0.4, 3000+7000*i, 100)
+		s.simulate(4 * time.Second)
 		pieces := len(s.manager.Assignment().Pieces)
-		t.Logf("shift %d: %d pieces, unserved %.3f, moved %d", i, pieces, s.unserved(), s.manager.Moved.Balance)
-		assert.Assert(t, s.unserved() < 0.1)
+		t.Logf("shift %d: %d pieces, unserved %.3f, moved %d", i, pieces, s.overloadShare(), s.manager.Moves.Balance)
+		assert.Assert(t, s.overloadShare() < 0.1)
 		assert.Assert(t, pieces < 4*60)
 	}
-	s.spread(total, 0, 0, 0)
-	s.play(20 * time.Second)
-	t.Logf("calm: %d pieces, moved %d", len(s.manager.Assignment().Pieces), s.manager.Moved.Balance)
+	s.setLoad(total, 0, 0, 0)
+	s.simulate(20 * time.Second)
+	t.Logf("calm: %d pieces, moved %d", len(s.manager.Assignment().Pieces), s.manager.Moves.Balance)
 	assert.Assert(t, len(s.manager.Assignment().Pieces) <= 3*60)
 }
 
 // One key is asked for more than any target can do. What else lies on its target
 // would wait behind it, or be refused; it goes to other targets.
-func TestNeighboursLeaveAnOverloadedKey(t *testing.T) {
-	s := newLoadPlay(60)
-	s.play(time.Second)
-	s.spread(40, 0.4, 20_000, 1)
-	s.play(4 * time.Second)
+func TestNeighboursOfOverloadedKeyAreMoved(t *testing.T) {
+	s := newLoadSimulation(60)
+	s.simulate(time.Second)
+	s.setLoad(40, 0.4, 20_000, 1)
+	s.simulate(4 * time.Second)
 	p := s.manager.Assignment().Find(20_000)
 	keys := 0
 	for _, other := range s.manager.Assignment().Pieces {
--- a/basilcross/ownership/encode.go
+++ b/basilcross/ownership/encode.go
@@ -5,31 +5,31 @@
 	"fmt"
 )
 
-// record is an assignment as it is written: each owner once, and pieces by
+// assignmentRecord is an assignment as it is written: each owner once, and pieces by
 // their ends, since a row of the store holds 64 KB. 1,000 pieces of 300
 // targets take about 35 KB.
-type record struct {
-	Service string  `json:"service"`
-	Term    int64   `json:"term"`
-	Owners  []owner `json:"owners"`
+type assignmentRecord struct {
+	Service string        `json:"service"`
+	Term    int64         `json:"term"`
+	Owners  []ownerRecord `json:"owners"`
 	// Pieces are triples: the last key, the owner's index or -1, and FreeAt.
 	Pieces [][3]int64 `json:"pieces"`
 }
 
-type owner struct {
+type ownerRecord struct {
 	ID      string `json:"id"`
-	Born    int64  `json:"born"`
+	Started int64  `json:"born"`
 	Address string `json:"address"`
 }
 
 // MarshalJSON writes the assignment.
 func (a *Assignment) MarshalJSON() ([]byte, error) {
-	r := record{Service: a.Service, Term: a.Term, Owners: []owner{}, Pieces: make([][3]int64, 0, len(a.Pieces))}
-	index := map[owner]int64{}
+	r := assignmentRecord{Service: a.Service, Term: a.Term, Owners: []ownerRecord{}, Pieces: make([][3]int64, 0, len(a.Pieces))}
+	index := map[ownerRecord]int64{}
 	for _, p := range a.Pieces {
 		i := int64(-1)
 		if p.Owner != "" {
-			o := owner{p.Owner, p.Born, p.Address}
+			o := ownerRecord{p.Owner, p.Started, p.Address}
 			known := false
 			if i, known = index[o]; !known {
 				i = int64(len(r.Owners))
@@ -44,7 +44,7 @@
 
 // UnmarshalJSON reads the assignment.
 func (a *Assignment) UnmarshalJSON(text []byte) error {
-	var r record
+	var r assignmentRecord
 	if err := json.Unmarshal(text, &r); err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 			if i >= len(r.Owners) {
 				return fmt.Errorf("piece from key %d: owner %d of %d", next, i, len(r.Owners))
 			}
-			p.Owner, p.Born, p.Address = r.Owners[i].ID, r.Owners[i].Born, r.Owners[i].Address
+			p.Owner, p.Started, p.Address = r.Owners[i].ID, r.Owners[i].Started, r.Owners[i].Address
 		}
 		a.Pieces = append(a.Pieces, p)
 		next = p.Last + 1
--- a/basilcross/ownership/load.go
+++ b/basilcross/ownership/load.go
@@ -9,34 +9,34 @@
 // few seconds, and a move costs little, so it is short.
 const loadHalfLife = 3 * time.Second
 
-// sumsFor is how long sums are used again: decisions of one moment need the same
+// sumsCacheTTL is how long sums are used again: decisions of one moment need the same
 // figures, and adding up all keys takes time.
-const sumsFor = 100 * time.Millisecond
+const sumsCacheTTL = 100 * time.Millisecond
 
 // Load is the work on each key, forgetting the past. The zero value is empty.
 type Load struct {
-	work  []float32
-	scale float64
-	at    time.Time
+	work      []float32
+	scale     float64
+	updatedAt time.Time
 	// total is the work on all keys, count the number of its parts.
 	total, count float64
-	// cached are the sums at cachedAt.
-	cached   []float64
-	cachedAt time.Time
+	// cachedSums are the sums at cachedAt.
+	cachedSums []float64
+	cachedAt   time.Time
 }
 
 // Add notes work, in seconds of a target's slot.
 func (l *Load) Add(now time.Time, key int, seconds float64) {
-	if key < 0 || key >= Keys {
+	if key < 0 || key >= KeyCount {
 		return
 	}
 	if l.work == nil {
-		l.work = make([]float32, Keys)
-		l.scale, l.at = 1, now
+		l.work = make([]float32, KeyCount)
+		l.scale, l.updatedAt = 1, now
 	}
 	// Newer work is scaled up instead of scaling all older work down.
-	l.scale *= math.Exp2(now.Sub(l.at).Seconds() / loadHalfLife.Seconds())
-	l.at = now
+	l.scale *= math.Exp2(now.Sub(l.updatedAt).Seconds() / loadHalfLife.Seconds())
+	l.updatedAt = now
 	if l.scale > 1e12 {
 		l.rescale()
 	}
@@ -54,29 +54,29 @@
 	l.scale = 1
 }
 
-// deviation is the standard deviation, by chance alone, of what is seen of a load:
+// stdDev is the standard deviation, by chance alone, of what is seen of a load:
 // requests come one by one, and only those of the last few seconds count.
-func (l *Load) deviation(load float64) float64 {
+func (l *Load) stdDev(load float64) float64 {
 	if l.count == 0 {
 		return 0
 	}
 	return math.Sqrt(max(0, load) * l.total / l.count * math.Ln2 / (2 * loadHalfLife.Seconds()))
 }
 
-// sums returns the work per second on all keys below each index.
-func (l *Load) sums(now time.Time) []float64 {
-	if l.cached != nil && now.Sub(l.cachedAt) < sumsFor {
-		return l.cached
+// prefixSums returns the work per second on all keys below each index.
+func (l *Load) prefixSums(now time.Time) []float64 {
+	if l.cachedSums != nil && now.Sub(l.cachedAt) < sumsCacheTTL {
+		return l.cachedSums
 	}
-	if l.cached == nil {
-		l.cached = make([]float64, Keys+1)
+	if l.cachedSums == nil {
+		l.cachedSums = make([]float64, KeyCount+1)
 	}
 	l.cachedAt = now
-	sums := l.cached
+	sums := l.cachedSums
 	if l.work == nil {
 		return sums
 	}
-	scale := l.scale * math.Exp2(now.Sub(l.at).Seconds()/loadHalfLife.Seconds())
+	scale := l.scale * math.Exp2(now.Sub(l.updatedAt).Seconds()/loadHalfLife.Seconds())
 	// A steady rate r adds up to r * halfLife / ln 2.
 	rate := math.Ln2 / loadHalfLife.Seconds() / scale
 	for i, w := range l.work {
--- a/basilcross/ownership/manager.go
+++ b/basilcross/ownership/manager.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	// clockDrift is how much slower a target's clock may run.
-	clockDrift = 1.02
-	// boundMargin covers the time between an answer's arrival and our noting
+	// maxClockDrift is how much slower a target's clock may run.
+	maxClockDrift = 1.02
+	// holdMargin covers the time between an answer's arrival and our noting
 	// it, on an instance that is slowed down several times.
-	boundMargin = 50 * time.Millisecond
-	// transit is how much later than the reset of its connection a call without
+	holdMargin = 50 * time.Millisecond
+	// maxArrivalDelay is how much later than the reset of its connection a call without
 	// an answer may still arrive: its bytes may wait in the queue of a full
 	// link, with the reset behind them. The users take a link for full at half
 	// a second.
-	transit = 500 * time.Millisecond
-	// retryAfter is the pause after a grant that was not carried out.
-	retryAfter = 100 * time.Millisecond
-	// silentAfter is how long a target may leave renewals unanswered before
+	maxArrivalDelay = 500 * time.Millisecond
+	// grantRetryDelay is the pause after a grant that was not carried out.
+	grantRetryDelay = 100 * time.Millisecond
+	// unresponsiveTimeout is how long a target may leave renewals unanswered before
 	// its keys are given to others. It is less than the hold, since the wait
 	// for its end begins only then.
-	silentAfter = 1200 * time.Millisecond
-	// releaseTries is how often a release without an answer is sent again
+	unresponsiveTimeout = 1200 * time.Millisecond
+	// maxReleaseAttempts is how often a release without an answer is sent again
 	// before the hold's end is waited for.
-	releaseTries = 2
+	maxReleaseAttempts = 2
 )
 
 // Holds are the times for which keys are granted.
 type Holds struct {
-	// Usual rides out the loss of the coordinator; long after the loss of a
+	// Normal rides out the loss of the coordinator; long after the loss of a
 	// target it costs service.
-	Usual time.Duration
+	Normal time.Duration
 	// Long is for when the store does not answer: nobody might be allowed to
 	// renew for as long as that lasts.
 	Long time.Duration
-	// Every is the time between two renewals.
-	Every time.Duration
-	// Reuse is the least time between a target's end and the start of another
+	// RenewInterval is the time between two renewals.
+	RenewInterval time.Duration
+	// AddressReuse is the least time between a target's end and the start of another
 	// service's at its address; 0 if the platform promises none.
-	Reuse time.Duration
+	AddressReuse time.Duration
 }
 
 // Manager keeps the holders of one service's keys, for as long as its instance
@@ -62,24 +62,24 @@
 	// dirty is set while pieces differ from what is recorded.
 	dirty   bool
 	writing bool
-	// balanceAt is when balance is looked at next.
-	balanceAt time.Time
-	// shifted is when busy keys were last seen to have changed.
-	shifted time.Time
-	holders map[roster.Incarnation]*holder
-	speeds  map[string]time.Duration
-	clock   storeClock
-	// long is set while the store is in doubt.
-	long bool
-	// Moved counts keys given to another owner, by cause.
-	Moved Moved
-	// Inherited, if set, is told of pieces that a younger target at their
+	// nextBalance is when balance is looked at next.
+	nextBalance time.Time
+	// loadShiftedAt is when busy keys were last seen to have changed.
+	loadShiftedAt time.Time
+	owners        map[roster.Incarnation]*ownerState
+	latencies     map[string]time.Duration
+	storeClock    storeClockSample
+	// longHolds is set while the store is in doubt.
+	longHolds bool
+	// Moves counts keys given to another owner, by cause.
+	Moves MoveCounts
+	// OnInherit, if set, is told of pieces that a younger target at their
 	// owner's address gets.
-	Inherited func(p Piece, to roster.Incarnation)
+	OnInherit func(p Piece, to roster.Incarnation)
 }
 
-// Moved counts pieces that were given to another owner.
-type Moved struct {
+// MoveCounts counts pieces that were given to another owner.
+type MoveCounts struct {
 	Leaving int
 	Lost    int
 	Balance int
@@ -90,12 +90,12 @@
 const (
 	// held: the owner is granted the piece, and the grant is renewed.
 	held phase = iota
-	// leaving: the piece is to be released as soon as no grant is under way.
-	leaving
+	// releaseDue: the piece is to be released as soon as no grant is under way.
+	releaseDue
 	// releasing: a release is under way.
 	releasing
-	// waiting: the end of the hold is waited for.
-	waiting
+	// awaitingExpiry: the end of the hold is waited for.
+	awaitingExpiry
 	// free: nobody holds the piece; it has no owner yet.
 	free
 	// recording: the next owner is being written to the store.
@@ -109,103 +109,103 @@
 	epoch int64
 	// channel is the connection on which the epoch was sent; 0 if it was not.
 	channel uint64
-	// until is the latest time at which whoever lives at the address may still
+	// heldUntil is the latest time at which whoever lives at the address may still
 	// hold the piece, and stray the same if that is another service's target. An
 	// owner that has answered for long holds until the end of its last grant;
 	// once another service has its address, only orders that nobody of this
 	// service is known to have received still count, mostly none.
-	until time.Time
-	stray time.Time
-	// doubt is the latest time at which a grant without an answer may hold, and
+	heldUntil        time.Time
+	misdirectedUntil time.Time
+	// inDoubtUntil is the latest time at which a grant without an answer may hold, and
 	// doubtEpoch the highest epoch of such a one.
-	doubt      time.Time
-	doubtEpoch int64
-	// usable is when the owner stops using it, counted from the sending.
-	usable time.Time
-	// confirmed is the epoch of the last answered grant.
-	confirmed int64
-	// calling is set while a call about the piece is under way.
-	calling bool
-	renewAt time.Time
-	tries   int
-	// releaseLost is set if a release got no answer. A later one may be
+	inDoubtUntil time.Time
+	inDoubtEpoch int64
+	// usableUntil is when the owner stops using it, counted from the sending.
+	usableUntil time.Time
+	// confirmedEpoch is the epoch of the last answered grant.
+	confirmedEpoch int64
+	// inFlight is set while a call about the piece is under way.
+	inFlight bool
+	renewAt  time.Time
+	attempts int
+	// releaseUnanswered is set if a release got no answer. A later one may be
 	// answered at once, though the work has not ended.
-	releaseLost bool
-	handover    string
-	cause       Cause
-	// wanted is the target that balance wants the piece to go to.
-	wanted string
+	releaseUnanswered bool
+	handover          string
+	cause             MoveCause
+	// destination is the target that balance wants the piece to go to.
+	destination string
 }
 
-// Cause is why a piece changes its owner.
-type Cause int
+// MoveCause is why a piece changes its owner.
+type MoveCause int
 
 // The causes.
 const (
-	OwnerLeaving Cause = iota
+	OwnerLeaving MoveCause = iota
 	OwnerLost
-	ForBalance
+	Rebalance
 )
 
-func (c Cause) String() string {
+func (c MoveCause) String() string {
 	return [...]string{"ownerLeaving", "ownerLost", "balance"}[c]
 }
 
-// storeClock tells the store's clock at a moment of ours.
-type storeClock struct {
+// storeClockSample tells the store's clock at a moment of ours.
+type storeClockSample struct {
 	at    time.Time
 	store time.Duration
 	known bool
 }
 
-// SetClock notes what the store's clock is at most at a moment of ours.
-func (m *Manager) SetClock(at time.Time, store time.Duration) {
-	m.clock = storeClock{at, store, true}
+// SetStoreClock notes what the store's clock is at most at a moment of ours.
+func (m *Manager) SetStoreClock(at time.Time, store time.Duration) {
+	m.storeClock = storeClockSample{at, store, true}
 }
 
 // freeAt tells on the store's clock when a wait is over, not too early.
 func (m *Manager) freeAt(until time.Time) int64 {
-	left := time.Duration(float64(until.Sub(m.clock.at)) * clockDrift)
-	return max(1, (m.clock.store+left).Milliseconds()+1)
+	left := time.Duration(float64(until.Sub(m.storeClock.at)) * maxClockDrift)
+	return max(1, (m.storeClock.store+left).Milliseconds()+1)
 }
 
-// Take begins a term with what is recorded; recorded may be nil. Every piece
+// BeginTerm begins a term with what is recorded; recorded may be nil. Every piece
 // may be held under grants of a former coordinator for the longest hold, except
 // those that it had given up. The store's clock is now at least store.
-func (m *Manager) Take(now time.Time, recorded *Assignment, longest, store time.Duration) {
+func (m *Manager) BeginTerm(now time.Time, recorded *Assignment, longest, store time.Duration) {
 	if m.Epochs == nil {
 		m.Epochs = &Epochs{Term: m.Term}
 	}
-	m.holders = map[roster.Incarnation]*holder{}
-	until := now.Add(bound(longest))
+	m.owners = map[roster.Incarnation]*ownerState{}
+	until := now.Add(maxHoldTime(longest))
 	if recorded == nil {
-		m.pieces = []*piece{{Piece: Piece{First: 0, Last: Keys - 1}, phase: free}}
+		m.pieces = []*piece{{Piece: Piece{First: 0, Last: KeyCount - 1}, phase: free}}
 		return
 	}
 	for _, p := range recorded.Pieces {
 		// All grants in doubt are a former coordinator's, under lower epochs.
-		kept := &piece{Piece: p, phase: held, epoch: m.Epochs.Next(), until: until, stray: until, doubt: until}
+		kept := &piece{Piece: p, phase: held, epoch: m.Epochs.Next(), heldUntil: until, misdirectedUntil: until, inDoubtUntil: until}
 		switch {
 		case p.Owner == "":
-			m.freed(kept)
+			m.markFree(kept)
 		case p.FreeAt > 0:
 			left := time.Duration(p.FreeAt)*time.Millisecond - store
-			kept.phase, kept.cause = waiting, OwnerLost
-			kept.until = now.Add(time.Duration(float64(max(0, left)) * clockDrift))
-			kept.stray, kept.doubt = kept.until, kept.until
+			kept.phase, kept.cause = awaitingExpiry, OwnerLost
+			kept.heldUntil = now.Add(time.Duration(float64(max(0, left)) * maxClockDrift))
+			kept.misdirectedUntil, kept.inDoubtUntil = kept.heldUntil, kept.heldUntil
 		}
 		kept.FreeAt = 0
 		m.pieces = append(m.pieces, kept)
 	}
 }
 
-// renumber gives a piece a new epoch, which belongs to no channel yet.
-func (m *Manager) renumber(p *piece) { p.epoch, p.channel = m.Epochs.Next(), 0 }
+// assignEpoch gives a piece a new epoch, which belongs to no channel yet.
+func (m *Manager) assignEpoch(p *piece) { p.epoch, p.channel = m.Epochs.Next(), 0 }
 
-// bound is the longest time that a hold may last, measured by our clock from
+// maxHoldTime is the longest time that a hold may last, measured by our clock from
 // the moment at which the call was answered or reset.
-func bound(hold time.Duration) time.Duration {
-	return time.Duration(float64(hold)*clockDrift) + boundMargin
+func maxHoldTime(hold time.Duration) time.Duration {
+	return time.Duration(float64(hold)*maxClockDrift) + holdMargin
 }
 
 // Assignment returns what is to be recorded.
@@ -213,11 +213,11 @@
 	a := &Assignment{Service: m.Service, Term: m.Term}
 	for _, p := range m.pieces {
 		r := p.Piece
-		if p.phase == waiting && m.clock.known {
-			r.FreeAt = m.freeAt(p.until)
+		if p.phase == awaitingExpiry && m.storeClock.known {
+			r.FreeAt = m.freeAt(p.heldUntil)
 		}
 		n := len(a.Pieces)
-		if n > 0 && a.Pieces[n-1].Life() == r.Life() && a.Pieces[n-1].Address == r.Address && a.Pieces[n-1].FreeAt == r.FreeAt {
+		if n > 0 && a.Pieces[n-1].Incarnation() == r.Incarnation() && a.Pieces[n-1].Address == r.Address && a.Pieces[n-1].FreeAt == r.FreeAt {
 			a.Pieces[n-1].Last = r.Last
 			continue
 		}
@@ -229,21 +229,21 @@
 // Settled tells whether every piece is held and confirmed.
 func (m *Manager) Settled(now time.Time) bool {
 	for _, p := range m.pieces {
-		if p.phase != held || !now.Before(p.usable) {
+		if p.phase != held || !now.Before(p.usableUntil) {
 			return false
 		}
 	}
 	return true
 }
 
-// sorted keeps the pieces in order after a cut.
-func (m *Manager) sorted() {
+// sortPieces keeps the pieces in order after a cut.
+func (m *Manager) sortPieces() {
 	sort.Slice(m.pieces, func(i, j int) bool { return m.pieces[i].First < m.pieces[j].First })
 }
 
-// cut splits a piece so that one of the results is exactly first to last, and
+// splitOff splits a piece so that one of the results is exactly first to last, and
 // returns that one. All results keep epoch and bounds.
-func (m *Manager) cut(p *piece, first, last int) *piece {
+func (m *Manager) splitOff(p *piece, first, last int) *piece {
 	if first > p.First {
 		rest := *p
 		rest.Last = first - 1
@@ -256,35 +256,35 @@
 		p.Last = last
 		m.pieces = append(m.pieces, &rest)
 	}
-	m.sorted()
+	m.sortPieces()
 	return p
 }
 
-// join merges neighbouring pieces of one owner, under a new epoch.
-func (m *Manager) join() {
+// coalesce merges neighbouring pieces of one owner, under a new epoch.
+func (m *Manager) coalesce() {
 	joined := m.pieces[:0]
 	for _, p := range m.pieces {
 		n := len(joined)
-		if n == 0 || !joinable(joined[n-1], p) {
+		if n == 0 || !canCoalesce(joined[n-1], p) {
 			joined = append(joined, p)
 			continue
 		}
 		q := joined[n-1]
 		q.Last = p.Last
-		m.renumber(q)
-		q.until = later(q.until, p.until)
-		q.stray = later(q.stray, p.stray)
-		q.doubt = later(q.doubt, p.doubt)
-		q.doubtEpoch = max(q.doubtEpoch, p.doubtEpoch)
-		q.usable = earlier(q.usable, p.usable)
+		m.assignEpoch(q)
+		q.heldUntil = later(q.heldUntil, p.heldUntil)
+		q.misdirectedUntil = later(q.misdirectedUntil, p.misdirectedUntil)
+		q.inDoubtUntil = later(q.inDoubtUntil, p.inDoubtUntil)
+		q.inDoubtEpoch = max(q.inDoubtEpoch, p.inDoubtEpoch)
+		q.usableUntil = earlier(q.usableUntil, p.usableUntil)
 		q.renewAt = time.Time{}
 	}
 	m.pieces = joined
 }
 
-func joinable(a, b *piece) bool {
-	return a.phase == held && b.phase == held && !a.calling && !b.calling &&
-		a.Life() == b.Life() && a.Address == b.Address && a.handover == "" && b.handover == ""
+func canCoalesce(a, b *piece) bool {
+	return a.phase == held && b.phase == held && !a.inFlight && !b.inFlight &&
+		a.Incarnation() == b.Incarnation() && a.Address == b.Address && a.handover == "" && b.handover == ""
 }
 
 func later(a, b time.Time) time.Time {
--- a/basilcross/ownership/order.go
+++ b/basilcross/ownership/order.go
@@ -22,8 +22,8 @@
 	// out on no other one: whoever lives at the address now may not be who had
 	// the epoch. 0 is for an epoch that was not sent yet; the driver then notes
 	// here on which connection it sent it, and always when that was opened.
-	Channel uint64
-	Opened  time.Time
+	Channel       uint64
+	ChannelOpened time.Time
 	// Suspect is set while the owner leaves orders unanswered: this one will
 	// likely wait in vain as well.
 	Suspect bool
@@ -35,8 +35,8 @@
 	Epoch       int64
 	Owner       roster.Incarnation
 	Address     string
-	// Until is when the answer is of no more use.
-	Until time.Time
+	// HeldUntil is when the answer is of no more use.
+	HeldUntil time.Time
 }
 
 // Record asks to write the assignment. End it with Recorded.
@@ -74,50 +74,50 @@
 	if p == nil {
 		return
 	}
-	p.calling = false
+	p.inFlight = false
 	p.channel = o.Channel
-	h := m.holder(o.Owner)
+	h := m.owner(o.Owner)
 	switch out {
 	case Done:
-		end := now.Add(bound(o.Hold))
-		p.until = later(p.until, end)
-		if !m.sureOf(h, now, o) {
-			p.stray = later(p.stray, end)
+		end := now.Add(maxHoldTime(o.Hold))
+		p.heldUntil = later(p.heldUntil, end)
+		if !m.reachedOwnService(h, now, o) {
+			p.misdirectedUntil = later(p.misdirectedUntil, end)
 		}
-		p.usable = sent.Add(time.Duration(float64(o.Hold) / clockDrift))
+		p.usableUntil = sent.Add(time.Duration(float64(o.Hold) / maxClockDrift))
 		p.handover = ""
-		p.confirmed = max(p.confirmed, o.Epoch)
-		if o.Epoch > p.doubtEpoch {
+		p.confirmedEpoch = max(p.confirmedEpoch, o.Epoch)
+		if o.Epoch > p.inDoubtEpoch {
 			// The target now refuses every lower epoch. Under an equal one, a
 			// grant in doubt could still be applied after a release.
-			p.doubt = time.Time{}
+			p.inDoubtUntil = time.Time{}
 		}
-		m.hear(h, sent)
-		h.silent, h.forgiven = time.Time{}, 0
+		m.recordAnswer(h, sent)
+		h.unansweredSince, h.trials = time.Time{}, 0
 		return
 	case ChannelClosed:
 		// Whoever answers on another connection must not get the same epoch.
-		m.renumber(p)
+		m.assignEpoch(p)
 		p.renewAt = now
 		return
 	case Stale:
-		m.renumber(p)
+		m.assignEpoch(p)
 	case Unknown:
-		end := now.Add(transit + bound(o.Hold))
-		p.until = later(p.until, end)
-		p.doubt = later(p.doubt, end)
-		if !m.sureOf(h, now, o) {
-			p.stray = later(p.stray, end)
+		end := now.Add(maxArrivalDelay + maxHoldTime(o.Hold))
+		p.heldUntil = later(p.heldUntil, end)
+		p.inDoubtUntil = later(p.inDoubtUntil, end)
+		if !m.reachedOwnService(h, now, o) {
+			p.misdirectedUntil = later(p.misdirectedUntil, end)
 		}
-		p.doubtEpoch = max(p.doubtEpoch, o.Epoch)
+		p.inDoubtEpoch = max(p.inDoubtEpoch, o.Epoch)
 		// Once the next one is answered, this one is refused if it comes late.
-		m.renumber(p)
-		h.fail(now)
+		m.assignEpoch(p)
+		h.recordFailure(now)
 	case Refused, Unsent:
-		h.fail(now)
+		h.recordFailure(now)
 	}
-	p.tries++
-	p.renewAt = now.Add(retryAfter)
+	p.attempts++
+	p.renewAt = now.Add(grantRetryDelay)
 }
 
 // Released reports the end of a release.
@@ -126,20 +126,20 @@
 	if p == nil || p.phase != releasing {
 		return
 	}
-	p.calling = false
+	p.inFlight = false
 	if out == Done {
 		p.handover = handover
-		if !p.releaseLost {
-			p.until = p.doubt
+		if !p.releaseUnanswered {
+			p.heldUntil = p.inDoubtUntil
 		}
-		p.phase = waiting
+		p.phase = awaitingExpiry
 		return
 	}
-	p.releaseLost = p.releaseLost || out == Unknown
-	p.tries++
-	p.phase = leaving
-	if p.tries >= releaseTries || !now.Before(p.until) {
-		p.phase = waiting
+	p.releaseUnanswered = p.releaseUnanswered || out == Unknown
+	p.attempts++
+	p.phase = releaseDue
+	if p.attempts >= maxReleaseAttempts || !now.Before(p.heldUntil) {
+		p.phase = awaitingExpiry
 	}
 }
 
@@ -155,10 +155,10 @@
 		}
 		if !ok {
 			// What its address may still hold runs out first.
-			p.phase = waiting
+			p.phase = awaitingExpiry
 			continue
 		}
-		m.keep(now, p)
+		m.regrant(now, p)
 	}
 }
 
@@ -168,7 +168,7 @@
 	owners := map[roster.Incarnation]Owner{}
 	for _, p := range m.pieces {
 		if p.Owner != "" {
-			owners[p.Life()] = Owner{Address: p.Address, Silent: !m.holder(p.Life()).silent.IsZero()}
+			owners[p.Incarnation()] = Owner{Address: p.Address, Unresponsive: !m.owner(p.Incarnation()).unansweredSince.IsZero()}
 		}
 	}
 	return owners
@@ -176,25 +176,25 @@
 
 // Owner is what is known of a lifetime that has pieces.
 type Owner struct {
-	Address string
-	Silent  bool
+	Address      string
+	Unresponsive bool
 }
 
-// Gone reports that a lifetime is proved to have ended, and that another
+// OwnerReplaced reports that a lifetime is proved to have ended, and that another
 // service's target has its address now. That one was never meant; if its service
 // is divided, strays may be in its hands: what was sent since nobody of this
 // service was known to live there. One of an undivided service holds no keys.
 // Gone tells whether this is news.
-func (m *Manager) Gone(l roster.Incarnation, divided bool) bool {
-	h := m.holder(l)
-	news := !h.gone
-	h.gone, h.strays = true, divided
+func (m *Manager) OwnerReplaced(l roster.Incarnation, divided bool) bool {
+	h := m.owner(l)
+	news := !h.ended
+	h.ended, h.misdirected = true, divided
 	return news
 }
 
 func (m *Manager) find(first, last int, owner roster.Incarnation) *piece {
 	for _, p := range m.pieces {
-		if p.First == first && p.Last == last && p.Life() == owner {
+		if p.First == first && p.Last == last && p.Incarnation() == owner {
 			return p
 		}
 	}
--- a/basilcross/ownership/step.go
+++ b/basilcross/ownership/step.go
@@ -6,18 +6,18 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// balanceEvery is how often the load is looked at; hot keys last for seconds.
-const balanceEvery = 250 * time.Millisecond
+// balanceInterval is how often the load is looked at; hot keys last for seconds.
+const balanceInterval = 250 * time.Millisecond
 
-// StoreInDoubt tells whether the store answers at present. While it does not,
+// SetStoreInDoubt tells whether the store answers at present. While it does not,
 // the authority to renew may be about to end, so holds are granted for long.
-func (m *Manager) StoreInDoubt(now time.Time, doubt bool) {
-	if doubt && !m.long {
+func (m *Manager) SetStoreInDoubt(now time.Time, doubt bool) {
+	if doubt && !m.longHolds {
 		for _, p := range m.pieces {
 			p.renewAt = now
 		}
 	}
-	m.long = doubt
+	m.longHolds = doubt
 }
 
 // Step returns the orders due. Targets are those that the platform names for
@@ -33,8 +33,8 @@
 	}
 	var orders []Order
 	for _, p := range m.pieces {
-		if p.Owner != "" && !p.calling {
-			m.follow(now, p, named[p.Owner], resident[p.Address])
+		if p.Owner != "" && !p.inFlight {
+			m.applyOwnerState(now, p, named[p.Owner], resident[p.Address])
 		}
 		if o := m.advance(now, p); o != nil {
 			orders = append(orders, o)
@@ -43,10 +43,10 @@
 	if m.writing {
 		return orders
 	}
-	m.join()
-	if !now.Before(m.balanceAt) {
-		m.balanceAt = now.Add(balanceEvery)
-		m.forgetSpeeds(named)
+	m.coalesce()
+	if !now.Before(m.nextBalance) {
+		m.nextBalance = now.Add(balanceInterval)
+		m.dropLatencies(named)
 		m.balance(now, targets)
 	}
 	m.assign(now, targets)
@@ -57,34 +57,34 @@
 	return orders
 }
 
-// follow takes in what the platform and the orders' answers say of the owner,
+// applyOwnerState takes in what the platform and the orders' answers say of the owner,
 // and of who lives at its address.
-func (m *Manager) follow(now time.Time, p *piece, t, resident *roster.Target) {
+func (m *Manager) applyOwnerState(now time.Time, p *piece, t, resident *roster.Target) {
 	if p.phase == free || p.phase == recording {
 		return
 	}
-	if resident != nil && resident.Started > p.Born {
+	if resident != nil && resident.Started > p.Started {
 		m.inherit(now, p, resident)
 		return
 	}
-	h := m.holder(p.Life())
-	if h.gone {
-		m.ownerLost(now, p, h.strays)
+	h := m.owner(p.Incarnation())
+	if h.ended {
+		m.awaitMisdirected(now, p, h.misdirected)
 	}
 	if p.phase != held {
 		return
 	}
 	switch {
-	case !h.silent.IsZero() && now.Sub(h.silent) > silentAfter:
+	case !h.unansweredSince.IsZero() && now.Sub(h.unansweredSince) > unresponsiveTimeout:
 		// It may still hold the keys, whatever is sent to it now.
-		p.phase, p.cause = waiting, OwnerLost
+		p.phase, p.cause = awaitingExpiry, OwnerLost
 		m.dirty = true
 	case t == nil || t.Draining:
-		p.phase, p.cause, p.tries = leaving, OwnerLeaving, 0
-	case t.Started > p.Born:
+		p.phase, p.cause, p.attempts = releaseDue, OwnerLeaving, 0
+	case t.Started > p.Started:
 		// It lives elsewhere now. Its former address may have gone to another
 		// one, which may have taken what was meant for it.
-		p.phase, p.cause, p.tries = leaving, OwnerLost, 0
+		p.phase, p.cause, p.attempts = releaseDue, OwnerLost, 0
 	}
 }
 
@@ -94,55 +94,55 @@
 // process lives at an address, so what it may hold stays in its hands, and all
 // bounds with it; its first answer under a new epoch shuts the former ones out.
 func (m *Manager) inherit(now time.Time, p *piece, to *roster.Target) {
-	givenUp := p.phase == waiting
+	givenUp := p.phase == awaitingExpiry
 	if givenUp && m.writing {
 		// What is being written does not say so.
 		return
 	}
-	if m.Inherited != nil {
-		m.Inherited(p.Piece, to.Incarnation())
+	if m.OnInherit != nil {
+		m.OnInherit(p.Piece, to.Incarnation())
 	}
-	delete(m.speeds, to.ID)
-	p.Owner, p.Born = to.ID, to.Started
-	p.cause, p.wanted = OwnerLost, ""
-	p.usable = time.Time{}
+	delete(m.latencies, to.ID)
+	p.Owner, p.Started = to.ID, to.Started
+	p.cause, p.destination = OwnerLost, ""
+	p.usableUntil = time.Time{}
 	m.dirty = true
-	m.Moved.Lost++
+	m.Moves.Lost++
 	if givenUp {
 		// The store may have it as free from some moment on: first it must not.
 		p.phase = recording
 		return
 	}
 	// The store has the address, which is what counts for a successor.
-	m.keep(now, p)
+	m.regrant(now, p)
 }
 
-// keep has a piece granted to its owner under a new epoch.
-func (m *Manager) keep(now time.Time, p *piece) {
+// regrant has a piece granted to its owner under a new epoch.
+func (m *Manager) regrant(now time.Time, p *piece) {
 	p.phase = held
-	m.renumber(p)
+	m.assignEpoch(p)
 	p.renewAt = now
-	p.tries = 0
+	p.attempts = 0
 }
 
-// ownerLost gives up a piece whose owner has ended and left its address to another
+// awaitMisdirected gives up a piece whose owner has ended and left its address to another
 // service's target, for which only strays have to be waited.
-func (m *Manager) ownerLost(now time.Time, p *piece, strays bool) {
-	left := p.stray
+func (m *Manager) awaitMisdirected(now time.Time, p *piece, strays bool) {
+	left := p.misdirectedUntil
 	if !strays {
 		left = time.Time{}
 	}
-	p.until, p.doubt = earlier(p.until, left), earlier(p.doubt, left)
-	if p.phase == waiting {
+	p.heldUntil, p.inDoubtUntil = earlier(p.heldUntil, left), earlier(p.inDoubtUntil, left)
+	if p.phase == awaitingExpiry {
 		return
 	}
-	p.phase, p.cause = waiting, OwnerLost
-	m.dirty = m.dirty || now.Before(p.until)
+	p.phase, p.cause = awaitingExpiry, OwnerLost
+	m.dirty = m.dirty || now.Before(p.heldUntil)
 }
 
 // advance takes the piece's next step.
 func (m *Manager) advance(now time.Time, p *piece) Order {
-	if p.calling {
+	if p.inFlight {
 		return nil
 	}
 	switch p.phase {
@@ -151,37 +151,37 @@
 			return nil
 		}
 		return m.grant(now, p)
-	case leaving:
+	case releaseDue:
 		return m.release(now, p)
-	case waiting:
-		if !now.Before(p.until) {
-			m.freed(p)
+	case awaitingExpiry:
+		if !now.Before(p.heldUntil) {
+			m.markFree(p)
 		}
 	case releasing, free, recording:
 	}
 	return nil
 }
 
-func (m *Manager) freed(p *piece) {
+func (m *Manager) markFree(p *piece) {
 	p.phase = free
-	p.Owner, p.Born, p.Address = "", 0, ""
-	p.until, p.stray, p.doubt, p.usable = time.Time{}, time.Time{}, time.Time{}, time.Time{}
-	p.doubtEpoch, p.confirmed, p.channel = 0, 0, 0
-	p.releaseLost = false
+	p.Owner, p.Started, p.Address = "", 0, ""
+	p.heldUntil, p.misdirectedUntil, p.inDoubtUntil, p.usableUntil = time.Time{}, time.Time{}, time.Time{}, time.Time{}
+	p.inDoubtEpoch, p.confirmedEpoch, p.channel = 0, 0, 0
+	p.releaseUnanswered = false
 }
 
 func (m *Manager) grant(now time.Time, p *piece) Order {
-	hold := m.Holds.Usual
-	if m.long {
+	hold := m.Holds.Normal
+	if m.longHolds {
 		hold = m.Holds.Long
 	}
-	p.calling = true
+	p.inFlight = true
 	// Spread, so that the renewals of all pieces do not come in one burst.
-	p.renewAt = now.Add(m.Holds.Every - m.jitter(m.Holds.Every/4+1))
+	p.renewAt = now.Add(m.Holds.RenewInterval - m.jitter(m.Holds.RenewInterval/4+1))
 	return &Grant{
 		First: p.First, Last: p.Last, Epoch: p.epoch, Hold: hold,
-		Owner: p.Life(), Address: p.Address, Handover: p.handover, Channel: p.channel,
-		Suspect: !m.holder(p.Life()).silent.IsZero(),
+		Owner: p.Incarnation(), Address: p.Address, Handover: p.handover, Channel: p.channel,
+		Suspect: !m.owner(p.Incarnation()).unansweredSince.IsZero(),
 	}
 }
 
@@ -196,13 +196,13 @@
 // under a higher epoch comes first: once it is answered, the target refuses
 // the one in doubt, which could otherwise take effect after the release.
 func (m *Manager) release(now time.Time, p *piece) Order {
-	if now.Before(p.doubt) && p.tries == 0 {
-		m.renumber(p)
+	if now.Before(p.inDoubtUntil) && p.attempts == 0 {
+		m.assignEpoch(p)
 		return m.grant(now, p)
 	}
-	p.phase, p.calling = releasing, true
+	p.phase, p.inFlight = releasing, true
 	return &Release{
 		First: p.First, Last: p.Last, Epoch: p.epoch,
-		Owner: p.Life(), Address: p.Address, Until: p.until,
+		Owner: p.Incarnation(), Address: p.Address, HeldUntil: p.heldUntil,
 	}
 }
--- a/ctl/command/fleetowner.go
+++ b/ctl/command/fleetowner.go
@@ -35,7 +35,7 @@
 		Use: "owner KEY", Short: "Show the owner of a key", Long: usageFleetOwner, Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			key, err := strconv.Atoi(args[0])
-			if err != nil || key < 0 || key >= ownership.Keys {
+			if err != nil || key < 0 || key >= ownership.KeyCount {
 				return &ExitError{Code: ExitUsage, Cause: errors.New("KEY " + args[0] + ": want a number from 0 to 65535")}
 			}
 			a, revision, err := f.readAssignment(c.Context(), service)
@@ -74,7 +74,7 @@
 	switch {
 	case r == nil:
 		return o.Piece.Address + " has nobody who is named"
-	case r.ID != o.Piece.Owner || r.Started != o.Piece.Born:
+	case r.ID != o.Piece.Owner || r.Started != o.Piece.Started:
 		return fmt.Sprintf("%s has %s of service %s, started %s: not the owner on record", o.Piece.Address, r.ID, r.Service, formatStarted(r.Started))
 	default:
 		return fmt.Sprintf("%s has it, started %s", o.Piece.Address, formatStarted(r.Started))
--- a/gateway/admin/admin.go
+++ b/gateway/admin/admin.go
@@ -42,7 +42,7 @@
 	Registry   *prometheus.Registry
 	Log        *slog.Logger
 	Pprof      bool
-	Authorizer operator.Gate
+	Authorizer operator.Authorizer
 }
 
 // Handler serves the admin address.
@@ -68,11 +68,11 @@
 	guarded.HandleFunc("POST /v1/config/check", h.checkConfig)
 	guarded.HandleFunc("POST /v1/config", h.submitConfig)
 	guarded.HandleFunc("GET /v1/audit", h.audit)
-	h.mux.Handle("/v1/", h.Authorizer.Guard(guarded))
+	h.mux.Handle("/v1/", h.Authorizer.Wrap(guarded))
 	if o.Pprof {
 		guarded.HandleFunc("GET /debug/pprof/", pprof.Index)
 		guarded.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
-		h.mux.Handle("/debug/", h.Authorizer.Guard(guarded))
+		h.mux.Handle("/debug/", h.Authorizer.Wrap(guarded))
 	}
 	return h
 }
--- a/gateway/broker/broker.go
+++ b/gateway/broker/broker.go
@@ -22,23 +22,23 @@
 )
 
 const (
-	// resendAfter is when a message without a reply is sent again: several times
+	// resendInterval is when a message without a reply is sent again: several times
 	// the way there and back between regions.
-	resendAfter = 50 * time.Millisecond
-	// resendQueuedAfter is the same once the scheduler has said that the request
+	resendInterval = 50 * time.Millisecond
+	// queuedResendInterval is the same once the scheduler has said that the request
 	// waits: it replies by itself, so this only covers the loss of that datagram.
-	resendQueuedAfter = 300 * time.Millisecond
-	// giveUpAfter is how many messages without any reply make a scheduler suspect.
-	giveUpAfter = 3
-	// firstSuspicion is how long a silent scheduler is not asked; it doubles each
+	queuedResendInterval = 300 * time.Millisecond
+	// maxUnanswered is how many messages without any reply make a scheduler suspect.
+	maxUnanswered = 3
+	// minBackoff is how long a silent scheduler is not asked; it doubles each
 	// time up to lastSuspicion.
-	firstSuspicion = time.Second
-	lastSuspicion  = 8 * time.Second
-	// fullFor is how long a zone that had no room is not asked again.
-	fullFor = 60 * time.Millisecond
-	// keptBeyond is how long a slot is kept after its request's time is over,
+	minBackoff = time.Second
+	maxBackoff = 8 * time.Second
+	// fullTTL is how long a zone that had no room is not asked again.
+	fullTTL = 60 * time.Millisecond
+	// releaseGrace is how long a slot is kept after its request's time is over,
 	// in case the word of its end is lost.
-	keptBeyond = 200 * time.Millisecond
+	releaseGrace = 200 * time.Millisecond
 )
 
 // Options are what a Broker needs; all must be set.
@@ -55,22 +55,22 @@
 type Broker struct {
 	Options
 
-	group    errgroup.Group
-	mu       sync.Mutex
-	seq      uint64
-	pending  map[uint64]chan *peers.ReserveResponse
-	remotes  map[remoteKey]*remote
-	suspects map[string]suspicion
-	full     map[fullKey]time.Time
-	// transits are the times of a message to other instances, one way.
-	transits map[string]time.Duration
+	group          errgroup.Group
+	mu             sync.Mutex
+	seq            uint64
+	pending        map[uint64]chan *peers.ReserveResponse
+	remoteRequests map[remoteKey]*remoteRequest
+	unresponsive   map[string]backoff
+	fullUntil      map[fullKey]time.Time
+	// oneWayDelays are the times of a message to other instances, one way.
+	oneWayDelays map[string]time.Duration
 }
 
 type fullKey struct{ service, zone string }
 
-type suspicion struct {
-	until time.Time
-	next  time.Duration
+type backoff struct {
+	until    time.Time
+	duration time.Duration
 }
 
 // Reservation is a request's right to a target's slot. Release must be called once.
@@ -87,9 +87,9 @@
 	return &Broker{
 		// Numbers that begin anew with each life would let replies to a former
 		// one find a request of this one.
-		Options: o, seq: uint64(rand.Uint32()), pending: map[uint64]chan *peers.ReserveResponse{}, remotes: map[remoteKey]*remote{},
-		suspects: map[string]suspicion{}, full: map[fullKey]time.Time{},
-		transits: map[string]time.Duration{},
+		Options: o, seq: uint64(rand.Uint32()), pending: map[uint64]chan *peers.ReserveResponse{}, remoteRequests: map[remoteKey]*remoteRequest{},
+		unresponsive: map[string]backoff{}, fullUntil: map[fullKey]time.Time{},
+		oneWayDelays: map[string]time.Duration{},
 	}
 }
 
@@ -104,9 +104,9 @@
 			return nil, &schedule.NoTargetError{Service: a.Service}
 		}
 		a.Zone = t.Zone
-		return b.at(ctx, a)
+		return b.acquireInZone(ctx, a)
 	}
-	zones := b.zones(a.Service)
+	zones := b.zonesByDistance(a.Service)
 	if len(zones) == 0 {
 		return nil, &schedule.NoTargetError{Service: a.Service}
 	}
@@ -116,20 +116,20 @@
 			continue
 		}
 		a.Zone, a.RejectLate = zone, true
-		p, err := b.at(ctx, a)
+		p, err := b.acquireInZone(ctx, a)
 		if err == nil || ctx.Err() != nil {
 			return p, err
 		}
 		if errors.As(err, &busy) {
-			b.noteFull(a.Service, zone)
+			b.markFull(a.Service, zone)
 		}
 	}
 	a.Zone, a.RejectLate = zones[0], false
-	return b.at(ctx, a)
+	return b.acquireInZone(ctx, a)
 }
 
-// zones returns the zones that have targets of the service, the nearest first.
-func (b *Broker) zones(service string) []string {
+// zonesByDistance returns the zones that have targets of the service, the nearest first.
+func (b *Broker) zonesByDistance(service string) []string {
 	var tiers [3][]string
 	seen := map[string]bool{}
 	for _, t := range b.Roster.Load().ByService[service] {
@@ -152,25 +152,25 @@
 func (b *Broker) isFull(service, zone string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return time.Now().Before(b.full[fullKey{service, zone}])
+	return time.Now().Before(b.fullUntil[fullKey{service, zone}])
 }
 
-func (b *Broker) noteFull(service, zone string) {
+func (b *Broker) markFull(service, zone string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.full[fullKey{service, zone}] = time.Now().Add(fullFor)
+	b.fullUntil[fullKey{service, zone}] = time.Now().Add(fullTTL)
 }
 
-// at asks the scheduler of the request's target, or of its zone.
-func (b *Broker) at(ctx context.Context, a schedule.Request) (*Reservation, error) {
+// acquireInZone asks the scheduler of the request's target, or of its zone.
+func (b *Broker) acquireInZone(ctx context.Context, a schedule.Request) (*Reservation, error) {
 	scheduler := b.Scheduler(&a)
 	if scheduler != "" && scheduler != b.Self.Name {
-		p, err := b.ask(ctx, scheduler, a)
-		var silent *SilentError
+		p, err := b.reserveAt(ctx, scheduler, a)
+		var silent *UnresponsiveError
 		if !errors.As(err, &silent) {
 			return p, err
 		}
-		b.suspect(scheduler)
+		b.markUnresponsive(scheduler)
 	}
 	p, err := b.Dispatcher.Acquire(ctx, a)
 	if err != nil {
@@ -192,7 +192,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, i := range b.Peers.Zone(a.Zone) {
-		if len(b.suspects) > 0 && now.Before(b.suspects[i.Name].until) {
+		if len(b.unresponsive) > 0 && now.Before(b.unresponsive[i.Name].until) {
 			continue
 		}
 		strength := 0.0
@@ -207,27 +207,27 @@
 	return best
 }
 
-func (b *Broker) suspect(scheduler string) {
+func (b *Broker) markUnresponsive(scheduler string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	s := b.suspects[scheduler]
+	s := b.unresponsive[scheduler]
 	if now.Before(s.until) {
 		return
 	}
-	s.next = min(max(firstSuspicion, 2*s.next), lastSuspicion)
-	s.until = now.Add(s.next)
-	b.suspects[scheduler] = s
-	event.SchedulerSilent.Log(b.Log, "scheduler", scheduler, "forMs", s.next.Milliseconds())
+	s.duration = min(max(minBackoff, 2*s.duration), maxBackoff)
+	s.until = now.Add(s.duration)
+	b.unresponsive[scheduler] = s
+	event.SchedulerSilent.Log(b.Log, "scheduler", scheduler, "forMs", s.duration.Milliseconds())
 }
 
-// SilentError says that a scheduler did not answer.
-type SilentError struct{ Scheduler string }
+// UnresponsiveError says that a scheduler did not answer.
+type UnresponsiveError struct{ Scheduler string }
 
-func (e *SilentError) Error() string { return "broker: no reply from " + e.Scheduler }
+func (e *UnresponsiveError) Error() string { return "broker: no reply from " + e.Scheduler }
 
-// ask asks another instance, and asks again until it replies.
-func (b *Broker) ask(ctx context.Context, scheduler string, a schedule.Request) (*Reservation, error) {
+// reserveAt asks another instance, and asks again until it replies.
+func (b *Broker) reserveAt(ctx context.Context, scheduler string, a schedule.Request) (*Reservation, error) {
 	b.mu.Lock()
 	b.seq++
 	seq := b.seq
@@ -239,45 +239,45 @@
 		delete(b.pending, seq)
 		b.mu.Unlock()
 	}()
-	b.Peers.Send(scheduler, &peers.Message{ReserveRequest: encode(seq, &a)})
-	timer := time.NewTimer(resendAfter)
+	b.Peers.Send(scheduler, &peers.Message{ReserveRequest: encodeReserveRequest(seq, &a)})
+	timer := time.NewTimer(resendInterval)
 	defer timer.Stop()
 	for silent := 0; ; {
 		select {
 		case r := <-replies:
-			if b.isForeign(&a, r) {
+			if b.isMisdirected(&a, r) {
 				continue
 			}
 			if !r.Queued {
-				b.trust(scheduler)
-				return b.replied(scheduler, seq, &a, r)
+				b.markResponsive(scheduler)
+				return b.reservationFrom(scheduler, seq, &a, r)
 			}
 			silent = 0
-			timer.Reset(resendQueuedAfter)
+			timer.Reset(queuedResendInterval)
 		case <-timer.C:
-			if silent++; silent >= giveUpAfter {
-				b.done(scheduler, seq, schedule.Abandoned, 0)
-				return nil, &SilentError{Scheduler: scheduler}
+			if silent++; silent >= maxUnanswered {
+				b.sendRelease(scheduler, seq, schedule.Abandoned, 0)
+				return nil, &UnresponsiveError{Scheduler: scheduler}
 			}
-			b.Peers.Send(scheduler, &peers.Message{ReserveRequest: encode(seq, &a)})
-			timer.Reset(resendAfter)
+			b.Peers.Send(scheduler, &peers.Message{ReserveRequest: encodeReserveRequest(seq, &a)})
+			timer.Reset(resendInterval)
 		case <-ctx.Done():
-			b.done(scheduler, seq, schedule.Abandoned, 0)
+			b.sendRelease(scheduler, seq, schedule.Abandoned, 0)
 			return nil, ctx.Err()
 		}
 	}
 }
 
-func (b *Broker) trust(scheduler string) {
+func (b *Broker) markResponsive(scheduler string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	delete(b.suspects, scheduler)
+	delete(b.unresponsive, scheduler)
 }
 
-// isForeign tells whether a reply answers another request: of this instance's former
+// isMisdirected tells whether a reply answers another request: of this instance's former
 // life, under the same number. Its target would run the request, since it is
 // called by its own name, though the request's service has no part in it.
-func (b *Broker) isForeign(a *schedule.Request, r *peers.ReserveResponse) bool {
+func (b *Broker) isMisdirected(a *schedule.Request, r *peers.ReserveResponse) bool {
 	if r.Target == "" {
 		return false
 	}
@@ -285,7 +285,7 @@
 	return a.Target != "" && r.Target != a.Target || t != nil && t.Service != a.Service
 }
 
-func (b *Broker) replied(scheduler string, seq uint64, a *schedule.Request, r *peers.ReserveResponse) (*Reservation, error) {
+func (b *Broker) reservationFrom(scheduler string, seq uint64, a *schedule.Request, r *peers.ReserveResponse) (*Reservation, error) {
 	switch {
 	case r.NoTarget:
 		return nil, &schedule.NoTargetError{Service: a.Service}
@@ -294,18 +294,18 @@
 	}
 	t := b.Roster.Load().Targets[r.Target]
 	if t == nil || t.Started != r.Started || a.Target == "" && t.Draining {
-		b.done(scheduler, seq, schedule.Abandoned, 0)
+		b.sendRelease(scheduler, seq, schedule.Abandoned, 0)
 		return nil, &schedule.NoTargetError{Service: a.Service}
 	}
 	began := time.Now()
-	return &Reservation{Target: t, release: func(out schedule.Result) { b.done(scheduler, seq, out, time.Since(began)) }}, nil
+	return &Reservation{Target: t, release: func(out schedule.Result) { b.sendRelease(scheduler, seq, out, time.Since(began)) }}, nil
 }
 
-func (b *Broker) done(scheduler string, seq uint64, out schedule.Result, took time.Duration) {
+func (b *Broker) sendRelease(scheduler string, seq uint64, out schedule.Result, took time.Duration) {
 	b.Peers.Send(scheduler, &peers.Message{Release: &peers.Release{Seq: seq, Result: int(out), HeldUs: took.Microseconds()}})
 }
 
-func encode(seq uint64, a *schedule.Request) *peers.ReserveRequest {
+func encodeReserveRequest(seq uint64, a *schedule.Request) *peers.ReserveRequest {
 	now := time.Now()
 	w := &peers.ReserveRequest{
 		Seq: seq, Service: a.Service, Kind: a.Kind, Target: a.Target, Zone: a.Zone, Priority: a.Priority, RejectLate: a.RejectLate,
--- a/gateway/broker/broker_test.go
+++ b/gateway/broker/broker_test.go
@@ -19,31 +19,31 @@
 	"gotest.tools/v3/poll"
 )
 
-type node struct {
+type testInstance struct {
 	broker *broker.Broker
 	peers  *peers.Peers
-	list   *roster.Roster
-	// instead, if set, takes messages in place of the broker.
-	instead atomic.Pointer[func(*peers.Message)]
-	stop    func()
+	roster *roster.Roster
+	// receiveHook, if set, takes messages in place of the broker.
+	receiveHook atomic.Pointer[func(*peers.Message)]
+	stop        func()
 }
 
-// nodes are instances of one zone that know each other and the same targets.
-func nodes(t *testing.T, names ...string) map[string]*node {
+// startInstances are instances of one zone that know each other and the same targets.
+func startInstances(t *testing.T, names ...string) map[string]*testInstance {
 	t.Helper()
 	list := &roster.Roster{}
 	list.Replace(time.Now(), []*roster.Target{{ID: "t", Started: 1, Service: "s", Zone: "z", Slots: 1}}, 1)
-	all, known := map[string]*node{}, map[string]peers.Instance{}
+	all, known := map[string]*testInstance{}, map[string]peers.Instance{}
 	log := slog.New(slog.DiscardHandler)
 	for _, name := range names {
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		assert.NilError(t, err)
 		address := c.LocalAddr().String()
 		assert.NilError(t, c.Close())
-		n := &node{list: list}
+		n := &testInstance{roster: list}
 		n.peers = &peers.Peers{Self: peers.Instance{Name: name, Incarnation: "1", Zone: "z", Datagram: address}, Log: log}
 		n.peers.Receive = func(m *peers.Message) {
-			if f := n.instead.Load(); f != nil {
+			if f := n.receiveHook.Load(); f != nil {
 				(*f)(m)
 				return
 			}
@@ -73,8 +73,8 @@
 
 // A target has one slot. Whichever instance sent, one of them counts: of three
 // instances' requests only one has room.
-func TestSlotsAreCountedOnceForAll(t *testing.T) {
-	all := nodes(t, "a", "b", "c")
+func TestSlotIsReservedOnceAcrossInstances(t *testing.T) {
+	all := startInstances(t, "a", "b", "c")
 	var places []*broker.Reservation
 	for _, n := range all {
 		p, err := n.broker.Acquire(t.Context(), request(time.Millisecond, 50*time.Millisecond))
@@ -103,8 +103,8 @@
 
 // The instance that decides is gone without a word. The others decide by
 // themselves: a request waits a little and is not refused.
-func TestSilentSchedulerIsGoneRound(t *testing.T) {
-	all := nodes(t, "a", "b", "c")
+func TestUnresponsiveSchedulerIsBypassed(t *testing.T) {
+	all := startInstances(t, "a", "b", "c")
 	for _, n := range all {
 		n.stop()
 	}
@@ -115,8 +115,8 @@
 	}
 }
 
-func TestCallerThatGoesAwayWithdrawsItsRequest(t *testing.T) {
-	all := nodes(t, "a", "b", "c")
+func TestCanceledRequestIsWithdrawn(t *testing.T) {
+	all := startInstances(t, "a", "b", "c")
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for _, n := range all {
@@ -140,7 +140,7 @@
 
 // All requests of a zone ask the scheduler of a service. It is one of the instances
 // with the most of a processor; for single targets all take their part.
-func TestStrongInstanceIsSchedulerOfService(t *testing.T) {
+func TestServiceSchedulerHasMostCores(t *testing.T) {
 	all := map[string]peers.Instance{}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		all[name] = peers.Instance{Name: name, Zone: "z", Cores: 0.16, Datagram: "127.0.0.1:9"}
@@ -159,8 +159,8 @@
 
 // A request waits at its scheduler for most of a second, as many do when targets
 // are busy. Asking again every 50 ms was most of what went between regions.
-func TestWaitingRequestAsksSeldom(t *testing.T) {
-	all := nodes(t, "a", "scheduler")
+func TestQueuedRequestIsRarelyResent(t *testing.T) {
+	all := startInstances(t, "a", "scheduler")
 	var sent atomic.Int64
 	scheduler := all["scheduler"].peers
 	queue := func(m *peers.Message) {
@@ -169,14 +169,14 @@
 			scheduler.Send(m.From, &peers.Message{ReserveResponse: &peers.ReserveResponse{Seq: m.ReserveRequest.Seq, Queued: true}})
 		}
 	}
-	all["scheduler"].instead.Store(&queue)
+	all["scheduler"].receiveHook.Store(&queue)
 	id := ""
 	for i := 0; id == ""; i++ {
 		if a := (&schedule.Request{Service: "s", Zone: "z", Target: "t" + strconv.Itoa(i)}); all["a"].broker.Scheduler(a) == "scheduler" {
 			id = a.Target
 		}
 	}
-	all["a"].list.Replace(time.Now(), []*roster.Target{{ID: id, Started: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
+	all["a"].roster.Replace(time.Now(), []*roster.Target{{ID: id, Started: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
 	ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
 	defer cancel()
 	began := time.Now()
@@ -192,13 +192,13 @@
 // arrives, for an ask that had the same number: it names a target of another
 // service. That target would run the request, since it is called by its own
 // name. The reply is passed over, and the right one is waited for.
-func TestReplyToAFormerLifeIsPassedOver(t *testing.T) {
+func TestReplyToEarlierIncarnationIsIgnored(t *testing.T) {
 	for name, stray := range map[string]*peers.ReserveResponse{
 		"another service's target": {Target: "other", Started: 7},
 		"another target":           {Target: "second", Started: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			all := nodes(t, "a", "scheduler")
+			all := startInstances(t, "a", "scheduler")
 			scheduler := all["scheduler"].peers
 			answer := func(m *peers.Message) {
 				if m.ReserveRequest == nil {
@@ -209,12 +209,12 @@
 				scheduler.Send(m.From, &peers.Message{ReserveResponse: &r})
 				scheduler.Send(m.From, &peers.Message{ReserveResponse: &peers.ReserveResponse{Seq: m.ReserveRequest.Seq, Target: m.ReserveRequest.Target, Started: 1}})
 			}
-			all["scheduler"].instead.Store(&answer)
+			all["scheduler"].receiveHook.Store(&answer)
 			a := request(time.Second, time.Minute)
 			for i := 0; a.Target == "" || all["a"].broker.Scheduler(&a) != "scheduler"; i++ {
 				a.Target = "t" + strconv.Itoa(i)
 			}
-			all["a"].list.Replace(time.Now(), []*roster.Target{
+			all["a"].roster.Replace(time.Now(), []*roster.Target{
 				{ID: a.Target, Started: 1, Service: "s", Zone: "z", Slots: 1},
 				{ID: "second", Started: 1, Service: "s", Zone: "z", Slots: 1},
 				{ID: "other", Started: 7, Service: "elsewhere", Zone: "z", Slots: 1},
@@ -228,10 +228,10 @@
 
 // Guards against a reply to a former life that finds a pending request under its
 // number: numbers start at random in each life.
-func TestNumbersOfRequestsDifferBetweenLives(t *testing.T) {
+func TestSequenceNumbersDifferBetweenIncarnations(t *testing.T) {
 	var first []uint64
 	for range 2 {
-		all := nodes(t, "a", "scheduler")
+		all := startInstances(t, "a", "scheduler")
 		seen := make(chan uint64, 1)
 		note := func(m *peers.Message) {
 			if m.ReserveRequest != nil {
@@ -241,12 +241,12 @@
 				}
 			}
 		}
-		all["scheduler"].instead.Store(&note)
+		all["scheduler"].receiveHook.Store(&note)
 		a := request(time.Second, time.Minute)
 		for i := 0; a.Target == "" || all["a"].broker.Scheduler(&a) != "scheduler"; i++ {
 			a.Target = "t" + strconv.Itoa(i)
 		}
-		all["a"].list.Replace(time.Now(), []*roster.Target{{ID: a.Target, Started: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
+		all["a"].roster.Replace(time.Now(), []*roster.Target{{ID: a.Target, Started: 1, Service: "s", Zone: "z", Slots: 1}}, 2)
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		_, err := all["a"].broker.Acquire(ctx, a)
 		cancel()
--- a/gateway/broker/scheduler.go
+++ b/gateway/broker/scheduler.go
@@ -12,27 +12,27 @@
 
 // remoteKey names a request of another instance.
 type remoteKey struct {
-	from, life string
-	seq        uint64
+	from, incarnation string
+	seq               uint64
 }
 
-// remote is a request of another instance that waits or has a slot. All but the
+// remoteRequest is a request of another instance that waits or has a slot. All but the
 // context is guarded by the broker's lock.
-type remote struct {
+type remoteRequest struct {
 	cancel      context.CancelFunc
 	reservation *dispatch.Reservation
 	reply       *peers.ReserveResponse
-	// replied is when the reply was sent.
-	replied time.Time
+	// repliedAt is when the reply was sent.
+	repliedAt time.Time
 }
 
 // Receive takes in a datagram about slots, and tells whether it was one.
 func (b *Broker) Receive(m *peers.Message) bool {
 	switch {
 	case m.ReserveRequest != nil:
-		b.handleReserve(m)
+		b.handleReserveRequest(m)
 	case m.ReserveResponse != nil:
-		b.handleReserved(m.ReserveResponse)
+		b.handleReserveResponse(m.ReserveResponse)
 	case m.Release != nil:
 		b.handleRelease(m)
 	default:
@@ -41,7 +41,7 @@
 	return true
 }
 
-func (b *Broker) handleReserved(r *peers.ReserveResponse) {
+func (b *Broker) handleReserveResponse(r *peers.ReserveResponse) {
 	b.mu.Lock()
 	replies := b.pending[r.Seq]
 	b.mu.Unlock()
@@ -55,10 +55,10 @@
 	}
 }
 
-func (b *Broker) handleReserve(m *peers.Message) {
+func (b *Broker) handleReserveRequest(m *peers.Message) {
 	key := remoteKey{m.From, m.Incarnation, m.ReserveRequest.Seq}
 	b.mu.Lock()
-	r := b.remotes[key]
+	r := b.remoteRequests[key]
 	if r != nil {
 		reply := r.reply
 		b.mu.Unlock()
@@ -69,21 +69,21 @@
 		return
 	}
 	now := time.Now()
-	a := decode(now, m.ReserveRequest)
+	a := decodeReserveRequest(now, m.ReserveRequest)
 	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline)
-	r = &remote{cancel: cancel}
-	b.remotes[key] = r
-	a.OneWayDelay = b.transits[m.From]
+	r = &remoteRequest{cancel: cancel}
+	b.remoteRequests[key] = r
+	a.OneWayDelay = b.oneWayDelays[m.From]
 	b.mu.Unlock()
-	time.AfterFunc(time.Until(a.Deadline)+keptBeyond, func() { b.end(key, schedule.Abandoned) })
+	time.AfterFunc(time.Until(a.Deadline)+releaseGrace, func() { b.releaseRemote(key, schedule.Abandoned) })
 	b.group.Go(func() error {
-		b.decide(ctx, key, r, a)
+		b.reserveFor(ctx, key, r, a)
 		return nil
 	})
 }
 
-// decode returns the request that another instance asks a slot for.
-func decode(now time.Time, m *peers.ReserveRequest) schedule.Request {
+// decodeReserveRequest returns the request that another instance asks a slot for.
+func decodeReserveRequest(now time.Time, m *peers.ReserveRequest) schedule.Request {
 	a := schedule.Request{
 		Service: m.Service, Kind: m.Kind, Target: m.Target, Zone: m.Zone, Priority: m.Priority, RejectLate: m.RejectLate,
 		Objective: now.Add(time.Duration(m.ObjectiveMs) * time.Millisecond),
@@ -98,8 +98,8 @@
 	return a
 }
 
-// decide finds a slot for another instance's request and tells it.
-func (b *Broker) decide(ctx context.Context, key remoteKey, r *remote, a schedule.Request) {
+// reserveFor finds a slot for another instance's request and tells it.
+func (b *Broker) reserveFor(ctx context.Context, key remoteKey, r *remoteRequest, a schedule.Request) {
 	p, err := b.Dispatcher.Acquire(ctx, a)
 	reply := &peers.ReserveResponse{Seq: key.seq}
 	var busy *schedule.BusyError
@@ -113,7 +113,7 @@
 		reply.NoTarget = true
 	}
 	b.mu.Lock()
-	if b.remotes[key] != r {
+	if b.remoteRequests[key] != r {
 		// It was withdrawn meanwhile.
 		b.mu.Unlock()
 		if p != nil {
@@ -121,7 +121,7 @@
 		}
 		return
 	}
-	r.reservation, r.reply, r.replied = p, reply, time.Now()
+	r.reservation, r.reply, r.repliedAt = p, reply, time.Now()
 	b.mu.Unlock()
 	b.Peers.Send(key.from, &peers.Message{ReserveResponse: reply})
 }
@@ -129,40 +129,40 @@
 func (b *Broker) handleRelease(m *peers.Message) {
 	key, out := remoteKey{m.From, m.Incarnation, m.Release.Seq}, schedule.Result(m.Release.Result)
 	if out == schedule.Answered {
-		b.learnTransit(key, time.Duration(m.Release.HeldUs)*time.Microsecond)
+		b.updateOneWayDelay(key, time.Duration(m.Release.HeldUs)*time.Microsecond)
 	}
-	b.end(key, out)
+	b.releaseRemote(key, out)
 }
 
 const (
-	// transitShare is the weight of the newest message's time.
-	transitShare = 0.1
-	// mostTransit is taken for messages that were held up.
-	mostTransit = 50 * time.Millisecond
+	// oneWayDelayWeight is the weight of the newest message's time.
+	oneWayDelayWeight = 0.1
+	// maxOneWayDelay is taken for messages that were held up.
+	maxOneWayDelay = 50 * time.Millisecond
 )
 
-// learnTransit learns how long a message to another instance takes: half of what
+// updateOneWayDelay learns how long a message to another instance takes: half of what
 // a slot was away for beyond the time for which that instance had it.
-func (b *Broker) learnTransit(key remoteKey, took time.Duration) {
+func (b *Broker) updateOneWayDelay(key remoteKey, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.remotes[key]
+	r := b.remoteRequests[key]
 	if r == nil || r.reservation == nil {
 		return
 	}
-	transit := min(max(time.Since(r.replied)-took, 0)/2, mostTransit)
-	known, ok := b.transits[key.from]
+	transit := min(max(time.Since(r.repliedAt)-took, 0)/2, maxOneWayDelay)
+	known, ok := b.oneWayDelays[key.from]
 	if !ok {
 		known = transit
 	}
-	b.transits[key.from] = known + time.Duration(transitShare*float64(transit-known))
+	b.oneWayDelays[key.from] = known + time.Duration(oneWayDelayWeight*float64(transit-known))
 }
 
-// end gives back the slot of another instance's request.
-func (b *Broker) end(key remoteKey, out schedule.Result) {
+// releaseRemote gives back the slot of another instance's request.
+func (b *Broker) releaseRemote(key remoteKey, out schedule.Result) {
 	b.mu.Lock()
-	r := b.remotes[key]
-	delete(b.remotes, key)
+	r := b.remoteRequests[key]
+	delete(b.remoteRequests, key)
 	b.mu.Unlock()
 	if r == nil {
 		return
--- a/gateway/channel/channel.go
+++ b/gateway/channel/channel.go
@@ -19,55 +19,55 @@
 	Target string
 
 	set *Set
-	// turn has room for the one that may use the channel.
-	turn chan struct{}
+	// semaphore has room for the one that may use the channel.
+	semaphore chan struct{}
 	// The rest is guarded by the set: the connection, nil while it is opened;
 	// why it could not be; whether the channel was closed by us; how many use
 	// it or wait to; and when it was given back last.
-	conn   *http.ClientConn
-	failed error
-	isShut bool
-	users  int
-	usedAt time.Time
+	conn     *http.ClientConn
+	dialErr  error
+	closing  bool
+	users    int
+	lastUsed time.Time
 }
 
 // open connects a fresh channel. Others may wait for it already.
 func (c *Channel) open(ctx context.Context) error {
 	conn, err := c.set.transport.NewClientConn(ctx, "http", c.Address)
 	c.set.mu.Lock()
-	c.conn, c.failed, c.Opened = conn, err, time.Now()
-	if c.isShut && conn != nil {
+	c.conn, c.dialErr, c.Opened = conn, err, time.Now()
+	if c.closing && conn != nil {
 		_ = conn.Close()
 	}
 	c.set.mu.Unlock()
-	if err := c.usable(); err != nil {
-		c.Back()
+	if err := c.check(); err != nil {
+		c.Release()
 		return err
 	}
 	return nil
 }
 
-// usable returns why the channel cannot be used.
-func (c *Channel) usable() error {
+// check returns why the channel cannot be used.
+func (c *Channel) check() error {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
-	if c.failed != nil {
-		return c.failed
+	if c.dialErr != nil {
+		return c.dialErr
 	}
-	if c.closed() {
-		return &LostError{Address: c.Address, Number: c.Number}
+	if c.isClosed() {
+		return &ClosedError{Address: c.Address, Number: c.Number}
 	}
 	return nil
 }
 
-// closed tells whether the channel cannot be used any more.
-func (c *Channel) closed() bool {
-	return c.isShut || c.failed != nil || c.conn != nil && c.conn.Err() != nil
+// isClosed tells whether the channel cannot be used any more.
+func (c *Channel) isClosed() bool {
+	return c.closing || c.dialErr != nil || c.conn != nil && c.conn.Err() != nil
 }
 
-// shut closes the channel for good.
-func (c *Channel) shut() {
-	c.isShut = true
+// close closes the channel for good.
+func (c *Channel) close() {
+	c.closing = true
 	if c.conn != nil {
 		_ = c.conn.Close()
 	}
@@ -84,19 +84,19 @@
 	if err != nil || res.Close {
 		c.set.mu.Lock()
 		defer c.set.mu.Unlock()
-		c.isShut = true
+		c.closing = true
 	}
 	return res, err
 }
 
-// Back gives the channel back, after the answer was read.
-func (c *Channel) Back() {
+// Release gives the channel back, after the answer was read.
+func (c *Channel) Release() {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
-	if c.isShut {
-		c.shut()
+	if c.closing {
+		c.close()
 	}
 	c.users--
-	c.usedAt = time.Now()
-	<-c.turn
+	c.lastUsed = time.Now()
+	<-c.semaphore
 }
--- a/gateway/channel/channel_test.go
+++ b/gateway/channel/channel_test.go
@@ -31,8 +31,8 @@
 	return string(text)
 }
 
-// serve answers with a name at an address; the zero port takes any.
-func serve(t *testing.T, name, address string) (string, *http.Server) {
+// startServer answers with a name at an address; the zero port takes any.
+func startServer(t *testing.T, name, address string) (string, *http.Server) {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
 	assert.NilError(t, err)
@@ -47,42 +47,42 @@
 
 // Another process comes to the address. The number of a channel to the one
 // before never leads to it: the channel is lost, though the address answers.
-func TestNumberNeverLeadsToAnotherProcess(t *testing.T) {
+func TestChannelNumberNeverReachesAnotherProcess(t *testing.T) {
 	ctx := context.Background()
 	set := newSet()
 	defer set.Close()
-	address, first := serve(t, "first", "127.0.0.1:0")
-	c, err := set.Take(ctx, address, 0)
+	address, first := startServer(t, "first", "127.0.0.1:0")
+	c, err := set.Acquire(ctx, address, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, call(t, c), "first")
-	c.Back()
-	again, err := set.Take(ctx, address, c.Number)
+	c.Release()
+	again, err := set.Acquire(ctx, address, c.Number)
 	assert.NilError(t, err)
 	assert.Equal(t, call(t, again), "first")
-	again.Back()
+	again.Release()
 	assert.NilError(t, first.Close())
-	serve(t, "second", address)
-	var lost *channel.LostError
+	startServer(t, "second", address)
+	var lost *channel.ClosedError
 	for end := time.Now().Add(5 * time.Second); !errors.As(err, &lost); {
 		assert.Assert(t, time.Now().Before(end))
-		if again, err = set.Take(ctx, address, c.Number); err == nil {
+		if again, err = set.Acquire(ctx, address, c.Number); err == nil {
 			// Its end was not noticed yet: the call fails, on this channel.
 			_, err := again.Client().Get("http://" + address)
 			assert.Assert(t, err != nil)
-			again.Back()
+			again.Release()
 		}
 	}
 	assert.Equal(t, lost.Number, c.Number)
-	next, err := set.Take(ctx, address, 0)
+	next, err := set.Acquire(ctx, address, 0)
 	assert.NilError(t, err)
 	assert.Assert(t, next.Number != c.Number)
 	assert.Equal(t, call(t, next), "second")
-	next.Back()
+	next.Release()
 }
 
 // A call is given up. Its answer may come later, so the channel is closed, and
 // who waits for it is told.
-func TestChannelOfACallThatIsGivenUpIsLost(t *testing.T) {
+func TestTimedOutCallClosesChannel(t *testing.T) {
 	hang := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hang }))
 	defer server.Close()
@@ -90,11 +90,11 @@
 	address := strings.TrimPrefix(server.URL, "http://")
 	set := newSet()
 	defer set.Close()
-	c, err := set.Take(context.Background(), address, 0)
+	c, err := set.Acquire(context.Background(), address, 0)
 	assert.NilError(t, err)
 	var group errgroup.Group
 	group.Go(func() error {
-		_, err := set.Take(context.Background(), address, c.Number)
+		_, err := set.Acquire(context.Background(), address, c.Number)
 		return err
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
@@ -103,15 +103,15 @@
 	assert.NilError(t, err)
 	_, err = c.Client().Do(r)
 	assert.Assert(t, errors.Is(err, context.DeadlineExceeded))
-	c.Back()
-	var lost *channel.LostError
+	c.Release()
+	var lost *channel.ClosedError
 	assert.Assert(t, errors.As(group.Wait(), &lost))
 }
 
 // Forty calls to one address come at once, and nothing is open yet, as at the
 // beginning of a coordinator's term. They share a few connections, one at a time
 // on each: a target takes a limited number from all callers.
-func TestCallsShareAFewChannels(t *testing.T) {
+func TestConcurrentCallsShareFewChannels(t *testing.T) {
 	var now, most atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		n := now.Add(1)
@@ -128,11 +128,11 @@
 	var group errgroup.Group
 	for range 40 {
 		group.Go(func() error {
-			c, err := set.Take(context.Background(), address, 0)
+			c, err := set.Acquire(context.Background(), address, 0)
 			if err != nil {
 				return err
 			}
-			defer c.Back()
+			defer c.Release()
 			numbers.Store(c.Number, true)
 			res, err := c.Client().Get(server.URL)
 			if err != nil {
@@ -153,7 +153,7 @@
 
 // The other end says that it closes the connection. Whoever takes the channel
 // next is told before a call, not by a call whose outcome is unknown.
-func TestAnswerThatEndsTheConnection(t *testing.T) {
+func TestConnectionCloseResponseClosesChannel(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close")
 	}))
@@ -161,19 +161,19 @@
 	set := newSet()
 	defer set.Close()
 	for range 50 {
-		c, err := set.Take(context.Background(), strings.TrimPrefix(server.URL, "http://"), 0)
+		c, err := set.Acquire(context.Background(), strings.TrimPrefix(server.URL, "http://"), 0)
 		assert.NilError(t, err)
 		call(t, c)
-		c.Back()
-		var lost *channel.LostError
-		_, err = set.Take(context.Background(), c.Address, c.Number)
+		c.Release()
+		var lost *channel.ClosedError
+		_, err = set.Acquire(context.Background(), c.Address, c.Number)
 		assert.Assert(t, errors.As(err, &lost), "%v", err)
 	}
 }
 
 // The set is closed while a connection is opened: nothing of it stays open.
-func TestCloseWhileOpening(t *testing.T) {
-	address, _ := serve(t, "one", "127.0.0.1:0")
+func TestSetCloseDuringDial(t *testing.T) {
+	address, _ := startServer(t, "one", "127.0.0.1:0")
 	dialing, goOn := make(chan struct{}), make(chan struct{})
 	set := &channel.Set{Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 		close(dialing)
@@ -182,41 +182,41 @@
 	}}
 	var group errgroup.Group
 	group.Go(func() error {
-		_, err := set.Take(context.Background(), address, 0)
+		_, err := set.Acquire(context.Background(), address, 0)
 		return err
 	})
 	<-dialing
 	set.Close()
 	close(goOn)
-	var lost *channel.LostError
+	var lost *channel.ClosedError
 	assert.Assert(t, errors.As(group.Wait(), &lost))
 }
 
-func TestWaitForAChannelEndsWithTheContext(t *testing.T) {
-	address, _ := serve(t, "one", "127.0.0.1:0")
+func TestAcquireStopsWithContext(t *testing.T) {
+	address, _ := startServer(t, "one", "127.0.0.1:0")
 	set := newSet()
 	defer set.Close()
-	c, err := set.Take(context.Background(), address, 0)
+	c, err := set.Acquire(context.Background(), address, 0)
 	assert.NilError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	_, err = set.Take(ctx, address, c.Number)
+	_, err = set.Acquire(ctx, address, c.Number)
 	assert.Assert(t, errors.Is(err, context.DeadlineExceeded))
-	c.Back()
-	c, err = set.Take(context.Background(), address, c.Number)
+	c.Release()
+	c, err = set.Acquire(context.Background(), address, c.Number)
 	assert.NilError(t, err)
-	c.Back()
-	_, err = set.Take(context.Background(), address, 99)
+	c.Release()
+	_, err = set.Acquire(context.Background(), address, 99)
 	assert.ErrorContains(t, err, "channel 99")
 }
 
-func TestUnreachableAddress(t *testing.T) {
+func TestDialErrorReachesAllWaiters(t *testing.T) {
 	set := newSet()
 	// Also those that wait for another one's connection hear that.
 	var group errgroup.Group
 	for range 20 {
 		group.Go(func() error {
-			_, err := set.Take(context.Background(), "127.0.0.1:1", 0)
+			_, err := set.Acquire(context.Background(), "127.0.0.1:1", 0)
 			var op *net.OpError
 			if !errors.As(err, &op) || op.Op != "dial" {
 				return fmt.Errorf("want a failed dial: %w", err)
--- a/gateway/channel/set.go
+++ b/gateway/channel/set.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// perAddress bounds the connections to one address. More calls than that
+	// maxPerAddress bounds the connections to one address. More calls than that
 	// wait for each other, which costs a few milliseconds each.
-	perAddress = 3
-	// idleFor is when a connection without calls is closed: before the other
+	maxPerAddress = 3
+	// idleTimeout is when a connection without calls is closed: before the other
 	// end does so.
-	idleFor = 5 * time.Second
-	// sweepEvery is the least time between two looks for idle connections.
-	sweepEvery = time.Second
+	idleTimeout = 5 * time.Second
+	// sweepInterval is the least time between two looks for idle connections.
+	sweepInterval = time.Second
 )
 
 // Set holds the open channels. Dial must be set; what it opens must be reset,
@@ -28,32 +28,32 @@
 type Set struct {
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	mu        sync.Mutex
-	transport *http.Transport
-	last      uint64
-	channels  map[string][]*Channel
-	sweptAt   time.Time
+	mu         sync.Mutex
+	transport  *http.Transport
+	lastNumber uint64
+	channels   map[string][]*Channel
+	lastSweep  time.Time
 }
 
-// LostError says that a channel is closed. Nothing was sent on it.
-type LostError struct {
+// ClosedError says that a channel is closed. Nothing was sent on it.
+type ClosedError struct {
 	Address string
 	Number  uint64
 }
 
-func (e *LostError) Error() string {
+func (e *ClosedError) Error() string {
 	return fmt.Sprintf("channel %d to %s is closed", e.Number, e.Address)
 }
 
-// Take waits for the channel with the number, or, if that is 0, for any one to
+// Acquire waits for the channel with the number, or, if that is 0, for any one to
 // the address, which may be opened for it. It fails with a LostError if the
 // channel is closed, and otherwise as Dial does. Whoever gets a channel must
 // give it back.
-func (s *Set) Take(ctx context.Context, address string, number uint64) (*Channel, error) {
+func (s *Set) Acquire(ctx context.Context, address string, number uint64) (*Channel, error) {
 	c, fresh := s.choose(address, number)
 	switch {
 	case c == nil:
-		return nil, &LostError{Address: address, Number: number}
+		return nil, &ClosedError{Address: address, Number: number}
 	case fresh:
 		if err := c.open(ctx); err != nil {
 			return nil, err
@@ -61,15 +61,15 @@
 		return c, nil
 	}
 	select {
-	case c.turn <- struct{}{}:
+	case c.semaphore <- struct{}{}:
 	case <-ctx.Done():
 		s.mu.Lock()
 		c.users--
 		s.mu.Unlock()
 		return nil, fmt.Errorf("wait for channel %d to %s: %w", c.Number, address, ctx.Err())
 	}
-	if err := c.usable(); err != nil {
-		c.Back()
+	if err := c.check(); err != nil {
+		c.Release()
 		return nil, err
 	}
 	return c, nil
@@ -84,7 +84,7 @@
 	var best *Channel
 	open := 0
 	for _, c := range s.channels[address] {
-		if c.closed() {
+		if c.isClosed() {
 			continue
 		}
 		open++
@@ -92,7 +92,7 @@
 			best = c
 		}
 	}
-	if number == 0 && (best == nil || best.users > 0 && open < perAddress) {
+	if number == 0 && (best == nil || best.users > 0 && open < maxPerAddress) {
 		return s.add(address), true
 	}
 	if best != nil {
@@ -106,9 +106,9 @@
 		s.channels = map[string][]*Channel{}
 		s.transport = &http.Transport{DialContext: s.Dial, DisableCompression: true}
 	}
-	s.last++
-	c := &Channel{Number: s.last, Address: address, set: s, turn: make(chan struct{}, 1), users: 1}
-	c.turn <- struct{}{}
+	s.lastNumber++
+	c := &Channel{Number: s.lastNumber, Address: address, set: s, semaphore: make(chan struct{}, 1), users: 1}
+	c.semaphore <- struct{}{}
 	s.channels[address] = append(s.channels[address], c)
 	return c
 }
@@ -116,17 +116,17 @@
 // sweep closes what is not used any more.
 func (s *Set) sweep() {
 	now := time.Now()
-	if now.Sub(s.sweptAt) < sweepEvery {
+	if now.Sub(s.lastSweep) < sweepInterval {
 		return
 	}
-	s.sweptAt = now
+	s.lastSweep = now
 	for address, list := range s.channels {
 		kept := list[:0:0]
 		for _, c := range list {
-			if c.users == 0 && now.Sub(c.usedAt) > idleFor {
-				c.shut()
+			if c.users == 0 && now.Sub(c.lastUsed) > idleTimeout {
+				c.close()
 			}
-			if c.users > 0 || !c.closed() {
+			if c.users > 0 || !c.isClosed() {
 				kept = append(kept, c)
 			}
 		}
@@ -142,7 +142,7 @@
 	defer s.mu.Unlock()
 	for _, list := range s.channels {
 		for _, c := range list {
-			c.shut()
+			c.close()
 		}
 	}
 	clear(s.channels)
--- a/gateway/coordinator/address_test.go
+++ b/gateway/coordinator/address_test.go
@@ -80,7 +80,7 @@
 		Peers:    &peers.Peers{Log: log}, Roster: f.roster, Table: func() *routing.Table { return table },
 		Revisions: func() map[string]uint64 { return nil }, OnLeading: func(int, bool) {}, RestartFeeds: func() {},
 		OnUpdate: func(*peers.AssignmentUpdate) {}, OnOversizedUpdate: func() {}, Log: log, Joined: func() bool { return true },
-		Holds: ownership.Holds{Usual: 3200 * time.Millisecond, Long: 6 * time.Second, Every: 800 * time.Millisecond, Reuse: 2 * time.Second},
+		Holds: ownership.Holds{Normal: 3200 * time.Millisecond, Long: 6 * time.Second, RenewInterval: 800 * time.Millisecond, AddressReuse: 2 * time.Second},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
@@ -143,7 +143,7 @@
 func (f *fleet) checkSingleHolder(d time.Duration, processes ...*process) {
 	f.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		for key := 0; key < ownership.Keys; key += 4096 {
+		for key := 0; key < ownership.KeyCount; key += 4096 {
 			holder := ""
 			for _, p := range processes {
 				if !p.Holds(key) {
@@ -205,7 +205,7 @@
 	f.setListed(first, false)
 	f.checkSingleHolder(4*time.Second, second, targets[1], targets[2])
 	f.waitFor("the first one's keys are held again", func() bool {
-		for key := 0; key < ownership.Keys; key += 4096 {
+		for key := 0; key < ownership.KeyCount; key += 4096 {
 			if !second.Holds(key) && !targets[1].Holds(key) && !targets[2].Holds(key) {
 				return false
 			}
@@ -259,7 +259,7 @@
 	l := newLeadership(ctx, cancel, Lease{Term: 1}, 1)
 	l.authorityEnd.Store(int64(boottime() - time.Millisecond))
 	c.leadership = l
-	c.release(l, &ownership.Manager{}, &ownership.Release{Address: "127.0.0.1:1", Until: time.Now().Add(time.Second)})
+	c.release(l, &ownership.Manager{}, &ownership.Release{Address: "127.0.0.1:1", HeldUntil: time.Now().Add(time.Second)})
 	assert.Equal(t, len(c.events), 1)
 }
 
@@ -275,7 +275,7 @@
 		{&platform.OrderError{Status: http.StatusBadRequest}, ownership.Refused},
 		{&platform.OrderError{Status: http.StatusMisdirectedRequest}, ownership.Unknown},
 		{&platform.OrderError{Status: http.StatusServiceUnavailable}, ownership.Unknown},
-		{&unsentError{&channel.LostError{}}, ownership.ChannelClosed},
+		{&unsentError{&channel.ClosedError{}}, ownership.ChannelClosed},
 		{&unsentError{context.DeadlineExceeded}, ownership.Unsent},
 		{&net.OpError{Op: "dial"}, ownership.Unsent},
 		{&net.OpError{Op: "read"}, ownership.Unknown},
--- a/gateway/coordinator/coordinator.go
+++ b/gateway/coordinator/coordinator.go
@@ -264,7 +264,7 @@
 	}
 	for _, s := range r.Latencies {
 		if k := c.leadership.managers[s.Service]; k != nil {
-			k.Speed(s.Target, time.Duration(s.Ms)*time.Millisecond)
+			k.SetLatency(s.Target, time.Duration(s.Ms)*time.Millisecond)
 		}
 	}
 }
--- a/gateway/coordinator/lead.go
+++ b/gateway/coordinator/lead.go
@@ -190,10 +190,10 @@
 		if k == nil {
 			k = &ownership.Manager{
 				Service: s.Name, Term: l.lease.Term, Epochs: l.epochs, Holds: c.Holds,
-				Jitter: rand.N[time.Duration], Inherited: c.inheritedLogger(s.Name),
+				Jitter: rand.N[time.Duration], OnInherit: c.inheritedLogger(s.Name),
 			}
-			k.Take(now, l.recorded[s.Name], c.Holds.Long+orderTimeout, l.storeTime(now))
-			k.StoreInDoubt(now, l.inDoubt)
+			k.BeginTerm(now, l.recorded[s.Name], c.Holds.Long+orderTimeout, l.storeTime(now))
+			k.SetStoreInDoubt(now, l.inDoubt)
 			l.managers[s.Name] = k
 		}
 		c.detectReplacedOwners(k, table, view)
@@ -214,7 +214,7 @@
 	l.nextHeartbeat = time.Time{}
 	event.StoreInDoubt.Log(c.Log, "term", l.lease.Term, "waitedMs", now.Sub(l.writeStarted).Milliseconds())
 	for _, k := range l.managers {
-		k.StoreInDoubt(now, true)
+		k.SetStoreInDoubt(now, true)
 	}
 }
 
@@ -267,7 +267,7 @@
 	if s.storeClock > 0 {
 		for _, k := range l.managers {
 			// At the answer's arrival it is later than told by the way at most.
-			k.SetClock(s.storeClockAt, s.storeClock+s.took)
+			k.SetStoreClock(s.storeClockAt, s.storeClock+s.took)
 		}
 	}
 	l.authorityEnd.Store(int64(sent + time.Duration(next.LeaseMs)*time.Millisecond - orderMargin))
@@ -276,13 +276,13 @@
 		l.inDoubt = false
 		c.RestartFeeds()
 		for _, k := range l.managers {
-			k.StoreInDoubt(now, false)
+			k.SetStoreInDoubt(now, false)
 		}
 	}
 	for name, r := range records {
-		moved := ownership.Moved{}
+		moved := ownership.MoveCounts{}
 		if k := l.managers[name]; k != nil {
-			moved = k.Moved
+			moved = k.Moves
 			k.Recorded(now, true)
 		}
 		event.KeysRecorded.Log(c.Log, "service", name, "term", next.Term, "revision", s.revision,
@@ -308,7 +308,7 @@
 	last := l.announced[service]
 	l.announced[service] = announcement{a, revision}
 	if last.assignment != nil {
-		changed := last.assignment.Differences(a)
+		changed := last.assignment.Diff(a)
 		if parts := (len(changed) + piecesPerDatagram - 1) / piecesPerDatagram; parts <= maxUpdateParts {
 			c.sendUpdate(&peers.AssignmentUpdate{Service: service, Term: a.Term, Base: last.revision, Revision: revision, Parts: max(1, parts)}, changed)
 			return
--- a/gateway/coordinator/lease_test.go
+++ b/gateway/coordinator/lease_test.go
@@ -218,7 +218,7 @@
 	var pieces []ownership.Piece
 	for i := range piecesPerDatagram {
 		pieces = append(pieces, ownership.Piece{
-			First: 65000 + i, Last: 65000 + i, Owner: "i-0123456789ab", Born: 1772495803149,
+			First: 65000 + i, Last: 65000 + i, Owner: "i-0123456789ab", Started: 1772495803149,
 			Address: "10.200.100.100:18080", FreeAt: 1 << 40,
 		})
 	}
--- a/gateway/coordinator/orders.go
+++ b/gateway/coordinator/orders.go
@@ -78,11 +78,11 @@
 	sent = time.Now()
 	takeCtx, stop := context.WithTimeout(l.ctx, orderTimeout)
 	defer stop()
-	on, err := c.Channels.Take(takeCtx, o.Address, o.Channel)
+	on, err := c.Channels.Acquire(takeCtx, o.Address, o.Channel)
 	if err != nil {
 		return sent, &unsentError{err}
 	}
-	defer on.Back()
+	defer on.Release()
 	if err := c.verifyTarget(l.ctx, service, on, o); err != nil {
 		return sent, &unsentError{err}
 	}
@@ -97,7 +97,7 @@
 		event.OrderChannel.Log(c.Log, "service", service, "target", o.Owner.ID, "address", o.Address,
 			"channel", on.Number, "first", o.First, "last", o.Last, "epoch", o.Epoch)
 	}
-	o.Channel, o.Opened = on.Number, on.Opened
+	o.Channel, o.ChannelOpened = on.Number, on.Opened
 	ctx, cancel := context.WithTimeout(l.ctx, orderTimeout)
 	defer cancel()
 	sent = time.Now()
@@ -181,7 +181,7 @@
 
 func (c *Coordinator) release(l *leadership, k *ownership.Manager, o *ownership.Release) {
 	sent := time.Now()
-	ctx, cancel := context.WithDeadline(l.ctx, o.Until.Add(releaseTimeout))
+	ctx, cancel := context.WithDeadline(l.ctx, o.HeldUntil.Add(releaseTimeout))
 	defer cancel()
 	if !c.hasAuthority(l) {
 		event.OrderDropped.Log(c.Log, "term", l.lease.Term, "target", o.Owner.ID)
@@ -193,7 +193,7 @@
 	now := time.Now()
 	event.KeysReleased.Log(c.Log, "service", k.Service, "target", o.Owner.ID, "first", o.First, "last", o.Last,
 		"epoch", o.Epoch, "handover", handover != "", "tookMs", now.Sub(sent).Milliseconds(),
-		"heldForMs", o.Until.Sub(now).Milliseconds(), "error", err)
+		"heldForMs", o.HeldUntil.Sub(now).Milliseconds(), "error", err)
 	c.enqueue(l.ctx, func() {
 		k.Released(now, o, handover, orderOutcome(err))
 	})
@@ -215,12 +215,12 @@
 		if at == nil || at.Service == k.Service || at.Started <= life.Started {
 			continue
 		}
-		if !owner.Silent && view.Targets[life.ID] != nil {
+		if !owner.Unresponsive && view.Targets[life.ID] != nil {
 			continue
 		}
 		service := table.Service(at.Service)
 		divided := service == nil || service.Sharded
-		if k.Gone(life, divided) {
+		if k.OwnerReplaced(life, divided) {
 			event.TargetGone.Log(c.Log, "service", k.Service, "target", life.ID, "address", owner.Address,
 				"now", at.ID, "nowService", at.Service, "divided", divided)
 		}
@@ -239,7 +239,7 @@
 func orderOutcome(err error) ownership.Outcome {
 	var stale *platform.StaleEpochError
 	var refused *platform.OrderError
-	var lost *channel.LostError
+	var lost *channel.ClosedError
 	var unsent *unsentError
 	var op *net.OpError
 	switch {
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -95,7 +95,7 @@
 	d.lanes = &lane.Set{Dial: dialer.DialContext}
 	cell := &authority.Authority{}
 	sum := &heat.Collector{}
-	d.tlsFiles = &keys.Files{Certificate: s.TLSCert, Key: s.TLSKey, Authority: s.TLSAuthority}
+	d.tlsFiles = &keys.Files{Certificate: s.TLSCertFile, Key: s.TLSKeyFile, Authority: s.TLSAuthorityFile}
 	if err := d.tlsFiles.Check(); err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 	d.admin = admin.New(admin.Options{
 		Instance: s.Instance, Zone: s.Zone, View: d.view, Table: d.table, Leader: d.leader,
 		Ready: d.Ready, Planning: d.planner.Planning, Registry: registry, Log: log, Pprof: s.Pprof,
-		Authorizer: operator.Gate{ReadFile: s.ReadToken, ChangeFile: s.ChangeToken},
+		Authorizer: operator.Authorizer{ReadFile: s.ReadTokenFile, ChangeFile: s.ChangeTokenFile},
 	})
 	mux := http.NewServeMux()
 	mux.Handle(control.ZonePathPrefix, control.NewZoneServer(d.leader))
@@ -125,20 +125,20 @@
 		Caller: &renewer.HTTPCaller{Client: outside}, Log: d.log,
 	})
 	d.follower = &follower.Follower{
-		Instance: s.Instance, Incarnation: incarnation, Address: s.Address(), Zone: s.Zone, PeerAddresses: s.Peers,
+		Instance: s.Instance, Incarnation: incarnation, Address: s.AdvertisedAddress(), Zone: s.Zone, PeerAddresses: s.Peers,
 		View: d.view, Authority: cell, Renewer: d.renewer, Loads: sum, Caller: peers, Log: d.log,
 		OnRenewal: func(now time.Time, term, renewals uint64, left time.Duration) {
 			d.leader.Hint(now, term, renewals, left)
 		},
 	}
 	second := &relay.Client{
-		Direct: b.table, Calls: peers, Log: d.log,
+		Direct: b.table, Caller: peers, Log: d.log,
 		Peers: func() []string { return d.leader.OtherLeaders() },
 	}
 	evictions := &evictor.Evictor{Instance: s.Instance, Table: second, Peers: peers, NewToken: rand.Text, Log: d.log}
 	d.table = second
 	d.planner = planner.New(planner.Options{
-		Instance: s.Instance, Incarnation: incarnation, Address: s.Address(),
+		Instance: s.Instance, Incarnation: incarnation, Address: s.AdvertisedAddress(),
 		Table: second, Objects: b.objects, View: d.view, Peers: peers, Log: d.log, NewToken: rand.Text,
 		Evictor:             evictions,
 		Instances:           b.instances,
@@ -146,7 +146,7 @@
 		PlannerUnresponsive: func() bool { return d.leader.PlannerUnresponsive() },
 	})
 	d.leader = leader.New(leader.Options{
-		Instance: s.Instance, Incarnation: incarnation, Address: s.Address(), Zone: s.Zone,
+		Instance: s.Instance, Incarnation: incarnation, Address: s.AdvertisedAddress(), Zone: s.Zone,
 		Table: second, Direct: b.table, Evictor: evictions, Objects: b.objects, View: d.view, Follower: d.follower, Authority: cell,
 		Planner: d.planner, Peers: peers, Log: d.log, NewToken: rand.Text,
 	})
@@ -187,11 +187,11 @@
 }
 
 func newBackend(s settings.Settings, client *http.Client, log *slog.Logger) (*backend, error) {
-	if s.Platform != "" {
-		c := &platform.Client{BaseURL: s.Platform, HTTPClient: client}
+	if s.PlatformURL != "" {
+		c := &platform.Client{BaseURL: s.PlatformURL, HTTPClient: client}
 		return &backend{table: c, objects: c, instances: c.Instances}, nil
 	}
-	listed, err := s.ListedTargets()
+	listed, err := s.ParseTargets()
 	if err != nil {
 		return nil, err
 	}
--- a/gateway/front/call.go
+++ b/gateway/front/call.go
@@ -115,7 +115,7 @@
 	if s := table.Service(c.service); s != nil && s.Sharded {
 		c.sharded = true
 		key, err := strconv.Atoi(r.Header.Get(f.Headers.ShardKey))
-		if err != nil || key < 0 || key >= ownership.Keys {
+		if err != nil || key < 0 || key >= ownership.KeyCount {
 			return &refusal{status: http.StatusBadRequest, cause: "badKey", final: true}
 		}
 		c.key = key
--- a/gateway/front/owner_test.go
+++ b/gateway/front/owner_test.go
@@ -50,9 +50,9 @@
 func (k *shardedFixture) assign(first, second string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	half := ownership.Keys / 2
+	half := ownership.KeyCount / 2
 	k.assignment = &ownership.Assignment{Service: "s", Pieces: []ownership.Piece{
-		{First: 0, Last: half - 1, Owner: first}, {First: half, Last: ownership.Keys - 1, Owner: second},
+		{First: 0, Last: half - 1, Owner: first}, {First: half, Last: ownership.KeyCount - 1, Owner: second},
 	}}
 	close(k.newer)
 	k.newer = make(chan struct{})
--- a/gateway/hop/hop.go
+++ b/gateway/hop/hop.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// headers are the hop-by-hop headers of RFC 9110, 7.6.1.
-var headers = []string{
+// hopByHopHeaders are the hop-by-hop headers of RFC 9110, 7.6.1.
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
@@ -19,7 +19,7 @@
 			h.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range headers {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
--- a/gateway/instance/catchup.go
+++ b/gateway/instance/catchup.go
@@ -72,7 +72,7 @@
 		case !ok:
 			behind[m.Table] = now
 			if m.OnDemand && joined && !c.replicator.passive.Load() {
-				m.Again()
+				m.Refresh()
 			}
 		case !joined:
 		case now.Sub(since) >= lagTolerance, m.OnDemand && c.upToDateReader(m) != "":
@@ -97,11 +97,11 @@
 // newer news of. What was read whole after a row was removed has no row of that
 // revision, and still goes further.
 func (c *catchUp) isBehind(m *mirror.Mirror) bool {
-	if m.Failing() && m.Newest() == 0 {
+	if m.Failing() && m.NewestChange() == 0 {
 		return true
 	}
 	t := c.state.revisionReport.Load()
-	return t != nil && t.revisions[m.Table] > max(m.Newest(), m.Reached())
+	return t != nil && t.revisions[m.Table] > max(m.NewestChange(), m.Revision())
 }
 
 // fetch asks another instance for its copies. A reader of the zone that has them
@@ -115,7 +115,7 @@
 		}
 		// Also while it fails: a call that the store took while it was silent
 		// is never answered, and is given up by this.
-		m.Again()
+		m.Refresh()
 		rest = append(rest, m)
 	}
 	if len(rest) > 0 {
@@ -193,11 +193,11 @@
 		if m.Table != t.Name {
 			continue
 		}
-		s := mirror.State{Table: t.Name, Revision: t.Revision}
+		s := mirror.Snapshot{Table: t.Name, Revision: t.Revision}
 		for _, r := range t.Rows {
 			s.Rows = append(s.Rows, platform.Row{Table: t.Name, Key: r.Key, Value: r.Value, Revision: r.Revision})
 		}
-		if m.Offer(s) {
+		if m.ApplySnapshot(s) {
 			event.PeerStateTaken.Log(c.log, "table", t.Name, "revision", t.Revision, "rows", len(t.Rows), "from", from)
 		}
 	}
@@ -211,7 +211,7 @@
 			if m.Table != name {
 				continue
 			}
-			s, loaded := m.State()
+			s, loaded := m.Snapshot()
 			if !loaded {
 				continue
 			}
--- a/gateway/instance/duties.go
+++ b/gateway/instance/duties.go
@@ -53,7 +53,7 @@
 	// Whoever came before is read from the store; whoever comes later does the
 	// same, and says hello. A list with the row of a former life has all others.
 	if i.settings.Bootstrap || !i.awaitInstances(ctx) || i.peers.Find(i.peers.Self.Name).Name == "" {
-		i.instances.Again()
+		i.instances.Refresh()
 	}
 	<-ctx.Done()
 	return ctx.Err()
@@ -160,7 +160,7 @@
 	case m.Leaving:
 		i.peers.Remove(m.From)
 	case m.Report != nil && i.peers.Find(m.From).Name == "":
-		i.instances.Again()
+		i.instances.Refresh()
 	}
 	i.state.recordRevisions(m.From, m.Revisions)
 	i.coordinator.Receive(m)
@@ -182,7 +182,7 @@
 	// zone need not wait longer. The others hear them.
 	for _, table := range i.mirrors {
 		if table.Failing() {
-			table.Again()
+			table.Refresh()
 		}
 	}
 }
@@ -212,13 +212,13 @@
 	}
 	if next == nil {
 		if !i.replicator.passive.Load() {
-			i.assignments.Again()
+			i.assignments.Refresh()
 		}
 		// A listener asks a reader, once the next beat shows that it is behind.
 		return
 	}
 	i.state.setAssignment(n.Service, next, n.Revision)
-	i.assignments.Inject(platform.Row{Table: coordinator.AssignmentTable, Key: n.Service, Revision: n.Revision})
+	i.assignments.ApplyRow(platform.Row{Table: coordinator.AssignmentTable, Key: n.Service, Revision: n.Revision})
 }
 
 // housekeeper forgets targets that are gone.
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -132,9 +132,9 @@
 		Channels: &channel.Set{Dial: targetDialer.DialContext}, Releases: &platform.GrantClient{HTTP: newHTTPClient(targetDialer)},
 		RestartFeeds: i.replicator.restartFeeds,
 		Joined:       i.replicator.joined.Load,
-		OnLeading:    i.recordLeading, OnUpdate: i.applyAssignmentUpdate, OnOversizedUpdate: i.assignments.Again,
+		OnLeading:    i.recordLeading, OnUpdate: i.applyAssignmentUpdate, OnOversizedUpdate: i.assignments.Refresh,
 		Peers: i.peers, Roster: i.state.roster, Table: i.state.routes.Load, Revisions: i.revisions, Log: log,
-		Holds: ownership.Holds{Usual: min(normalHold, s.LongestHold), Long: min(longHold, s.LongestHold-longHoldMargin), Every: renewalInterval, Reuse: s.AddressReuse},
+		Holds: ownership.Holds{Normal: min(normalHold, s.LongestHold), Long: min(longHold, s.LongestHold-longHoldMargin), RenewInterval: renewalInterval, AddressReuse: s.AddressReuse},
 	})
 	i.dispatcher = &dispatch.Dispatcher{Roster: i.state.roster}
 	i.broker = broker.New(broker.Options{
@@ -181,26 +181,26 @@
 	}
 	i.replicator = newReplicator(i)
 	for _, m := range []*mirror.Mirror{
-		{Table: platform.OperatorTable, Pace: configBatchDelay, MostPace: maxConfigBatchDelay, QuietPace: configBatchDelay, Changed: i.state.applyConfig},
+		{Table: platform.OperatorTable, BatchDelay: configBatchDelay, MaxBatchDelay: maxConfigBatchDelay, MinorDelay: configBatchDelay, OnUpdate: i.state.applyConfig},
 		{
-			Table: platform.TargetTable, Pace: targetBatchDelay, QuietPace: minorDelay, Changed: i.state.applyTargets,
-			Minor: isMinorTargetChange,
+			Table: platform.TargetTable, BatchDelay: targetBatchDelay, MinorDelay: minorDelay, OnUpdate: i.state.applyTargets,
+			IsMinor: isMinorTargetChange,
 		},
 	} {
-		m.Passed = func(p mirror.Passage) { i.replicator.forward(m.Table, p) }
-		m.AwaitOthers(maxFirstCopyDelay)
-		m.Retry = i.replicator.backoff
+		m.Forward = func(p mirror.ForwardedUpdate) { i.replicator.forward(m.Table, p) }
+		m.AwaitPeerCopy(maxFirstCopyDelay)
+		m.Backoff = i.replicator.backoff
 		i.replicator.polledMirrors = append(i.replicator.polledMirrors, add(m))
 	}
 	i.assignments = add(&mirror.Mirror{
-		Table: coordinator.AssignmentTable, OnDemand: true, Changed: i.state.applyAssignments, Encode: i.state.encodeAssignment,
+		Table: coordinator.AssignmentTable, OnDemand: true, OnUpdate: i.state.applyAssignments, EncodeRow: i.state.encodeAssignment,
 	})
-	i.assignments.AwaitOthers(maxFirstCopyDelay)
-	i.instances = add(&mirror.Mirror{Table: coordinator.InstanceTable, OnDemand: true, Changed: func(c mirror.Change) {
+	i.assignments.AwaitPeerCopy(maxFirstCopyDelay)
+	i.instances = add(&mirror.Mirror{Table: coordinator.InstanceTable, OnDemand: true, OnUpdate: func(c mirror.Update) {
 		i.peers.SetInstances(i.state.applyInstances(c))
 	}})
 	if i.settings.Bootstrap {
-		i.instances.Late = registerTimeout
+		i.instances.InitialWait = registerTimeout
 	}
 }
 
@@ -208,7 +208,7 @@
 	r := make(map[string]uint64, len(i.mirrors))
 	for _, m := range i.mirrors {
 		if m != i.instances {
-			r[m.Table] = m.Newest()
+			r[m.Table] = m.NewestChange()
 		}
 	}
 	return r
--- a/gateway/instance/join.go
+++ b/gateway/instance/join.go
@@ -52,7 +52,7 @@
 		sleep(ctx, joinRetryDelay)
 	}
 	s.setPassive(false)
-	s.assignments.Again()
+	s.assignments.Refresh()
 }
 
 // awaitInstances waits for the list of instances, and tells whether it has come.
@@ -97,7 +97,7 @@
 
 func (s *replicator) hasCopies() bool {
 	for _, m := range s.polledMirrors {
-		if m.Reached() == 0 {
+		if m.Revision() == 0 {
 			return false
 		}
 	}
--- a/gateway/instance/metrics.go
+++ b/gateway/instance/metrics.go
@@ -57,5 +57,5 @@
 	}
 	r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "basilcross_log_bytes_total", Help: "Bytes of log lines written.",
-	}, func() float64 { return float64(i.sink.Written.Load()) }))
+	}, func() float64 { return float64(i.sink.BytesWritten.Load()) }))
 }
--- a/gateway/instance/passage.go
+++ b/gateway/instance/passage.go
@@ -14,13 +14,13 @@
 // forward tells the zone what the feed brought, and the last changes before it
 // once more: datagrams get lost, and a gap costs each listener a call. Rows too
 // large for a datagram are asked for.
-func (s *replicator) forward(table string, p mirror.Passage) {
+func (s *replicator) forward(table string, p mirror.ForwardedUpdate) {
 	if s.zoneSize() <= 1 {
 		return
 	}
 	parts := splitUpdate(table, s.recent.withPrevious(table, p))
 	if parts == nil {
-		parts = []*peers.TableUpdate{{Table: table, From: p.From, To: p.To, NewestChange: p.Newest, Fetch: true}}
+		parts = []*peers.TableUpdate{{Table: table, From: p.From, To: p.To, NewestChange: p.NewestChange, Fetch: true}}
 	}
 	for _, m := range parts {
 		s.sendToZone(&peers.Message{TableUpdate: m})
@@ -28,7 +28,7 @@
 }
 
 // splitUpdate cuts a passage into pieces that fit; none if a row does not.
-func splitUpdate(table string, p mirror.Passage) []*peers.TableUpdate {
+func splitUpdate(table string, p mirror.ForwardedUpdate) []*peers.TableUpdate {
 	var parts []*peers.TableUpdate
 	part := &peers.TableUpdate{Table: table, From: p.From}
 	size := 0
@@ -50,7 +50,7 @@
 		part.Changes = append(part.Changes, peers.RowChange{Key: r.Key, Value: r.Value, Revision: r.Revision, Removed: r.Removed})
 		size += n
 	}
-	flush(p.To, p.Newest)
+	flush(p.To, p.NewestChange)
 	return parts
 }
 
@@ -60,15 +60,15 @@
 // recentUpdates keeps the last passages of each table that follow on each other.
 type recentUpdates struct {
 	mu      sync.Mutex
-	byTable map[string][]mirror.Passage
+	byTable map[string][]mirror.ForwardedUpdate
 }
 
 // withPrevious returns a passage together with the last ones before it.
-func (a *recentUpdates) withPrevious(table string, p mirror.Passage) mirror.Passage {
+func (a *recentUpdates) withPrevious(table string, p mirror.ForwardedUpdate) mirror.ForwardedUpdate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.byTable == nil {
-		a.byTable = map[string][]mirror.Passage{}
+		a.byTable = map[string][]mirror.ForwardedUpdate{}
 	}
 	list := a.byTable[table]
 	if n := len(list); n > 0 && list[n-1].To != p.From {
@@ -84,7 +84,7 @@
 	list = append(list, p)
 	list = list[max(0, len(list)-maxResentRows):]
 	a.byTable[table] = list
-	whole := mirror.Passage{From: list[0].From, To: p.To, Newest: p.Newest}
+	whole := mirror.ForwardedUpdate{From: list[0].From, To: p.To, NewestChange: p.NewestChange}
 	for _, l := range list {
 		whole.Rows = append(whole.Rows, l.Rows...)
 	}
@@ -96,7 +96,7 @@
 		s.requestIfBehind(from, r)
 		return
 	}
-	passage := mirror.Passage{From: r.From, To: r.To, Newest: r.NewestChange}
+	passage := mirror.ForwardedUpdate{From: r.From, To: r.To, NewestChange: r.NewestChange}
 	for _, row := range r.Changes {
 		passage.Rows = append(passage.Rows, platform.Row{
 			Table: r.Table, Key: row.Key, Value: row.Value, Revision: row.Revision, Removed: row.Removed,
@@ -108,7 +108,7 @@
 		}
 		// What does not follow on what is known is told again, or found out by
 		// the readers' signs of life.
-		_ = m.Pass(passage)
+		_ = m.ApplyForwarded(passage)
 	}
 }
 
@@ -118,7 +118,7 @@
 		return
 	}
 	for _, m := range s.polledMirrors {
-		if m.Table == r.Table && m.Reached() < r.To {
+		if m.Table == r.Table && m.Revision() < r.To {
 			s.requestCopy(from, m)
 		}
 	}
--- a/gateway/instance/replicator.go
+++ b/gateway/instance/replicator.go
@@ -91,9 +91,9 @@
 	for _, m := range s.polledMirrors {
 		switch {
 		case s.coordinatorSeenWithin(freshnessCheckDelay):
-			m.Prove(false)
-		case now.Sub(m.Answered()) > freshnessCheckDelay:
-			m.Prove(true)
+			m.CheckFreshness(false)
+		case now.Sub(m.LastResponse()) > freshnessCheckDelay:
+			m.CheckFreshness(true)
 		}
 	}
 	reads := s.feedsHealthy() && s.isFresh(now)
@@ -145,7 +145,7 @@
 		return true
 	}
 	for _, m := range s.polledMirrors {
-		if now.Sub(m.Answered()) > freshnessTTL {
+		if now.Sub(m.LastResponse()) > freshnessTTL {
 			return false
 		}
 	}
@@ -252,16 +252,16 @@
 	s.passive.Store(on)
 	event.Reading.Log(s.log, "listens", on)
 	for _, m := range s.polledMirrors {
-		m.Listen(on)
+		m.SetPassive(on)
 	}
 }
 
 func (s *replicator) sendHeartbeat() {
 	r := &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}, TargetsDigest: s.state.roster.Load().Digest}
 	for _, m := range s.polledMirrors {
-		r.MirrorRevisions[m.Table] = m.Reached()
+		r.MirrorRevisions[m.Table] = m.Revision()
 	}
-	r.MirrorRevisions[s.assignments.Table] = s.assignments.Newest()
+	r.MirrorRevisions[s.assignments.Table] = s.assignments.NewestChange()
 	s.sendToZone(&peers.Message{ReaderHeartbeat: r})
 }
 
@@ -280,7 +280,7 @@
 // restartFeeds begins the feeds anew.
 func (s *replicator) restartFeeds() {
 	for _, m := range s.polledMirrors {
-		m.Again()
+		m.Refresh()
 	}
 }
 
@@ -303,7 +303,7 @@
 // checkGaps sees to what no datagram brought.
 func (s *replicator) checkGaps(now time.Time) {
 	for _, m := range s.polledMirrors {
-		ahead := s.readerAhead(m.Table, m.Reached()+1)
+		ahead := s.readerAhead(m.Table, m.Revision()+1)
 		if ahead == "" {
 			delete(s.gaps, m.Table)
 			continue
@@ -318,7 +318,7 @@
 			s.requestCopy(ahead, m)
 		default:
 			delete(s.gaps, m.Table)
-			m.Again()
+			m.Refresh()
 		}
 	}
 }
@@ -372,7 +372,7 @@
 func (s *replicator) compareDigest(r *peers.ReaderHeartbeat) {
 	alike := r.TargetsDigest == 0 || r.TargetsDigest == s.state.roster.Load().Digest
 	for _, m := range s.polledMirrors {
-		alike = alike || m.Table == platform.TargetTable && m.Reached() < r.MirrorRevisions[m.Table]
+		alike = alike || m.Table == platform.TargetTable && m.Revision() < r.MirrorRevisions[m.Table]
 	}
 	if alike || !s.passive.Load() {
 		s.digestMismatches = 0
--- a/gateway/instance/replicator_test.go
+++ b/gateway/instance/replicator_test.go
@@ -89,7 +89,7 @@
 	i := testInstance()
 	s := i.replicator
 	for _, m := range s.polledMirrors {
-		m.Inject(platform.Row{Table: m.Table, Key: "x", Revision: 1})
+		m.ApplyRow(platform.Row{Table: m.Table, Key: "x", Revision: 1})
 	}
 	assert.Assert(t, s.feedsHealthy())
 	i.recordCoordinator("c", 3)
@@ -132,19 +132,19 @@
 // the listeners need not call the store, all at the same moment.
 func TestLostUpdateIsResent(t *testing.T) {
 	var a recentUpdates
-	first := mirror.Passage{From: 10, To: 12, Newest: 12, Rows: []platform.Row{targetRow("a", "ready", "0s", 12)}}
-	second := mirror.Passage{From: 12, To: 15, Newest: 14, Rows: []platform.Row{targetRow("b", "ready", "0s", 14)}}
+	first := mirror.ForwardedUpdate{From: 10, To: 12, NewestChange: 12, Rows: []platform.Row{targetRow("a", "ready", "0s", 12)}}
+	second := mirror.ForwardedUpdate{From: 12, To: 15, NewestChange: 14, Rows: []platform.Row{targetRow("b", "ready", "0s", 14)}}
 	a.withPrevious("t", first)
 	both := a.withPrevious("t", second)
 	assert.Equal(t, both.From, uint64(10))
 	assert.Equal(t, both.To, uint64(15))
-	assert.Equal(t, both.Newest, uint64(14))
+	assert.Equal(t, both.NewestChange, uint64(14))
 	assert.Equal(t, len(both.Rows), 2)
 	parts := splitUpdate("t", both)
 	assert.Equal(t, parts[0].From, uint64(10))
 	assert.Equal(t, parts[len(parts)-1].To, uint64(15))
 	// What follows on nothing stands alone: the reader has read the table anew.
-	alone := mirror.Passage{From: 20, To: 21}
+	alone := mirror.ForwardedUpdate{From: 20, To: 21}
 	assert.DeepEqual(t, a.withPrevious("t", alone), alone)
 }
 
@@ -174,7 +174,7 @@
 	poll.WaitOn(t, knows(1))
 	readers := i.state.roster.Load().Digest
 	i.replicator.setPassive(true)
-	reached := targets.Reached()
+	reached := targets.Revision()
 	assert.Assert(t, i.replicator.handleMessage(&peers.Message{TableUpdate: &peers.TableUpdate{
 		Table: platform.TargetTable, From: reached, To: reached + 1, NewestChange: reached + 1,
 		Changes: []peers.RowChange{{Key: "a", Revision: reached + 1, Removed: true}},
@@ -193,7 +193,7 @@
 // listener asks for its copy, once, instead of calling the store: there would be
 // a call of each instance for each configuration.
 func TestOversizedRowsAreFetchedFromReader(t *testing.T) {
-	large := mirror.Passage{From: 3, To: 5, Newest: 5, Rows: []platform.Row{{Key: "config", Value: make([]byte, 3*maxUpdateBytes), Revision: 5}}}
+	large := mirror.ForwardedUpdate{From: 3, To: 5, NewestChange: 5, Rows: []platform.Row{{Key: "config", Value: make([]byte, 3*maxUpdateBytes), Revision: 5}}}
 	assert.Assert(t, splitUpdate("op", large) == nil)
 	i := testInstance()
 	s := i.replicator
@@ -284,7 +284,7 @@
 	i := testInstance()
 	targets := i.replicator.polledMirrors[1]
 	row := targetRow("a", "ready", "0s", 7)
-	assert.Assert(t, targets.Offer(mirror.State{Table: platform.TargetTable, Revision: 12, Rows: []platform.Row{row}}))
+	assert.Assert(t, targets.ApplySnapshot(mirror.Snapshot{Table: platform.TargetTable, Revision: 12, Rows: []platform.Row{row}}))
 	c := &catchUp{i}
 	i.state.recordRevisions("c", map[string]uint64{platform.TargetTable: 9})
 	assert.Assert(t, !c.isBehind(targets))
--- a/gateway/instance/state.go
+++ b/gateway/instance/state.go
@@ -60,7 +60,7 @@
 	}
 	// Whoever reads the former list does not see what is appended.
 	moves := a.ownerChanges[old:]
-	for _, p := range a.assignment.Moved(next) {
+	for _, p := range a.assignment.OwnerChanges(next) {
 		moves = append(moves, ownerChange{p.First, p.Last, now})
 	}
 	return moves
@@ -80,7 +80,7 @@
 }
 
 // applyConfig puts a newer configuration in force. An older one never follows.
-func (s *state) applyConfig(c mirror.Change) {
+func (s *state) applyConfig(c mirror.Update) {
 	for _, r := range c.Rows {
 		if r.Key != platform.ConfigKey || r.Removed {
 			continue
@@ -100,11 +100,11 @@
 	}
 }
 
-func (s *state) applyTargets(c mirror.Change) {
+func (s *state) applyTargets(c mirror.Update) {
 	now := time.Now()
 	var came, left []*roster.Target
 	first := len(s.roster.Load().Targets) == 0
-	if c.Whole {
+	if c.Full {
 		list := make([]*roster.Target, 0, len(c.Rows))
 		for _, r := range c.Rows {
 			if t := s.parseTarget(r); t != nil {
@@ -123,7 +123,7 @@
 		}
 		came, left = s.roster.Apply(now, changes, c.Revision)
 	}
-	if first && c.Whole {
+	if first && c.Full {
 		event.TargetsLoaded.Log(s.log, "targets", len(came), "leaving", len(left), "revision", c.Revision)
 		return
 	}
@@ -164,7 +164,7 @@
 		a.Slots == b.Slots && a.Draining == b.Draining
 }
 
-func (s *state) applyAssignments(c mirror.Change) {
+func (s *state) applyAssignments(c mirror.Update) {
 	for _, r := range c.Rows {
 		if r.Removed || s.hasAssignment(r.Key, r.Revision) {
 			continue
@@ -271,11 +271,11 @@
 }
 
 // applyInstances returns all instances known.
-func (s *state) applyInstances(c mirror.Change) map[string]peers.Instance {
+func (s *state) applyInstances(c mirror.Update) map[string]peers.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := map[string]peers.Instance{}
-	if !c.Whole {
+	if !c.Full {
 		for name, i := range s.instances {
 			all[name] = i
 		}
--- a/gateway/instance/state_test.go
+++ b/gateway/instance/state_test.go
@@ -18,8 +18,8 @@
 	a := &ownership.Assignment{Service: "s", Term: 1}
 	for k := range n {
 		a.Pieces = append(a.Pieces, ownership.Piece{
-			First: k * ownership.Keys / n, Last: (k+1)*ownership.Keys/n - 1, Owner: fmt.Sprintf("bakery-svc-%04d", k),
-			Born: 1700000000000, Address: "10.1.2.3:8080",
+			First: k * ownership.KeyCount / n, Last: (k+1)*ownership.KeyCount/n - 1, Owner: fmt.Sprintf("bakery-svc-%04d", k),
+			Started: 1700000000000, Address: "10.1.2.3:8080",
 		})
 	}
 	return a
@@ -29,7 +29,7 @@
 	t.Helper()
 	text, err := a.MarshalJSON()
 	assert.NilError(t, err)
-	i.assignments.Inject(platform.Row{Table: coordinator.AssignmentTable, Key: a.Service, Value: text, Revision: revision})
+	i.assignments.ApplyRow(platform.Row{Table: coordinator.AssignmentTable, Key: a.Service, Value: text, Revision: revision})
 }
 
 // Guards against an instance that gives others an assignment without the changes
--- a/gateway/lograte/lograte.go
+++ b/gateway/lograte/lograte.go
@@ -27,15 +27,15 @@
 	// Limit is how many lines an event may write in a second; zero is 400.
 	Limit int
 
-	counts *counts
+	counts *windowCounts
 	once   sync.Once
 }
 
-// counts are the lines of each event in the present window.
-type counts struct {
+// windowCounts are the lines of each event in the present window.
+type windowCounts struct {
 	mu    sync.Mutex
-	began time.Time
-	seen  map[int64]int
+	start time.Time
+	lines map[int64]int
 }
 
 // Enabled passes the question on.
@@ -43,22 +43,22 @@
 
 // WithAttrs returns a handler that counts together with this one.
 func (h *Handler) WithAttrs(a []slog.Attr) slog.Handler {
-	return &Handler{Next: h.Next.WithAttrs(a), Limit: h.Limit, counts: h.shared()}
+	return &Handler{Next: h.Next.WithAttrs(a), Limit: h.Limit, counts: h.sharedCounts()}
 }
 
 // WithGroup returns a handler that counts together with this one.
 func (h *Handler) WithGroup(name string) slog.Handler {
-	return &Handler{Next: h.Next.WithGroup(name), Limit: h.Limit, counts: h.shared()}
+	return &Handler{Next: h.Next.WithGroup(name), Limit: h.Limit, counts: h.sharedCounts()}
 }
 
 // Handle writes the line unless its event has written too many.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
-	c := h.shared()
-	number := numberOf(r)
+	c := h.sharedCounts()
+	number := eventNumber(r)
 	c.mu.Lock()
-	left := c.roll(r.Time, h.limit())
-	c.seen[number]++
-	over := number != 0 && c.seen[number] > h.limit()
+	left := c.rotate(r.Time, h.effectiveLimit())
+	c.lines[number]++
+	over := number != 0 && c.lines[number] > h.effectiveLimit()
 	c.mu.Unlock()
 	log := slog.New(h.Next)
 	for n, lines := range left {
@@ -70,30 +70,30 @@
 	return h.Next.Handle(ctx, r)
 }
 
-func (h *Handler) limit() int {
+func (h *Handler) effectiveLimit() int {
 	if h.Limit > 0 {
 		return h.Limit
 	}
 	return defaultLimit
 }
 
-func (h *Handler) shared() *counts {
+func (h *Handler) sharedCounts() *windowCounts {
 	h.once.Do(func() {
 		if h.counts == nil {
-			h.counts = &counts{seen: map[int64]int{}}
+			h.counts = &windowCounts{lines: map[int64]int{}}
 		}
 	})
 	return h.counts
 }
 
-// roll begins a new window if the present one is over, and returns how many
+// rotate begins a new window if the present one is over, and returns how many
 // lines of which events were left out in that.
-func (c *counts) roll(now time.Time, limit int) map[int64]int {
-	if now.Sub(c.began) < window {
+func (c *windowCounts) rotate(now time.Time, limit int) map[int64]int {
+	if now.Sub(c.start) < window {
 		return nil
 	}
 	var left map[int64]int
-	for n, seen := range c.seen {
+	for n, seen := range c.lines {
 		if n == 0 || seen <= limit {
 			continue
 		}
@@ -102,13 +102,13 @@
 		}
 		left[n] = seen - limit
 	}
-	c.began = now
-	clear(c.seen)
+	c.start = now
+	clear(c.lines)
 	return left
 }
 
-// numberOf returns the event's number; 0 if the line has none.
-func numberOf(r slog.Record) (number int64) {
+// eventNumber returns the event's number; 0 if the line has none.
+func eventNumber(r slog.Record) (number int64) {
 	r.Attrs(func(a slog.Attr) bool {
 		if a.Key == event.NumberKey {
 			number = a.Value.Int64()
--- a/gateway/lograte/lograte_test.go
+++ b/gateway/lograte/lograte_test.go
@@ -16,7 +16,7 @@
 
 // A target answers nothing, and each of thousands of attempts writes a line.
 // Other events' lines come through, and what was left out is counted.
-func TestOneEventDoesNotPushOutOthers(t *testing.T) {
+func TestFrequentEventDoesNotSuppressOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		log := slog.New(&lograte.Handler{Next: slog.NewJSONHandler(&out, nil), Limit: 5}).With("instance", "gw")
--- a/gateway/logsink/logsink.go
+++ b/gateway/logsink/logsink.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// room is how many lines may wait for a slow reader.
-	room = 2048
-	// reportEvery is how often lines left out are counted in a line of their own.
-	reportEvery = time.Second
+	// queueCapacity is how many lines may wait for a slow reader.
+	queueCapacity = 2048
+	// reportInterval is how often lines left out are counted in a line of their own.
+	reportInterval = time.Second
 )
 
 // Sink is an io.Writer for one line each. Create it with New.
 type Sink struct {
-	out   io.Writer
-	lines *ring.Ring[[]byte]
-	told  uint64
-	// Written counts the bytes handed on.
-	Written atomic.Uint64
+	out           io.Writer
+	lines         *ring.Ring[[]byte]
+	reportedDrops uint64
+	// BytesWritten counts the bytes handed on.
+	BytesWritten atomic.Uint64
 }
 
 // New returns a sink that writes to out as long as Serve runs.
 func New(out io.Writer) *Sink {
-	return &Sink{out: out, lines: ring.New[[]byte](room)}
+	return &Sink{out: out, lines: ring.New[[]byte](queueCapacity)}
 }
 
 // Write takes a line, or drops and counts it if too many wait.
@@ -41,14 +41,14 @@
 
 // Serve writes lines until the context ends, and then those that wait.
 func (s *Sink) Serve(ctx context.Context) error {
-	tick := time.NewTicker(reportEvery)
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case line := <-s.lines.Items():
-			s.put(line)
+			s.writeOut(line)
 		case <-tick.C:
-			s.report()
+			s.reportDrops()
 		case <-ctx.Done():
 			s.flush()
 			return ctx.Err()
@@ -60,25 +60,25 @@
 	for {
 		select {
 		case line := <-s.lines.Items():
-			s.put(line)
+			s.writeOut(line)
 		default:
-			s.report()
+			s.reportDrops()
 			return
 		}
 	}
 }
 
-// put writes a line. An error has nobody to be told to.
-func (s *Sink) put(line []byte) {
+// writeOut writes a line. An error has nobody to be told to.
+func (s *Sink) writeOut(line []byte) {
 	n, _ := s.out.Write(line)
-	s.Written.Add(uint64(max(n, 0)))
+	s.BytesWritten.Add(uint64(max(n, 0)))
 }
 
-func (s *Sink) report() {
+func (s *Sink) reportDrops() {
 	dropped := s.lines.Dropped()
-	if dropped == s.told {
+	if dropped == s.reportedDrops {
 		return
 	}
-	event.LinesLeftOut.Log(slog.New(slog.NewJSONHandler(s.out, nil)), "lines", dropped-s.told)
-	s.told = dropped
+	event.LinesLeftOut.Log(slog.New(slog.NewJSONHandler(s.out, nil)), "lines", dropped-s.reportedDrops)
+	s.reportedDrops = dropped
 }
--- a/gateway/logsink/logsink_test.go
+++ b/gateway/logsink/logsink_test.go
@@ -12,15 +12,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// stuck is a reader that takes nothing until it is let go.
-type stuck struct {
-	free chan struct{}
-	mu   sync.Mutex
-	text bytes.Buffer
+// blockedWriter is a reader that takes nothing until it is let go.
+type blockedWriter struct {
+	unblock chan struct{}
+	mu      sync.Mutex
+	text    bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.free
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.unblock
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.Write(p)
@@ -28,8 +28,8 @@
 
 // Whoever reads the log stops reading. Requests must go on; what was left out
 // is counted once the reader is back.
-func TestStoppedReaderBlocksNobody(t *testing.T) {
-	out := &stuck{free: make(chan struct{})}
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
+	out := &blockedWriter{unblock: make(chan struct{})}
 	sink := logsink.New(out)
 	log := slog.New(slog.NewJSONHandler(sink, nil))
 	ctx, cancel := context.WithCancel(t.Context())
@@ -38,7 +38,7 @@
 	for range 5000 {
 		log.Info("line")
 	}
-	close(out.free)
+	close(out.unblock)
 	cancel()
 	<-ended
 	out.mu.Lock()
--- a/gateway/main.go
+++ b/gateway/main.go
@@ -48,7 +48,7 @@
 	s.Bind(c.Flags())
 	c.AddCommand(serveCommand(), checkSettingsCommand())
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		if err := settings.FromEnvironment(c.Flags(), os.LookupEnv); err != nil {
+		if err := settings.ApplyEnvironment(c.Flags(), os.LookupEnv); err != nil {
 			return err
 		}
 		if err := s.Validate(); err != nil {
--- a/gateway/mirror/mirror.go
+++ b/gateway/mirror/mirror.go
@@ -25,84 +25,84 @@
 	// took while it was silent is never answered; the store's slowest answers
 	// take half a second.
 	readTimeout = 1500 * time.Millisecond
-	// proofWait is the same for the first feed after a failure: the store may
+	// probeWait is the same for the first feed after a failure: the store may
 	// have taken the call without ever answering it, and a long wait would not
 	// tell that from having no news.
-	proofWait  = 300 * time.Millisecond
-	proofGrace = 1200 * time.Millisecond
-	// proveEvery is how long a feed waits while its answers are needed as a proof.
-	proveEvery = 600 * time.Millisecond
-	// seriesGap is how long a feed waits at least for news that are not part of
+	probeWait  = 300 * time.Millisecond
+	probeGrace = 1200 * time.Millisecond
+	// freshnessWait is how long a feed waits while its answers are needed as a proof.
+	freshnessWait = 600 * time.Millisecond
+	// burstGap is how long a feed waits at least for news that are not part of
 	// a series.
-	seriesGap = 500 * time.Millisecond
-	// firstRetry and lastRetry bound the pause after a call that failed, unless
+	burstGap = 500 * time.Millisecond
+	// minBackoff and lastRetry bound the pause after a call that failed, unless
 	// Retry is set.
-	firstRetry = 100 * time.Millisecond
-	lastRetry  = 1600 * time.Millisecond
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 1600 * time.Millisecond
 )
 
-// Change is news of a table.
-type Change struct {
+// Update is news of a table.
+type Update struct {
 	// Rows are the rows that changed; all that there are, if Whole is set.
 	Rows     []platform.Row
-	Whole    bool
+	Full     bool
 	Revision uint64
 }
 
 // Mirror is the copy of a table. Table, Store, Log and Changed must be set.
 type Mirror struct {
 	Table string
-	// Pace is the pause after an answer with news, so that a series of changes
+	// BatchDelay is the pause after an answer with news, so that a series of changes
 	// costs one call instead of one each. It adds to the age of news.
-	Pace time.Duration
-	// MostPace, if set, bounds how much the pause grows while news come without
+	BatchDelay time.Duration
+	// MaxBatchDelay, if set, bounds how much the pause grows while news come without
 	// a break: it doubles each time.
-	MostPace time.Duration
-	// QuietPace is the pause after news that Minor says nobody waits for.
-	QuietPace time.Duration
-	// Minor, if set, tells of a change that others need not hear of, and that
+	MaxBatchDelay time.Duration
+	// MinorDelay is the pause after news that Minor says nobody waits for.
+	MinorDelay time.Duration
+	// IsMinor, if set, tells of a change that others need not hear of, and that
 	// can wait.
-	Minor func(old, next platform.Row) bool
+	IsMinor func(old, next platform.Row) bool
 	// OnDemand tables are not followed: they are read at the start, and when
 	// Again is called. Others bring their news.
 	OnDemand bool
-	// Late is how long the first read waits for Again.
-	Late time.Duration
-	// Retry, if set, returns the first and the longest pause after calls that failed.
-	Retry func() (first, most time.Duration)
-	Store *platform.Store
-	Log   *slog.Logger
-	// Changed is told of news, one call at a time.
-	Changed func(c Change)
-	// Encode returns the present row of a key that was injected without its value.
-	Encode func(key string) platform.Row
-	// Passed, if set, is told of what the feed brought: the changes after one
+	// InitialWait is how long the first read waits for Again.
+	InitialWait time.Duration
+	// Backoff, if set, returns the first and the longest pause after calls that failed.
+	Backoff func() (first, most time.Duration)
+	Store   *platform.Store
+	Log     *slog.Logger
+	// OnUpdate is told of news, one call at a time.
+	OnUpdate func(c Update)
+	// EncodeRow returns the present row of a key that was injected without its value.
+	EncodeRow func(key string) platform.Row
+	// Forward, if set, is told of what the feed brought: the changes after one
 	// revision up to another.
-	Passed func(p Passage)
+	Forward func(p ForwardedUpdate)
 
 	mu       sync.Mutex
 	rows     map[string]platform.Row
 	revision uint64
-	// newest is the revision of the newest change taken in.
-	newest  uint64
-	loaded  bool
-	failing time.Time
-	// answeredAt is when the store answered last.
-	answeredAt time.Time
-	// proving is set while the store's answers are needed as a proof.
-	proving  bool
-	interest chan struct{}
-	// filled is closed when the first copy has come.
-	filled chan struct{}
-	// listening is set while others pass the feed's news on.
-	listening bool
-	// passed is set if others passed on changes since the table was read whole,
+	// newestChange is the revision of the newest change taken in.
+	newestChange uint64
+	loaded       bool
+	failingSince time.Time
+	// lastResponse is when the store answered last.
+	lastResponse time.Time
+	// checkingFreshness is set while the store's answers are needed as a proof.
+	checkingFreshness bool
+	refreshRequests   chan struct{}
+	// firstLoad is closed when the first copy has come.
+	firstLoad chan struct{}
+	// passive is set while others pass the feed's news on.
+	passive bool
+	// hasPeerData is set if others passed on changes since the table was read whole,
 	// and reload if it is to be read so.
-	passed, reload bool
-	once           sync.Once
-	// series counts the answers with news that came without a break. It belongs
+	hasPeerData, reloadRequested bool
+	once                         sync.Once
+	// burst counts the answers with news that came without a break. It belongs
 	// to Serve.
-	series int
+	burst int
 }
 
 // Serve follows the table until the context ends.
@@ -110,46 +110,46 @@
 	retry := time.Duration(0)
 	for ctx.Err() == nil {
 		began := time.Now()
-		pace, err := m.next(ctx)
+		pace, err := m.step(ctx)
 		if err != nil {
-			m.failed(err)
-			first, most := m.retries()
+			m.recordFailure(err)
+			first, most := m.backoffBounds()
 			retry = min(max(2*retry, first), most)
-			m.rest(ctx, retry/2+rand.N(retry))
+			m.sleepUntilRefresh(ctx, retry/2+rand.N(retry))
 			continue
 		}
 		retry = 0
-		m.answered()
-		m.pause(ctx, m.slower(began, pace))
+		m.recordResponse()
+		m.sleep(ctx, m.batchDelay(began, pace))
 	}
 	return ctx.Err()
 }
 
-func (m *Mirror) retries() (first, most time.Duration) {
-	if m.Retry == nil {
-		return firstRetry, lastRetry
+func (m *Mirror) backoffBounds() (first, most time.Duration) {
+	if m.Backoff == nil {
+		return minBackoff, maxBackoff
 	}
-	return m.Retry()
+	return m.Backoff()
 }
 
-// slower returns the pause after a call that began at a time. News that were
+// batchDelay returns the pause after a call that began at a time. News that were
 // there at once, again and again, come in a series: each answer is paid, and a
 // longer pause puts more of them into one.
-func (m *Mirror) slower(began time.Time, pace time.Duration) time.Duration {
-	if pace != m.Pace || m.MostPace == 0 || time.Since(began) > seriesGap {
-		m.series = 0
+func (m *Mirror) batchDelay(began time.Time, pace time.Duration) time.Duration {
+	if pace != m.BatchDelay || m.MaxBatchDelay == 0 || time.Since(began) > burstGap {
+		m.burst = 0
 		return pace
 	}
-	pace = min(pace<<min(m.series, 10), m.MostPace)
-	m.series++
+	pace = min(pace<<min(m.burst, 10), m.MaxBatchDelay)
+	m.burst++
 	return pace
 }
 
-// Again ends a pause or a feed, because others have newer news.
-func (m *Mirror) Again() {
+// Refresh ends a pause or a feed, because others have newer news.
+func (m *Mirror) Refresh() {
 	m.init()
 	select {
-	case m.interest <- struct{}{}:
+	case m.refreshRequests <- struct{}{}:
 	default:
 	}
 }
@@ -157,26 +157,26 @@
 // Reload reads the whole table, because the copy is not like others.
 func (m *Mirror) Reload() {
 	m.mu.Lock()
-	m.reload = true
+	m.reloadRequested = true
 	m.mu.Unlock()
-	m.Again()
+	m.Refresh()
 }
 
-// takeReload tells once that the whole table is to be read: if that was asked
+// consumeReload tells once that the whole table is to be read: if that was asked
 // for, or before a copy that others kept up is followed by the feed again.
-func (m *Mirror) takeReload() bool {
+func (m *Mirror) consumeReload() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	reload := m.reload || m.passed && !m.listening && !m.OnDemand
-	m.reload = false
+	reload := m.reloadRequested || m.hasPeerData && !m.passive && !m.OnDemand
+	m.reloadRequested = false
 	return reload
 }
 
 func (m *Mirror) init() {
-	m.once.Do(func() { m.interest, m.filled = make(chan struct{}, 1), make(chan struct{}) })
+	m.once.Do(func() { m.refreshRequests, m.firstLoad = make(chan struct{}, 1), make(chan struct{}) })
 }
 
-func (m *Mirror) pause(ctx context.Context, d time.Duration) {
+func (m *Mirror) sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -185,85 +185,85 @@
 	}
 }
 
-// rest is a pause that Again ends: others may know that the store is back.
-func (m *Mirror) rest(ctx context.Context, d time.Duration) {
+// sleepUntilRefresh is a pause that Again ends: others may know that the store is back.
+func (m *Mirror) sleepUntilRefresh(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-m.interest:
-		if m.listens() || m.OnDemand && m.isLoaded() {
+	case <-m.refreshRequests:
+		if m.isPassive() || m.OnDemand && m.isLoaded() {
 			// What waits for Again next must hear it as well.
-			m.Again()
+			m.Refresh()
 		}
 	}
 }
 
-// next reads the table, or waits for its next change. It returns the pause that
+// step reads the table, or waits for its next change. It returns the pause that
 // is due then.
-func (m *Mirror) next(ctx context.Context) (pace time.Duration, err error) {
+func (m *Mirror) step(ctx context.Context) (pace time.Duration, err error) {
 	m.init()
 	loaded := m.isLoaded()
-	if !loaded && m.Late > 0 {
-		m.await(ctx)
+	if !loaded && m.InitialWait > 0 {
+		m.awaitFirstLoad(ctx)
 		loaded = m.isLoaded()
 	}
-	whole, wait := m.takeReload() || !loaded, feedWait
-	if !whole && (m.OnDemand || m.listens()) {
+	whole, wait := m.consumeReload() || !loaded, feedWait
+	if !whole && (m.OnDemand || m.isPassive()) {
 		select {
-		case <-m.interest:
+		case <-m.refreshRequests:
 		case <-ctx.Done():
 			return 0, ctx.Err()
 		}
-		whole, wait = m.OnDemand || m.takeReload(), 0
+		whole, wait = m.OnDemand || m.consumeReload(), 0
 	}
 	if whole {
-		return m.Pace, m.read(ctx)
+		return m.BatchDelay, m.readTable(ctx)
 	}
-	return m.follow(ctx, wait)
+	return m.pollFeed(ctx, wait)
 }
 
-// follow asks the feed for what has changed, and waits for it.
-func (m *Mirror) follow(ctx context.Context, wait time.Duration) (pace time.Duration, err error) {
+// pollFeed asks the feed for what has changed, and waits for it.
+func (m *Mirror) pollFeed(ctx context.Context, wait time.Duration) (pace time.Duration, err error) {
 	m.mu.Lock()
-	after, listening, failing, proving := m.revision, m.listening, !m.failing.IsZero(), m.proving
+	after, listening, failing, proving := m.revision, m.passive, !m.failingSince.IsZero(), m.checkingFreshness
 	m.mu.Unlock()
 	grace := feedGrace
 	switch {
 	case failing:
-		wait, grace = min(wait, proofWait), proofGrace
+		wait, grace = min(wait, probeWait), probeGrace
 	case proving:
-		wait, grace = min(wait, proveEvery), proofGrace
+		wait, grace = min(wait, freshnessWait), probeGrace
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+grace)
 	defer cancel()
 	if !listening {
-		stop := m.wake(ctx, cancel)
+		stop := m.cancelOnRefresh(ctx, cancel)
 		defer stop()
 	}
 	got, err := m.Store.Feed(ctx, m.Table, after, wait)
 	var compacted *platform.CompactedError
 	if errors.As(err, &compacted) {
 		event.HistoryLost.Log(m.Log, "table", m.Table, "after", after)
-		return m.Pace, m.read(ctx)
+		return m.BatchDelay, m.readTable(ctx)
 	}
 	if err != nil {
 		return 0, err
 	}
-	major := m.major(got.Rows)
-	m.apply(Change{Rows: got.Rows, Revision: got.Revision})
-	if m.Passed != nil && !listening {
+	major := m.majorChanges(got.Rows)
+	m.apply(Update{Rows: got.Rows, Revision: got.Revision})
+	if m.Forward != nil && !listening {
 		// Also without rows: who listens must know that there was nothing.
-		m.Passed(Passage{From: after, To: got.Revision, Newest: m.Newest(), Rows: major})
+		m.Forward(ForwardedUpdate{From: after, To: got.Revision, NewestChange: m.NewestChange(), Rows: major})
 	}
 	switch {
 	case len(got.Rows) == 0:
 		return 0, nil
 	case len(major) == 0:
-		return m.QuietPace, nil
+		return m.MinorDelay, nil
 	}
-	return m.Pace, nil
+	return m.BatchDelay, nil
 }
 
 func (m *Mirror) isLoaded() bool {
@@ -272,32 +272,32 @@
 	return m.loaded
 }
 
-// AwaitOthers has the copy wait for another instance's before it is read, as one
+// AwaitPeerCopy has the copy wait for another instance's before it is read, as one
 // that others keep up. It must be called before Serve.
-func (m *Mirror) AwaitOthers(atMost time.Duration) {
-	m.Late, m.listening = atMost, !m.OnDemand
+func (m *Mirror) AwaitPeerCopy(atMost time.Duration) {
+	m.InitialWait, m.passive = atMost, !m.OnDemand
 }
 
-// await waits for the first Again or another instance's copy, but not for long.
-func (m *Mirror) await(ctx context.Context) {
-	timer := time.NewTimer(m.Late)
+// awaitFirstLoad waits for the first Again or another instance's copy, but not for long.
+func (m *Mirror) awaitFirstLoad(ctx context.Context) {
+	timer := time.NewTimer(m.InitialWait)
 	defer timer.Stop()
 	select {
-	case <-m.interest:
-	case <-m.filled:
+	case <-m.refreshRequests:
+	case <-m.firstLoad:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	m.Late = 0
+	m.InitialWait = 0
 }
 
-// wake cancels the feed on Again.
-func (m *Mirror) wake(ctx context.Context, cancel func()) (stop func()) {
+// cancelOnRefresh cancels the feed on Again.
+func (m *Mirror) cancelOnRefresh(ctx context.Context, cancel func()) (stop func()) {
 	done := make(chan struct{})
 	group := &sync.WaitGroup{}
 	group.Go(func() {
 		select {
-		case <-m.interest:
+		case <-m.refreshRequests:
 			cancel()
 		case <-ctx.Done():
 		case <-done:
@@ -306,12 +306,12 @@
 	return func() { close(done); group.Wait() }
 }
 
-// read takes the whole table. Pages are from different moments; the feed goes
+// readTable takes the whole table. Pages are from different moments; the feed goes
 // on from the first one's and brings again what changed in between.
-func (m *Mirror) read(ctx context.Context) error {
+func (m *Mirror) readTable(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	whole := Change{Whole: true}
+	whole := Update{Full: true}
 	after := ""
 	for {
 		got, err := m.Store.Range(ctx, m.Table, "", after)
@@ -332,17 +332,17 @@
 }
 
 // apply takes in news unless it is older than what is known.
-func (m *Mirror) apply(c Change) {
+func (m *Mirror) apply(c Update) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if c.Whole && m.loaded && c.Revision < m.revision {
+	if c.Full && m.loaded && c.Revision < m.revision {
 		return
 	}
-	if m.rows == nil || c.Whole {
+	if m.rows == nil || c.Full {
 		m.rows = map[string]platform.Row{}
 	}
 	for _, r := range c.Rows {
-		m.newest = max(m.newest, r.Revision)
+		m.newestChange = max(m.newestChange, r.Revision)
 		if r.Removed {
 			delete(m.rows, r.Key)
 			continue
@@ -351,33 +351,33 @@
 	}
 	if !m.loaded {
 		m.init()
-		close(m.filled)
+		close(m.firstLoad)
 	}
 	m.loaded = true
-	m.passed = m.passed && !c.Whole
+	m.hasPeerData = m.hasPeerData && !c.Full
 	m.revision = max(m.revision, c.Revision)
-	if c.Whole || len(c.Rows) > 0 {
-		m.Changed(c)
+	if c.Full || len(c.Rows) > 0 {
+		m.OnUpdate(c)
 	}
 }
 
-func (m *Mirror) failed(err error) {
+func (m *Mirror) recordFailure(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.failing.IsZero() || errors.Is(err, context.Canceled) {
+	if !m.failingSince.IsZero() || errors.Is(err, context.Canceled) {
 		return
 	}
-	m.failing = time.Now()
+	m.failingSince = time.Now()
 	event.TableLost.Log(m.Log, "table", m.Table, "revision", m.revision, "error", err)
 }
 
-func (m *Mirror) answered() {
+func (m *Mirror) recordResponse() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.answeredAt = time.Now()
-	if m.failing.IsZero() {
+	m.lastResponse = time.Now()
+	if m.failingSince.IsZero() {
 		return
 	}
-	event.TableBack.Log(m.Log, "table", m.Table, "revision", m.revision, "afterMs", time.Since(m.failing).Milliseconds())
-	m.failing = time.Time{}
+	event.TableBack.Log(m.Log, "table", m.Table, "revision", m.revision, "afterMs", time.Since(m.failingSince).Milliseconds())
+	m.failingSince = time.Time{}
 }
--- a/gateway/mirror/mirror_test.go
+++ b/gateway/mirror/mirror_test.go
@@ -21,31 +21,31 @@
 	"gotest.tools/v3/poll"
 )
 
-type copyOf struct {
+type testMirror struct {
 	*mirror.Mirror
 	mu   sync.Mutex
 	rows map[string]string
 }
 
-func (c *copyOf) value(key string) string {
+func (c *testMirror) value(key string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rows[key]
 }
 
-func start(t *testing.T, onDemand bool) (*standin.Store, *copyOf) {
+func start(t *testing.T, onDemand bool) (*standin.Store, *testMirror) {
 	t.Helper()
 	fake := &standin.Store{}
 	server := httptest.NewServer(fake)
 	t.Cleanup(server.Close)
-	c := &copyOf{rows: map[string]string{}}
+	c := &testMirror{rows: map[string]string{}}
 	c.Mirror = &mirror.Mirror{
 		Table: "mine", OnDemand: onDemand, Log: slog.New(slog.DiscardHandler),
 		Store: &platform.Store{Address: strings.TrimPrefix(server.URL, "http://"), HTTP: server.Client()},
-		Changed: func(change mirror.Change) {
+		OnUpdate: func(change mirror.Update) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			if change.Whole {
+			if change.Full {
 				c.rows = map[string]string{}
 			}
 			for _, r := range change.Rows {
@@ -64,7 +64,7 @@
 	return fake, c
 }
 
-func await(t *testing.T, c *copyOf, key, want string) {
+func await(t *testing.T, c *testMirror, key, want string) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if got := c.value(key); got != want {
@@ -86,7 +86,7 @@
 
 // The store forgets its history while this instance was not told of a change
 // and a removal. The table is read whole: nothing stale may remain.
-func TestHistoryLost(t *testing.T) {
+func TestFullReadAfterHistoryIsCompacted(t *testing.T) {
 	fake, c := start(t, false)
 	fake.Put("mine", "a", []byte("1"))
 	fake.Put("mine", "b", []byte("1"))
@@ -100,11 +100,11 @@
 	await(t, c, "b", "")
 }
 
-func TestOnDemandIsReadWhenAsked(t *testing.T) {
+func TestOnDemandTableIsReadOnRefresh(t *testing.T) {
 	fake, c := start(t, true)
 	fake.Put("mine", "a", []byte("1"))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		c.Again()
+		c.Refresh()
 		if c.value("a") == "1" {
 			return poll.Success()
 		}
@@ -114,23 +114,23 @@
 
 // Another instance offers its copy while the store is away. A newer one is
 // taken, an older one must not undo what is known.
-func TestOffersOfOthers(t *testing.T) {
+func TestOnlyNewerSnapshotsAreApplied(t *testing.T) {
 	fake, c := start(t, false)
 	fake.Put("mine", "a", []byte("1"))
 	await(t, c, "a", "1")
-	s, ok := c.State()
+	s, ok := c.Snapshot()
 	assert.Assert(t, ok)
-	newer := mirror.State{Table: "mine", Revision: s.Revision + 5, Rows: []platform.Row{{Table: "mine", Key: "a", Value: []byte("5"), Revision: s.Revision + 5}}}
-	assert.Assert(t, c.Offer(newer))
+	newer := mirror.Snapshot{Table: "mine", Revision: s.Revision + 5, Rows: []platform.Row{{Table: "mine", Key: "a", Value: []byte("5"), Revision: s.Revision + 5}}}
+	assert.Assert(t, c.ApplySnapshot(newer))
 	assert.Equal(t, c.value("a"), "5")
-	assert.Assert(t, !c.Offer(s))
+	assert.Assert(t, !c.ApplySnapshot(s))
 	assert.Equal(t, c.value("a"), "5")
 }
 
 // The store takes a feed's call while it is silent, and never answers it. It is
 // back soon, and a configuration is written: waiting for the feed's usual half
 // minute would leave the old one in force.
-func TestFeedTakenInSilenceIsGivenUp(t *testing.T) {
+func TestUnansweredFeedCallTimesOut(t *testing.T) {
 	fake, c := start(t, false)
 	fake.Put("mine", "a", []byte("1"))
 	await(t, c, "a", "1")
@@ -164,21 +164,21 @@
 // row only its newest state, so a reader may not know yet what is nothing new
 // to the other one. It must not take its word, or some targets stay unknown to
 // it and to all who listen to it.
-func TestFollowerTakesNothingFromOthers(t *testing.T) {
+func TestPollingMirrorIgnoresForwardedUpdates(t *testing.T) {
 	fake, c := start(t, false)
 	fake.Put("mine", "a", []byte("1"))
 	await(t, c, "a", "1")
-	reached := c.Reached()
-	assert.Assert(t, c.Pass(mirror.Passage{From: reached, To: reached + 100}))
-	assert.Equal(t, c.Reached(), reached)
+	reached := c.Revision()
+	assert.Assert(t, c.ApplyForwarded(mirror.ForwardedUpdate{From: reached, To: reached + 100}))
+	assert.Equal(t, c.Revision(), reached)
 	fake.Put("mine", "b", []byte("2"))
 	await(t, c, "b", "2")
 }
 
-// direct reaches the stand-in without a network, so that time can be virtual.
-type direct struct{ *standin.Store }
+// storeTransport reaches the stand-in without a network, so that time can be virtual.
+type storeTransport struct{ *standin.Store }
 
-func (d direct) RoundTrip(r *http.Request) (*http.Response, error) {
+func (d storeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	answer := httptest.NewRecorder()
 	d.ServeHTTP(answer, r)
 	if err := r.Context().Err(); err != nil {
@@ -187,9 +187,9 @@
 	return answer.Result(), nil
 }
 
-// virtual plays a copy in virtual time. Every sleep lasts until nothing is under
+// runInBubble plays a copy in virtual time. Every sleep lasts until nothing is under
 // way any more.
-func virtual(t *testing.T, play func(t *testing.T, fake *standin.Store, m *mirror.Mirror, knows func(key string) bool)) {
+func runInBubble(t *testing.T, play func(t *testing.T, fake *standin.Store, m *mirror.Mirror, knows func(key string) bool)) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := &standin.Store{}
 		fake.Put("mine", "a", []byte("1"))
@@ -197,8 +197,8 @@
 		known := map[string]bool{}
 		m := &mirror.Mirror{
 			Table: "mine", Log: slog.New(slog.DiscardHandler),
-			Store: &platform.Store{Address: "store", HTTP: &http.Client{Transport: direct{fake}}},
-			Changed: func(c mirror.Change) {
+			Store: &platform.Store{Address: "store", HTTP: &http.Client{Transport: storeTransport{fake}}},
+			OnUpdate: func(c mirror.Update) {
 				mu.Lock()
 				defer mu.Unlock()
 				for _, r := range c.Rows {
@@ -222,16 +222,16 @@
 
 // Whoever listened and follows the feed again reads the whole table first,
 // since others left out what was nothing new to them.
-func TestListenerReadsAllBeforeItFollows(t *testing.T) {
-	virtual(t, func(t *testing.T, fake *standin.Store, m *mirror.Mirror, knows func(string) bool) {
-		m.Listen(true)
+func TestPassiveMirrorReadsTableBeforePolling(t *testing.T) {
+	runInBubble(t, func(t *testing.T, fake *standin.Store, m *mirror.Mirror, knows func(string) bool) {
+		m.SetPassive(true)
 		time.Sleep(time.Minute)
 		fake.Put("mine", "b", []byte("2"))
 		to := fake.Put("other", "x", nil)
-		assert.Check(t, m.Pass(mirror.Passage{From: m.Reached(), To: to}))
+		assert.Check(t, m.ApplyForwarded(mirror.ForwardedUpdate{From: m.Revision(), To: to}))
 		time.Sleep(time.Minute)
 		assert.Check(t, !knows("b"))
-		m.Listen(false)
+		m.SetPassive(false)
 		time.Sleep(time.Second)
 		assert.Check(t, knows("b"))
 	})
@@ -240,26 +240,26 @@
 // A listener asks the feed for a gap long after its last call. It must ask from
 // where the others' passages have brought it, not from where it stood when it
 // began to listen: that history may be gone.
-func TestListenerAsksFromWhereItIs(t *testing.T) {
-	virtual(t, func(t *testing.T, fake *standin.Store, m *mirror.Mirror, knows func(string) bool) {
-		m.Listen(true)
+func TestPassiveMirrorPollsFromForwardedRevision(t *testing.T) {
+	runInBubble(t, func(t *testing.T, fake *standin.Store, m *mirror.Mirror, knows func(string) bool) {
+		m.SetPassive(true)
 		time.Sleep(time.Minute)
 		to := fake.Put("mine", "b", []byte("2"))
-		assert.Check(t, m.Pass(mirror.Passage{From: m.Reached(), To: to}))
+		assert.Check(t, m.ApplyForwarded(mirror.ForwardedUpdate{From: m.Revision(), To: to}))
 		fake.Compact()
 		fake.Put("mine", "c", []byte("3"))
 		reads := fake.RangeCount("mine")
-		m.Again()
+		m.Refresh()
 		time.Sleep(time.Second)
 		assert.Check(t, knows("c"))
 		assert.Check(t, fake.RangeCount("mine") == reads, "the whole table was read again")
 	})
 }
 
-// answers is a store that is down until it is told otherwise.
-type answers struct{ up atomic.Bool }
+// switchableStore is a store that is down until it is told otherwise.
+type switchableStore struct{ up atomic.Bool }
 
-func (a *answers) RoundTrip(r *http.Request) (*http.Response, error) {
+func (a *switchableStore) RoundTrip(r *http.Request) (*http.Response, error) {
 	res := &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody, Request: r}
 	if a.up.Load() {
 		res.StatusCode = http.StatusOK
@@ -271,14 +271,14 @@
 // The store was down for long, so the pauses between calls are long too. Another
 // instance tells that it is back; the rest of the pause would only make news
 // older, and the users count their time from the store's return.
-func TestAgainEndsThePauseAfterFailures(t *testing.T) {
+func TestRefreshEndsBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &answers{}
+		store := &switchableStore{}
 		changed := make(chan time.Time, 1)
 		m := &mirror.Mirror{
 			Table: "mine", OnDemand: true, Log: slog.New(slog.DiscardHandler),
-			Store:   &platform.Store{Address: "store", HTTP: &http.Client{Transport: store}},
-			Changed: func(mirror.Change) { changed <- time.Now() },
+			Store:    &platform.Store{Address: "store", HTTP: &http.Client{Transport: store}},
+			OnUpdate: func(mirror.Update) { changed <- time.Now() },
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		var group sync.WaitGroup
@@ -287,7 +287,7 @@
 		synctest.Wait()
 		store.up.Store(true)
 		back := time.Now()
-		m.Again()
+		m.Refresh()
 		took := (<-changed).Sub(back)
 		cancel()
 		group.Wait()
@@ -295,10 +295,10 @@
 	})
 }
 
-// stream is a store whose table changes all the time.
-type stream struct{ calls atomic.Int64 }
+// changingStore is a store whose table changes all the time.
+type changingStore struct{ calls atomic.Int64 }
 
-func (s *stream) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *changingStore) RoundTrip(r *http.Request) (*http.Response, error) {
 	n := strconv.FormatInt(s.calls.Add(1), 10)
 	text := `{"rows":[{"table":"mine","key":"a","value":"MQ==","ver":` + n + `}],"ver":` + n + `,"now":"1s"}`
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text)), Request: r}, nil
@@ -306,15 +306,15 @@
 
 // Configurations come every few milliseconds. Each instance would call for each
 // of them; the pause grows instead, and never beyond what callers may wait.
-func TestSeriesOfChangesCostsFewCalls(t *testing.T) {
+func TestBurstOfChangesCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &stream{}
+		store := &changingStore{}
 		var last time.Time
 		var most time.Duration
 		m := &mirror.Mirror{
-			Table: "mine", Pace: 60 * time.Millisecond, MostPace: 480 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
+			Table: "mine", BatchDelay: 60 * time.Millisecond, MaxBatchDelay: 480 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
 			Store: &platform.Store{Address: "store", HTTP: &http.Client{Transport: store}},
-			Changed: func(mirror.Change) {
+			OnUpdate: func(mirror.Update) {
 				if !last.IsZero() {
 					most = max(most, time.Since(last))
 				}
--- a/gateway/mirror/passage.go
+++ b/gateway/mirror/passage.go
@@ -4,15 +4,15 @@
 	"basilcross.example/platform"
 )
 
-func (m *Mirror) listens() bool {
+func (m *Mirror) isPassive() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.listening
+	return m.passive
 }
 
-// major returns the changes that others must hear of.
-func (m *Mirror) major(rows []platform.Row) []platform.Row {
-	if m.Minor == nil {
+// majorChanges returns the changes that others must hear of.
+func (m *Mirror) majorChanges(rows []platform.Row) []platform.Row {
+	if m.IsMinor == nil {
 		return rows
 	}
 	m.mu.Lock()
@@ -20,7 +20,7 @@
 	var major []platform.Row
 	told := map[string]bool{}
 	for _, r := range rows {
-		if old, known := m.rows[r.Key]; told[r.Key] || !known || !m.Minor(old, r) {
+		if old, known := m.rows[r.Key]; told[r.Key] || !known || !m.IsMinor(old, r) {
 			major = append(major, r)
 			told[r.Key] = true
 		}
@@ -28,35 +28,35 @@
 	return major
 }
 
-// Passage is all changes of a table after From up to To that others must hear
+// ForwardedUpdate is all changes of a table after From up to To that others must hear
 // of. Newest is the revision of the newest change, told or not.
-type Passage struct {
-	From, To uint64
-	Newest   uint64
-	Rows     []platform.Row
+type ForwardedUpdate struct {
+	From, To     uint64
+	NewestChange uint64
+	Rows         []platform.Row
 }
 
-// Listen stops following the feed, because others pass its news on, or begins
+// SetPassive stops following the feed, because others pass its news on, or begins
 // it again.
-func (m *Mirror) Listen(on bool) {
+func (m *Mirror) SetPassive(on bool) {
 	m.mu.Lock()
-	same := m.listening == on
-	m.listening = on
+	same := m.passive == on
+	m.passive = on
 	m.mu.Unlock()
 	if !same {
-		m.Again()
+		m.Refresh()
 	}
 }
 
-// Pass takes in what another instance's feed brought, and tells whether it
+// ApplyForwarded takes in what another instance's feed brought, and tells whether it
 // follows on what is known here. A copy that follows the feed itself takes
 // nothing from others: a feed that is read in parts tells of each row only its
 // newest state, so what is new here may be nothing new to the one that passes
 // it on, and would be missing for good.
-func (m *Mirror) Pass(p Passage) bool {
+func (m *Mirror) ApplyForwarded(p ForwardedUpdate) bool {
 	m.mu.Lock()
 	revision, loaded := m.revision, m.loaded
-	follows := !m.listening && m.failing.IsZero()
+	follows := !m.passive && m.failingSince.IsZero()
 	m.mu.Unlock()
 	switch {
 	case follows && loaded:
@@ -66,10 +66,10 @@
 	case revision >= p.To:
 		return true
 	}
-	m.apply(Change{Rows: p.Rows, Revision: p.To})
+	m.apply(Update{Rows: p.Rows, Revision: p.To})
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.newest = max(m.newest, p.Newest)
-	m.passed = true
+	m.newestChange = max(m.newestChange, p.NewestChange)
+	m.hasPeerData = true
 	return true
 }
--- a/gateway/operator/operator.go
+++ b/gateway/operator/operator.go
@@ -11,10 +11,10 @@
 	"strings"
 )
 
-// Gate lets calls through by bearer token. A file that is not set asks for
+// Authorizer lets calls through by bearer token. A file that is not set asks for
 // nothing: the admin address is then only as safe as its network. The files
 // are read at each call, so tokens change without a restart.
-type Gate struct {
+type Authorizer struct {
 	// ReadFile holds the token that may read, ChangeFile the one that may
 	// read and change.
 	ReadFile   string
@@ -29,8 +29,8 @@
 
 func (e *DeniedError) Error() string { return e.Reason }
 
-// Check tells whether the request may go on.
-func (g *Gate) Check(r *http.Request) error {
+// Authorize tells whether the request may go on.
+func (g *Authorizer) Authorize(r *http.Request) error {
 	files := []string{g.ChangeFile}
 	if r.Method == http.MethodGet {
 		files = append(files, g.ReadFile)
@@ -42,7 +42,7 @@
 			continue
 		}
 		open = false
-		match, err := holds(file, given)
+		match, err := fileHoldsToken(file, given)
 		if err != nil {
 			return &DeniedError{Status: http.StatusServiceUnavailable, Reason: err.Error()}
 		}
@@ -60,9 +60,9 @@
 	}
 }
 
-// holds compares hashes in constant time, so that neither the length nor the
+// fileHoldsToken compares hashes in constant time, so that neither the length nor the
 // beginning of the token can be found out by timing.
-func holds(file, given string) (bool, error) {
+func fileHoldsToken(file, given string) (bool, error) {
 	content, err := os.ReadFile(file) //nolint:gosec // named in the settings
 	if err != nil {
 		return false, fmt.Errorf("token file is not readable: %w", err)
@@ -72,10 +72,10 @@
 	return token != "" && subtle.ConstantTimeCompare(want[:], have[:]) == 1, nil
 }
 
-// Guard wraps a handler.
-func (g *Gate) Guard(next http.Handler) http.Handler {
+// Wrap wraps a handler.
+func (g *Authorizer) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if err := g.Check(r); err != nil {
+		if err := g.Authorize(r); err != nil {
 			status := http.StatusForbidden
 			var denied *DeniedError
 			if errors.As(err, &denied) {
--- a/gateway/relay/relay.go
+++ b/gateway/relay/relay.go
@@ -23,22 +23,22 @@
 const (
 	// directTimeout bounds the direct try where another way is left.
 	directTimeout = 400 * time.Millisecond
-	// directPause is how long the direct way is not tried after it failed
+	// directBackoff is how long the direct way is not tried after it failed
 	// and a relay worked.
-	directPause = 2 * time.Second
+	directBackoff = 2 * time.Second
 )
 
 // Client is a table client with a second way. All fields must be set.
 type Client struct {
 	Direct table.Client
 	// Peers returns the control addresses of other zones' leaders.
-	Peers func() []string
-	Calls *peer.Caller
-	Log   *slog.Logger
+	Peers  func() []string
+	Caller *peer.Caller
+	Log    *slog.Logger
 
-	mu      sync.Mutex
-	avoid   time.Time
-	relayed bool
+	mu               sync.Mutex
+	avoidDirectUntil time.Time
+	relaying         bool
 }
 
 // Transact tries the direct way, then one other leader.
@@ -48,8 +48,8 @@
 		return c.Direct.Transact(ctx, tx)
 	}
 	peer := peers[rand.IntN(len(peers))]
-	if c.avoiding() {
-		if res, err := c.through(ctx, peer, tx); err == nil {
+	if c.avoidsDirect() {
+		if res, err := c.transactVia(ctx, peer, tx); err == nil {
 			return res, nil
 		}
 	}
@@ -57,42 +57,42 @@
 	res, direct := c.Direct.Transact(directCtx, tx)
 	cancel()
 	if direct == nil {
-		c.note(false)
+		c.recordPath(false)
 		return res, nil
 	}
-	res, err := c.through(ctx, peer, tx)
+	res, err := c.transactVia(ctx, peer, tx)
 	if err != nil {
 		return table.Result{}, fmt.Errorf("%w; through %s: %w", direct, peer, err)
 	}
-	c.note(true)
+	c.recordPath(true)
 	return res, nil
 }
 
-func (c *Client) avoiding() bool {
+func (c *Client) avoidsDirect() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Now().Before(c.avoid)
+	return time.Now().Before(c.avoidDirectUntil)
 }
 
-func (c *Client) note(relayed bool) {
+func (c *Client) recordPath(relayed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if relayed {
-		c.avoid = time.Now().Add(directPause)
+		c.avoidDirectUntil = time.Now().Add(directBackoff)
 	}
-	if relayed && !c.relayed {
+	if relayed && !c.relaying {
 		event.RelayInUse.Log(c.Log)
 	}
-	c.relayed = relayed
+	c.relaying = relayed
 }
 
-func (c *Client) through(ctx context.Context, address string, tx table.Transaction) (table.Result, error) {
+func (c *Client) transactVia(ctx context.Context, address string, tx table.Transaction) (table.Result, error) {
 	var res table.Result
 	content, err := json.Marshal(tx)
 	if err != nil {
 		return res, err
 	}
-	answer, err := c.Calls.Zone(address).Transact(ctx, &control.TransactRequest{Transaction: content})
+	answer, err := c.Caller.Zone(address).Transact(ctx, &control.TransactRequest{Transaction: content})
 	if err != nil {
 		return res, err
 	}
--- a/gateway/settings/settings.go
+++ b/gateway/settings/settings.go
@@ -21,27 +21,27 @@
 
 // Settings are what an instance must know before it can ask anybody.
 type Settings struct {
-	Instance      string
-	Zone          string
-	Region        string
-	CallersListen string
-	ControlListen string
-	AdminListen   string
-	Advertise     string
-	Platform      string
-	Peers         []string
-	EgressProxy   string
-	TargetList    []string
-	LogFormat     string
-	LogLevel      string
-	Pprof         bool
-	ReadToken     string
-	ChangeToken   string
-	TLSCert       string
-	TLSKey        string
-	TLSAuthority  string
-	DrainWait     time.Duration
-	StopTimeout   time.Duration
+	Instance         string
+	Zone             string
+	Region           string
+	CallersListen    string
+	ControlListen    string
+	AdminListen      string
+	Advertise        string
+	PlatformURL      string
+	Peers            []string
+	EgressProxy      string
+	Targets          []string
+	LogFormat        string
+	LogLevel         string
+	Pprof            bool
+	ReadTokenFile    string
+	ChangeTokenFile  string
+	TLSCertFile      string
+	TLSKeyFile       string
+	TLSAuthorityFile string
+	DrainWait        time.Duration
+	StopTimeout      time.Duration
 }
 
 // Defaults returns settings with which one instance starts on its own.
@@ -73,24 +73,24 @@
 	f.StringVar(&s.ControlListen, "control-listen", s.ControlListen, "address for other instances")
 	f.StringVar(&s.AdminListen, "admin-listen", s.AdminListen, "address for operators, metrics and health")
 	f.StringVar(&s.Advertise, "advertise", s.Advertise, "address under which other instances reach control-listen; empty: the same")
-	f.StringVar(&s.Platform, "platform", s.Platform, "URL of the platform's table service; empty: a table in memory, for one instance")
+	f.StringVar(&s.PlatformURL, "platform", s.PlatformURL, "URL of the platform's table service; empty: a table in memory, for one instance")
 	f.StringSliceVar(&s.Peers, "peers", s.Peers, "control addresses to ask while the platform is out of reach")
 	f.StringVar(&s.EgressProxy, "egress-proxy", s.EgressProxy, "address of an HTTP CONNECT proxy for outgoing connections")
-	f.StringSliceVar(&s.TargetList, "target", s.TargetList, "without a platform: a target as service/id=host:port")
+	f.StringSliceVar(&s.Targets, "target", s.Targets, "without a platform: a target as service/id=host:port")
 	f.StringVar(&s.LogFormat, "log-format", s.LogFormat, "json or text")
 	f.StringVar(&s.LogLevel, "log-level", s.LogLevel, "debug, info, warn or error")
-	f.StringVar(&s.ReadToken, "read-token-file", s.ReadToken, "file with the bearer token that may read on the admin address; empty: nothing is asked for")
-	f.StringVar(&s.ChangeToken, "change-token-file", s.ChangeToken, "file with the bearer token that may read and change")
-	f.StringVar(&s.TLSCert, "tls-cert", s.TLSCert, "certificate for calls between instances, PEM; empty: no TLS")
-	f.StringVar(&s.TLSKey, "tls-key", s.TLSKey, "key of the certificate, PEM")
-	f.StringVar(&s.TLSAuthority, "tls-authority", s.TLSAuthority, "certificate of the authority that all instances' certificates come from, PEM")
+	f.StringVar(&s.ReadTokenFile, "read-token-file", s.ReadTokenFile, "file with the bearer token that may read on the admin address; empty: nothing is asked for")
+	f.StringVar(&s.ChangeTokenFile, "change-token-file", s.ChangeTokenFile, "file with the bearer token that may read and change")
+	f.StringVar(&s.TLSCertFile, "tls-cert", s.TLSCertFile, "certificate for calls between instances, PEM; empty: no TLS")
+	f.StringVar(&s.TLSKeyFile, "tls-key", s.TLSKeyFile, "key of the certificate, PEM")
+	f.StringVar(&s.TLSAuthorityFile, "tls-authority", s.TLSAuthorityFile, "certificate of the authority that all instances' certificates come from, PEM")
 	f.BoolVar(&s.Pprof, "pprof", s.Pprof, "serve profiles on the admin address")
 	f.DurationVar(&s.DrainWait, "drain-wait", s.DrainWait, "time between failing readiness and closing the listener")
 	f.DurationVar(&s.StopTimeout, "stop-timeout", s.StopTimeout, "longest wait for requests in flight at shutdown")
 }
 
-// FromEnvironment sets each flag that was not given from its variable.
-func FromEnvironment(f *pflag.FlagSet, lookup func(string) (string, bool)) error {
+// ApplyEnvironment sets each flag that was not given from its variable.
+func ApplyEnvironment(f *pflag.FlagSet, lookup func(string) (string, bool)) error {
 	var faults []error
 	f.VisitAll(func(flag *pflag.Flag) {
 		name := EnvPrefix + strings.ToUpper(strings.ReplaceAll(flag.Name, "-", "_"))
@@ -137,14 +137,14 @@
 	check(isAddress(s.AdminListen), "admin-listen", s.AdminListen, "host:port")
 	check(s.Advertise == "" || isAddress(s.Advertise), "advertise", s.Advertise, "host:port or nothing")
 	check(s.EgressProxy == "" || isAddress(s.EgressProxy), "egress-proxy", s.EgressProxy, "host:port or nothing")
-	check(s.Platform == "" || strings.HasPrefix(s.Platform, "http://") || strings.HasPrefix(s.Platform, "https://"),
-		"platform", s.Platform, "an http:// or https:// URL or nothing")
+	check(s.PlatformURL == "" || strings.HasPrefix(s.PlatformURL, "http://") || strings.HasPrefix(s.PlatformURL, "https://"),
+		"platform", s.PlatformURL, "an http:// or https:// URL or nothing")
 	for _, p := range s.Peers {
 		check(isAddress(p), "peers", p, "host:port")
 	}
-	check(s.Platform == "" || len(s.TargetList) == 0, "target", s.TargetList, "nothing, since the platform lists the targets")
-	check(s.ReadToken == "" || s.ChangeToken != "", "change-token-file", s.ChangeToken, "a file, since reading asks for a token")
-	check(allOrNone(s.TLSCert, s.TLSKey, s.TLSAuthority), "tls-cert", s.TLSCert, "set together with --tls-key and --tls-authority, or none of them")
+	check(s.PlatformURL == "" || len(s.Targets) == 0, "target", s.Targets, "nothing, since the platform lists the targets")
+	check(s.ReadTokenFile == "" || s.ChangeTokenFile != "", "change-token-file", s.ChangeTokenFile, "a file, since reading asks for a token")
+	check(allOrNone(s.TLSCertFile, s.TLSKeyFile, s.TLSAuthorityFile), "tls-cert", s.TLSCertFile, "set together with --tls-key and --tls-authority, or none of them")
 	check(s.LogFormat == "json" || s.LogFormat == "text", "log-format", s.LogFormat, "json or text")
 	check(slices.Contains([]string{"debug", "info", "warn", "error"}, s.LogLevel), "log-level", s.LogLevel, "debug, info, warn or error")
 	check(s.DrainWait >= 0 && s.DrainWait <= maxDrainWait, "drain-wait", s.DrainWait, "0s to 5m")
@@ -177,8 +177,8 @@
 	return err == nil && port != ""
 }
 
-// Address returns the address under which other instances reach this one.
-func (s *Settings) Address() string {
+// AdvertisedAddress returns the address under which other instances reach this one.
+func (s *Settings) AdvertisedAddress() string {
 	if s.Advertise != "" {
 		return s.Advertise
 	}
@@ -188,10 +188,10 @@
 // defaultSlots is what a target on the command line is taken to have.
 const defaultSlots = 4
 
-// ListedTargets parses the targets given without a platform.
-func (s *Settings) ListedTargets() ([]platform.Instance, error) {
-	listed := make([]platform.Instance, 0, len(s.TargetList))
-	for _, text := range s.TargetList {
+// ParseTargets parses the targets given without a platform.
+func (s *Settings) ParseTargets() ([]platform.Instance, error) {
+	listed := make([]platform.Instance, 0, len(s.Targets))
+	for _, text := range s.Targets {
 		name, address, hasAddress := strings.Cut(text, "=")
 		service, id, hasID := strings.Cut(name, "/")
 		if !hasAddress || !hasID || !isAddress(address) {
--- a/gateway/settings/settings_test.go
+++ b/gateway/settings/settings_test.go
@@ -16,7 +16,7 @@
 	assert.NilError(t, s.Validate())
 }
 
-func TestAllFaultsAreReportedTogether(t *testing.T) {
+func TestValidateReportsAllErrors(t *testing.T) {
 	s := settings.Defaults()
 	s.Zone = "a/b"
 	s.AdminListen = "8082"
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestFlagGoesBeforeEnvironment(t *testing.T) {
+func TestFlagOverridesEnvironment(t *testing.T) {
 	s := settings.Defaults()
 	f := pflag.NewFlagSet("gateway", pflag.ContinueOnError)
 	s.Bind(f)
@@ -37,13 +37,13 @@
 		value, ok := env[name]
 		return value, ok
 	}
-	assert.NilError(t, settings.FromEnvironment(f, lookup))
+	assert.NilError(t, settings.ApplyEnvironment(f, lookup))
 	assert.Equal(t, s.Zone, "graz")
 	assert.Equal(t, s.DrainWait, 9*time.Second)
 }
 
 // docs/SETTINGS.md is the golden file; run with -update to write it.
-func TestPageMatchesFlags(t *testing.T) {
+func TestSettingsPageMatchesFlags(t *testing.T) {
 	s := settings.Defaults()
 	s.Instance = "the host's name"
 	own := pflag.NewFlagSet("gateway", pflag.ContinueOnError)
