--- a/standin/demo/fault.go
+++ b/standin/demo/fault.go
@@ -78,7 +78,7 @@
 		_ = t.Start()
 	case "drainTarget":
 		f.history.AddLeaving(judge.Leaving{Target: fault.On, At: time.Now()})
-		f.store.Leave(fault.On, true)
+		f.store.SetLeaving(fault.On, true)
 	case "killGateway":
 		g.signal(syscall.SIGKILL)
 		return func() { _ = f.startGateway(g) }
@@ -115,10 +115,10 @@
 	case "storeDown":
 		return both(f.store.SetDown)
 	case "loseStoreAnswers":
-		return both(f.store.SetLose)
+		return both(f.store.SetLoseResponses)
 	case "storeSlow":
-		f.store.SetSlow(slowStore)
-		return func() { f.store.SetSlow(0) }
+		f.store.SetDelay(slowStore)
+		return func() { f.store.SetDelay(0) }
 	case "silenceConnections":
 		f.network.Silence()
 	case "resetConnections":
@@ -265,7 +265,7 @@
 
 func (f *fleet) probePart(ctx context.Context, ways []*caller.Gateway, part lost, began time.Time) int {
 	kind := f.probeKind(part.service)
-	key := caller.KeyIn(part.service, part.first, part.last)
+	key := caller.KeyInRange(part.service, part.first, part.last)
 	if key == "" {
 		return 0
 	}
