--- a/standin/experiment/arrivalorder.go
+++ b/standin/experiment/arrivalorder.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// fifoRun is a play in which requests wait at the targets.
+// fifoRun simulates first-in, first-out queues at the targets.
 type fifoRun struct {
 	eventLoop
 	random  *rand.Rand
@@ -15,55 +15,55 @@
 	report  *Report
 }
 
-// ArrivalOrder plays a load where nobody decides: each request goes to its target at
-// once, or to the one with the fewest under way, and waits there in order of arrival
-// until its deadline. Nobody comes back.
+// ArrivalOrder simulates a load without a scheduler: each request is sent at once to
+// its target, or to the one with the fewest requests, and waits there in order of
+// arrival until its deadline. Callers don't retry.
 func (l *Load) ArrivalOrder(level float64, seed uint64) *Report {
-	u := &fifoRun{random: rand.New(rand.NewPCG(seed, 23)), targets: l.simTargets(), report: l.newReport("arrivalOrder", level)}
-	u.busy, u.waiting = make([]int, len(u.targets)), make([][]*request, len(u.targets))
+	f := &fifoRun{random: rand.New(rand.NewPCG(seed, 23)), targets: l.simTargets(), report: l.newReport("arrivalOrder", level)}
+	f.busy, f.waiting = make([]int, len(f.targets)), make([][]*request, len(f.targets))
 	for _, r := range l.requests(level, seed) {
-		u.after(r.arrival+r.oneWayDelay, func() {
-			u.report.recordArrival(r)
+		f.after(r.arrival+r.oneWayDelay, func() {
+			f.report.recordArrival(r)
 			n := r.target
 			if n < 0 {
-				n = u.leastLoaded()
+				n = f.leastLoaded()
 			}
-			if u.random.Float64() < u.targets[n].ShedShare {
-				u.report.recordRefusal(r)
+			if f.random.Float64() < f.targets[n].ShedShare {
+				f.report.recordRefusal(r)
 				return
 			}
-			u.waiting[n] = append(u.waiting[n], r)
-			u.startWaiting(n)
+			f.waiting[n] = append(f.waiting[n], r)
+			f.startWaiting(n)
 		})
 	}
-	u.run()
-	return u.report
+	f.run()
+	return f.report
 }
 
-// startWaiting has a target work on what waits there, as far as it has slots.
-func (u *fifoRun) startWaiting(n int) {
-	for u.busy[n] < u.targets[n].Slots && len(u.waiting[n]) > 0 {
-		r := u.waiting[n][0]
-		u.waiting[n] = u.waiting[n][1:]
-		if u.now > r.arrival+millis(r.kind.Deadline) {
-			u.report.recordRefusal(r)
+// startWaiting starts the first waiting requests of target n while it has free slots.
+func (f *fifoRun) startWaiting(n int) {
+	for f.busy[n] < f.targets[n].Slots && len(f.waiting[n]) > 0 {
+		r := f.waiting[n][0]
+		f.waiting[n] = f.waiting[n][1:]
+		if f.now > r.arrival+millis(r.kind.Deadline) {
+			f.report.recordRefusal(r)
 			continue
 		}
-		u.report.recordQueueTime(r, u.now-r.arrival-r.oneWayDelay)
-		u.busy[n]++
-		u.after(time.Duration(float64(r.work)*u.targets[n].slownessAt(u.now)), func() {
-			u.busy[n]--
-			u.report.recordResponse(r, u.now+r.oneWayDelay)
-			u.startWaiting(n)
+		f.report.recordQueueTime(r, f.now-r.arrival-r.oneWayDelay)
+		f.busy[n]++
+		f.after(time.Duration(float64(r.work)*f.targets[n].slownessAt(f.now)), func() {
+			f.busy[n]--
+			f.report.recordResponse(r, f.now+r.oneWayDelay)
+			f.startWaiting(n)
 		})
 	}
 }
 
-// leastLoaded returns the target with the fewest requests.
-func (u *fifoRun) leastLoaded() int {
+// leastLoaded returns the target with the fewest executing and waiting requests.
+func (f *fifoRun) leastLoaded() int {
 	best := 0
-	for n := range u.targets {
-		if u.busy[n]+len(u.waiting[n]) < u.busy[best]+len(u.waiting[best]) {
+	for n := range f.targets {
+		if f.busy[n]+len(f.waiting[n]) < f.busy[best]+len(f.waiting[best]) {
 			best = n
 		}
 	}
--- a/standin/experiment/arrivals.go
+++ b/standin/experiment/arrivals.go
@@ -5,59 +5,59 @@
 	"time"
 )
 
-// request is one that comes, with all that only a queue that knows everything
-// could know of it.
+// request is one generated request, with its work, which only oracles (see
+// Load.Bound) may read in advance.
 type request struct {
 	kind *Kind
-	// kindNumber is the kind's.
+	// kindNumber is the kind's index + 1.
 	kindNumber  uint32
-	arrival      time.Duration
-	work    time.Duration
+	arrival     time.Duration
+	work        time.Duration
 	oneWayDelay time.Duration
-	// target is the only one that will do; -1 if any will.
-	target int
+	// target is the index of the only target that can serve it; -1 if any can.
+	target           int
 	retryImmediately bool
 }
 
-// simTarget is one target.
+// simTarget is one simulated target.
 type simTarget struct {
 	Target
-	// requestShare of the requests of a divided service.
+	// requestShare is the target's share of a sharded service's requests.
 	requestShare float64
 }
 
-// slownessAt is how long the server needs for the work of an average one.
-func (s *simTarget) slownessAt(at time.Duration) float64 {
-	if s.SlowDuration > 0 && at >= millis(s.SlowFrom) && at < millis(s.SlowFrom+s.SlowDuration) {
-		return s.Slowness * s.SlowFactor
+// slownessAt returns the processing time as a multiple of an average target's.
+func (t *simTarget) slownessAt(at time.Duration) float64 {
+	if t.SlowDuration > 0 && at >= millis(t.SlowFrom) && at < millis(t.SlowFrom+t.SlowDuration) {
+		return t.Slowness * t.SlowFactor
 	}
-	return s.Slowness
+	return t.Slowness
 }
 
-// simTargets returns the targets of a load. Keys are shared out by what each can do.
+// simTargets returns the targets of a load. Requests are divided in proportion to capacity.
 func (l *Load) simTargets() []*simTarget {
 	var list []*simTarget
-	can := 0.0
+	capacity := 0.0
 	for _, t := range l.Targets {
 		for range t.Count {
 			s := &simTarget{Target: t, requestShare: float64(t.Slots) / t.Slowness}
-			can += s.requestShare
+			capacity += s.requestShare
 			list = append(list, s)
 		}
 	}
-	for i, s := range list {
-		s.requestShare = s.requestShare / can * (1 - l.HotTargetShare)
+	for i, t := range list {
+		t.requestShare = t.requestShare / capacity * (1 - l.HotTargetShare)
 		if i == 0 {
-			s.requestShare += l.HotTargetShare
+			t.requestShare += l.HotTargetShare
 		}
 	}
 	return list
 }
 
-// requests draws what comes at a level of load.
+// requests generates the requests of a run at a level of load, with Poisson arrivals.
 func (l *Load) requests(level float64, seed uint64) []*request {
 	random := rand.New(rand.NewPCG(seed, 17))
-	servers := l.simTargets()
+	targets := l.simTargets()
 	rate := level * l.capacity()
 	var list []*request
 	for at := 0.0; ; {
@@ -71,24 +71,24 @@
 		r.work = millis(k.MeanWork * (1 + k.Spread*(2*random.Float64()-1)))
 		r.oneWayDelay = millis(l.OneWayDelays[random.IntN(len(l.OneWayDelays))])
 		if l.Sharded {
-			r.target = pickTarget(servers, random.Float64())
+			r.target = pickTarget(targets, random.Float64())
 		}
 		list = append(list, r)
 	}
 }
 
-// burstFactor is how many times as many requests as usual come.
+// burstFactor returns the factor on the request rate, at a time in seconds.
 func (l *Load) burstFactor(at float64) float64 {
-	times := 1.0
+	factor := 1.0
 	for _, b := range l.Bursts {
 		if at*1000 >= b.Start && at*1000 < b.Start+b.Duration {
-			times *= b.Factor
+			factor *= b.Factor
 		}
 	}
-	return times
+	return factor
 }
 
-// drawKind returns the number of a kind, by their shares.
+// drawKind returns the index of a random kind, weighted by the kinds' shares.
 func (l *Load) drawKind(random *rand.Rand) int {
 	sum := 0.0
 	for _, k := range l.Kinds {
@@ -103,11 +103,12 @@
 	return len(l.Kinds) - 1
 }
 
-func pickTarget(servers []*simTarget, at float64) int {
-	for n, s := range servers {
-		if at -= s.requestShare; at < 0 {
+// pickTarget returns the index of the target whose requestShare covers at, in [0, 1).
+func pickTarget(targets []*simTarget, at float64) int {
+	for n, t := range targets {
+		if at -= t.requestShare; at < 0 {
 			return n
 		}
 	}
-	return len(servers) - 1
+	return len(targets) - 1
 }
--- a/standin/experiment/bound.go
+++ b/standin/experiment/bound.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// orderFunc chooses which of the requests that wait goes first.
-type orderFunc func(k *oracleRun, a, b *request) bool
+// orderFunc reports whether a waiting request a is served before b.
+type orderFunc func(o *oracleRun, a, b *request) bool
 
-func byWorth(k *oracleRun, a, b *request) bool {
-	return a.kind.Worth*float64(k.expectedWork(b)) > b.kind.Worth*float64(k.expectedWork(a))
+// byWorth prefers the request with more worth per expected work.
+func byWorth(o *oracleRun, a, b *request) bool {
+	return a.kind.Worth*float64(o.expectedWork(b)) > b.kind.Worth*float64(o.expectedWork(a))
 }
 
 func byObjective(_ *oracleRun, a, b *request) bool {
@@ -15,23 +16,22 @@
 
 func newestFirst(_ *oracleRun, a, b *request) bool { return a.arrival > b.arrival }
 
-// policy is one way of deciding with foresight.
+// policy is a scheduling policy of an oracle, which sees future requests.
 type policy struct {
 	before orderFunc
-	// reservesSlots slots for requests that are still to come and worth more.
+	// reservesSlots keeps slots free for upcoming requests with more worth.
 	reservesSlots bool
-	// servesLate requests get slots that no other one could use.
+	// servesLate gives slots that no request in time can use to late requests.
 	servesLate bool
-	// estimatesWork takes each request for one of its kind, with the mean work and a
-	// share of the spread above it; otherwise its own work is known.
+	// estimatesWork uses the kind's mean work plus margin times its spread, instead
+	// of the request's actual work.
 	estimatesWork bool
-	margin    float64
+	margin        float64
 }
 
-// Bound is the best that a queue does at a level which knows all work, all speeds
-// and all that is still to come: no message takes time, nothing is refused by
-// chance, and what would be late is left out. It is the best of several orders, and
-// not the best there is.
+// Bound returns the report of the best of several policies that see each request's
+// work, all slowness and all future arrivals: messages have no delay, no target sheds,
+// and requests that would be late are refused. It isn't the optimum.
 func (l *Load) Bound(level float64, seed uint64) *Report {
 	var policies []policy
 	for _, before := range []orderFunc{byWorth, byObjective} {
@@ -40,15 +40,15 @@
 	return l.bestOf("bound", level, seed, policies)
 }
 
-// KindsBound is the same without knowledge that nobody can have: the work of a
-// single request. Its kind's mean and spread are known.
+// KindsBound is like Bound, but sees only the mean and spread of a kind's work, not a
+// single request's, which no scheduler can predict. Some policies serve late requests.
 func (l *Load) KindsBound(level float64, seed uint64) *Report {
 	var policies []policy
 	for _, before := range []orderFunc{byWorth, byObjective, newestFirst} {
 		for _, margin := range []float64{0, 0.5} {
-			for _, keeps := range []bool{false, true} {
+			for _, reserves := range []bool{false, true} {
 				for _, late := range []bool{false, true} {
-					policies = append(policies, policy{before, keeps, late, true, margin})
+					policies = append(policies, policy{before, reserves, late, true, margin})
 				}
 			}
 		}
@@ -56,168 +56,173 @@
 	return l.bestOf("kindsBound", level, seed, policies)
 }
 
-func (l *Load) bestOf(way string, level float64, seed uint64, policies []policy) *Report {
+// bestOf returns the report of the policy with the highest worth.
+func (l *Load) bestOf(strategy string, level float64, seed uint64, policies []policy) *Report {
 	var best *Report
 	for _, p := range policies {
-		if r := l.simulatePolicy(way, level, seed, p); best == nil || r.WorthShare() > best.WorthShare() {
+		if r := l.simulatePolicy(strategy, level, seed, p); best == nil || r.WorthShare() > best.WorthShare() {
 			best = r
 		}
 	}
 	return best
 }
 
-// oracleRun is a play of a policy.
+// oracleRun simulates a policy. Requests are grouped by target; without sharding, all
+// are in group 0.
 type oracleRun struct {
 	eventLoop
 	policy
 	targets []*simTarget
-	// slotFreeAt are when each slot of each server is free.
-	slotFreeAt    [][]time.Duration
-	waiting [][]*request
-	// upcoming are the requests of each group that are still to come.
+	// slotFreeAt is when each slot of each target becomes free.
+	slotFreeAt [][]time.Duration
+	waiting    [][]*request
+	// upcoming has each group's future requests, in order of arrival.
 	upcoming [][]*request
-	report *Report
+	report   *Report
 }
 
-func (l *Load) simulatePolicy(way string, level float64, seed uint64, p policy) *Report {
-	k := &oracleRun{targets: l.simTargets(), policy: p, report: l.newReport(way, level)}
-	for _, s := range k.targets {
-		k.slotFreeAt = append(k.slotFreeAt, make([]time.Duration, s.Slots))
+func (l *Load) simulatePolicy(strategy string, level float64, seed uint64, p policy) *Report {
+	o := &oracleRun{targets: l.simTargets(), policy: p, report: l.newReport(strategy, level)}
+	for _, t := range o.targets {
+		o.slotFreeAt = append(o.slotFreeAt, make([]time.Duration, t.Slots))
 	}
-	k.waiting = make([][]*request, len(k.targets))
-	k.upcoming = make([][]*request, len(k.targets))
+	o.waiting = make([][]*request, len(o.targets))
+	o.upcoming = make([][]*request, len(o.targets))
 	for _, r := range l.requests(level, seed) {
 		g := max(0, r.target)
-		k.upcoming[g] = append(k.upcoming[g], r)
-		k.after(r.arrival, func() {
-			k.report.recordArrival(r)
-			k.upcoming[g] = k.upcoming[g][1:]
-			k.waiting[g] = append(k.waiting[g], r)
-			k.assignSlots(g)
+		o.upcoming[g] = append(o.upcoming[g], r)
+		o.after(r.arrival, func() {
+			o.report.recordArrival(r)
+			o.upcoming[g] = o.upcoming[g][1:]
+			o.waiting[g] = append(o.waiting[g], r)
+			o.assignSlots(g)
 		})
 	}
-	k.run()
-	for _, list := range k.waiting {
+	o.run()
+	for _, list := range o.waiting {
 		for _, r := range list {
-			k.report.recordRefusal(r)
+			o.report.recordRefusal(r)
 		}
 	}
-	return k.report
+	return o.report
 }
 
-// expectedWork is what is known of a request's work.
-func (k *oracleRun) expectedWork(r *request) time.Duration {
-	if !k.estimatesWork {
+// expectedWork returns a request's work as the policy sees it.
+func (o *oracleRun) expectedWork(r *request) time.Duration {
+	if !o.estimatesWork {
 		return r.work
 	}
-	return millis(r.kind.MeanWork * (1 + k.margin*r.kind.Spread))
+	return millis(r.kind.MeanWork * (1 + o.margin*r.kind.Spread))
 }
 
-// assignSlots gives free slots of a group to requests that wait.
-func (k *oracleRun) assignSlots(g int) {
-	for len(k.waiting[g]) > 0 {
-		n, slot := k.fastestFreeSlot(g)
+// assignSlots gives free slots of a group to its waiting requests.
+func (o *oracleRun) assignSlots(g int) {
+	for len(o.waiting[g]) > 0 {
+		n, slot := o.fastestFreeSlot(g)
 		if n < 0 {
 			return
 		}
-		i := k.next(g, n)
+		i := o.next(g, n)
 		if i < 0 {
 			return
 		}
-		r := k.waiting[g][i]
-		k.waiting[g] = append(k.waiting[g][:i], k.waiting[g][i+1:]...)
-		took := time.Duration(float64(r.work) * k.targets[n].slownessAt(k.now))
-		k.slotFreeAt[n][slot] = k.now + took
-		k.report.recordResponse(r, k.now+took)
-		k.after(took, func() { k.assignSlots(g) })
+		r := o.waiting[g][i]
+		o.waiting[g] = append(o.waiting[g][:i], o.waiting[g][i+1:]...)
+		took := time.Duration(float64(r.work) * o.targets[n].slownessAt(o.now))
+		o.slotFreeAt[n][slot] = o.now + took
+		o.report.recordResponse(r, o.now+took)
+		o.after(took, func() { o.assignSlots(g) })
 	}
 }
 
-// fastestFreeSlot returns a free slot at the fastest server of a group.
-func (k *oracleRun) fastestFreeSlot(g int) (server, slot int) {
-	server = -1
-	for n := range k.targets {
-		if len(k.upcoming) == len(k.targets) && k.singleTarget(g) && n != g {
+// fastestFreeSlot returns a free slot at a group's fastest target; target is -1 if none is free.
+func (o *oracleRun) fastestFreeSlot(g int) (target, slot int) {
+	target = -1
+	for n := range o.targets {
+		if len(o.upcoming) == len(o.targets) && o.singleTarget(g) && n != g {
 			continue
 		}
-		for i, end := range k.slotFreeAt[n] {
-			if end <= k.now && (server < 0 || k.targets[n].slownessAt(k.now) < k.targets[server].slownessAt(k.now)) {
-				server, slot = n, i
+		for i, end := range o.slotFreeAt[n] {
+			if end <= o.now && (target < 0 || o.targets[n].slownessAt(o.now) < o.targets[target].slownessAt(o.now)) {
+				target, slot = n, i
 			}
 		}
 	}
-	return server, slot
+	return target, slot
 }
 
-// singleTarget tells whether a group's requests have one server.
-func (k *oracleRun) singleTarget(g int) bool { return len(k.waiting[g]) > 0 && k.waiting[g][0].target >= 0 }
+// singleTarget reports whether a group's requests can be served by one target only.
+func (o *oracleRun) singleTarget(g int) bool {
+	return len(o.waiting[g]) > 0 && o.waiting[g][0].target >= 0
+}
 
-// next returns the waiting request that goes first at a server, or -1.
-func (k *oracleRun) next(g, n int) int {
-	slow := k.targets[n].slownessAt(k.now)
-	k.dropExpired(g, slow)
-	if i := k.nextOf(g, n, slow, true); i >= 0 || !k.servesLate {
+// next returns the index of the waiting request to serve next at target n, or -1.
+func (o *oracleRun) next(g, n int) int {
+	slow := o.targets[n].slownessAt(o.now)
+	o.dropExpired(g, slow)
+	if i := o.nextOf(g, n, slow, true); i >= 0 || !o.servesLate {
 		return i
 	}
-	return k.nextOf(g, n, slow, false)
+	return o.nextOf(g, n, slow, false)
 }
 
-// dropExpired refuses those that cannot be served any more.
-func (k *oracleRun) dropExpired(g int, slow float64) {
-	left := k.waiting[g][:0:0]
-	for _, r := range k.waiting[g] {
-		until := r.kind.Objective
-		if k.servesLate {
-			until = r.kind.Deadline
+// dropExpired refuses waiting requests that can no longer be served in time.
+func (o *oracleRun) dropExpired(g int, slow float64) {
+	kept := o.waiting[g][:0:0]
+	for _, r := range o.waiting[g] {
+		limit := r.kind.Objective
+		if o.servesLate {
+			limit = r.kind.Deadline
 		}
-		if k.expectedEnd(r, slow) <= r.arrival+millis(until) {
-			left = append(left, r)
+		if o.expectedEnd(r, slow) <= r.arrival+millis(limit) {
+			kept = append(kept, r)
 			continue
 		}
-		k.report.recordRefusal(r)
+		o.report.recordRefusal(r)
 	}
-	k.waiting[g] = left
+	o.waiting[g] = kept
 }
 
-// expectedEnd is when a request that begins now is expected to end.
-func (k *oracleRun) expectedEnd(r *request, slow float64) time.Duration {
-	return k.now + time.Duration(float64(k.expectedWork(r))*slow)
+// expectedEnd returns when a request that starts now is expected to end.
+func (o *oracleRun) expectedEnd(r *request, slow float64) time.Duration {
+	return o.now + time.Duration(float64(o.expectedWork(r))*slow)
 }
 
-func (k *oracleRun) nextOf(g, n int, slow float64, inTime bool) int {
+// nextOf is next among the requests that would end in time, or among the late ones.
+func (o *oracleRun) nextOf(g, n int, slow float64, inTime bool) int {
 	best := -1
-	for i, r := range k.waiting[g] {
-		if inTime != (k.expectedEnd(r, slow) <= r.arrival+millis(r.kind.Objective)) {
+	for i, r := range o.waiting[g] {
+		if inTime != (o.expectedEnd(r, slow) <= r.arrival+millis(r.kind.Objective)) {
 			continue
 		}
-		if (best < 0 || k.before(k, r, k.waiting[g][best])) && !(k.reservesSlots && k.wouldDelay(g, n, r, slow)) {
+		if (best < 0 || o.before(o, r, o.waiting[g][best])) && !(o.reservesSlots && o.wouldDelay(g, n, r, slow)) {
 			best = i
 		}
 	}
 	return best
 }
 
-// wouldDelay tells whether a request would make one late that is still to come and is
-// worth more for its work, since no slot of the server would be free in time.
-func (k *oracleRun) wouldDelay(g, n int, r *request, slow float64) bool {
+// wouldDelay reports whether serving r would make an upcoming request with more worth
+// per work late, since no slot of the target would be free in time.
+func (o *oracleRun) wouldDelay(g, n int, r *request, slow float64) bool {
 	if r.target < 0 {
 		return false
 	}
-	free := k.expectedEnd(r, slow)
-	taken := false
-	for _, end := range k.slotFreeAt[n] {
-		if end <= k.now && !taken {
-			taken = true
+	free := o.expectedEnd(r, slow)
+	slotUsed := false
+	for _, end := range o.slotFreeAt[n] {
+		if end <= o.now && !slotUsed {
+			slotUsed = true
 			continue
 		}
-		free = min(free, max(end, k.now))
+		free = min(free, max(end, o.now))
 	}
-	for _, c := range k.upcoming[g] {
+	for _, c := range o.upcoming[g] {
 		if c.arrival > free {
 			return false
 		}
-		late := free+time.Duration(float64(k.expectedWork(c))*slow) > c.arrival+millis(c.kind.Objective)
-		if late && byWorth(k, c, r) {
+		late := free+time.Duration(float64(o.expectedWork(c))*slow) > c.arrival+millis(c.kind.Objective)
+		if late && byWorth(o, c, r) {
 			return true
 		}
 	}
--- a/standin/experiment/events.go
+++ b/standin/experiment/eventloop.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// eventLoop runs what is to happen, in order of time, and of those at the same time
-// in the order in which they were put in. The zero value is empty.
+// eventLoop runs functions in order of virtual time; those due at the same time run
+// in the order in which they were added. The zero value is an empty loop at time 0.
 type eventLoop struct {
 	now   time.Duration
-	queue  eventHeap
+	queue eventHeap
 	count int
 }
 
 type event struct {
-	at    time.Duration
+	at  time.Duration
 	seq int
-	fn    func()
+	fn  func()
 }
 
-// after has something happen later.
-func (e *eventLoop) after(d time.Duration, do func()) {
+// after runs fn when d has passed.
+func (e *eventLoop) after(d time.Duration, fn func()) {
 	e.count++
-	heap.Push(&e.queue, event{e.now + max(0, d), e.count, do})
+	heap.Push(&e.queue, event{e.now + max(0, d), e.count, fn})
 }
 
-// run goes on until nothing is to happen any more.
+// run runs events until none is left.
 func (e *eventLoop) run() {
 	for len(e.queue) > 0 {
 		next := heap.Pop(&e.queue).(event)
--- a/standin/experiment/experiment_test.go
+++ b/standin/experiment/experiment_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/golden"
 )
 
-// readLoads returns all loads that come with the program.
+// readLoads reads all loads in the folder loads.
 func readLoads(t *testing.T) []*Load {
 	t.Helper()
 	files, err := filepath.Glob("loads/*.json")
@@ -30,10 +30,10 @@
 	return list
 }
 
-// seedsPerLoad are played of each load.
+// seedsPerLoad is how many seeds, from 1 on, a result is averaged over.
 const seedsPerLoad = 4
 
-// shareOfBound is the worth that callers get at a level, as a share of a bound's.
+// shareOfBound returns the scheduler's worth at a level as a share of a bound's.
 func shareOfBound(t *testing.T, l *Load, level float64, boundAt func(level float64, seed uint64) *Report) float64 {
 	t.Helper()
 	got, bound := 0.0, 0.0
@@ -41,14 +41,14 @@
 		got += l.Simulate(level, seed+1).WorthShare()
 		bound += boundAt(level, seed+1).WorthShare()
 	}
-	t.Logf("%s at %.2f: %.3f, bound %.3f: %.3f of it", l.Name, level, got/seedsPerLoad, bound/seedsPerLoad, got/bound)
+	t.Logf("%s at %.2f: worth %.3f, bound %.3f, share %.3f", l.Name, level, got/seedsPerLoad, bound/seedsPerLoad, got/bound)
 	return got / bound
 }
 
-// minShareOfBound is the share of the bound's worth that is aimed at, on every load.
+// minShareOfBound is the required share of the bound's worth, on every load.
 const minShareOfBound = 0.95
 
-// Guards against slots that are wasted while the targets could do all that comes.
+// Guards against slots that are wasted while the targets have capacity for the load.
 func TestSchedulerNearBoundBelowCapacity(t *testing.T) {
 	for _, l := range readLoads(t) {
 		if len(l.Bursts) > 0 {
@@ -58,17 +58,16 @@
 	}
 }
 
-// withoutMessageDelay is the load with messages that take no time: what they cost is
-// not up to the decisions, and no bound loses it.
+// withoutMessageDelay returns the load with nearly no network delay, which the
+// scheduler can't influence and the bounds don't include.
 func withoutMessageDelay(l *Load) *Load {
-	next := *l
-	next.OneWayDelays = slices.Repeat([]float64{0.01}, len(l.OneWayDelays))
-	return &next
+	copied := *l
+	copied.OneWayDelays = slices.Repeat([]float64{0.01}, len(l.OneWayDelays))
+	return &copied
 }
 
-// Guards against decisions that waste slots when more comes than the targets can
-// do. The work of a single request is not known to anybody, so the bound does not
-// know it either.
+// Guards against wasted slots when the load exceeds the targets' capacity. No
+// scheduler can predict a single request's work, so it is compared with KindsBound.
 func TestSchedulerNearBoundInOverload(t *testing.T) {
 	for _, l := range readLoads(t) {
 		t.Run(l.Name, func(t *testing.T) {
@@ -81,10 +80,10 @@
 	}
 }
 
-// worthTolerance is how much less than the recorded worth is still taken for the same.
+// worthTolerance is the largest accepted difference below the recorded worth.
 const worthTolerance = 0.002
 
-// Guards against changes of the decisions by which callers get less in overload.
+// Guards against scheduler changes that reduce the worth in overload.
 func TestWorthDoesNotRegressInOverload(t *testing.T) {
 	recorded := map[string]map[string]float64{}
 	text, err := os.ReadFile("testdata/overload.json")
@@ -96,33 +95,33 @@
 			for seed := range uint64(seedsPerLoad) {
 				got += l.Simulate(level, seed+1).WorthShare() / seedsPerLoad
 			}
-			want, known := recorded[l.Name][fmt.Sprintf("%.1f", level)]
-			assert.Check(t, known && got >= want-worthTolerance, "%s at %.1f: %.4f, recorded %.4f", l.Name, level, got, want)
+			want, ok := recorded[l.Name][fmt.Sprintf("%.1f", level)]
+			assert.Check(t, ok && got >= want-worthTolerance, "%s at %.1f: %.4f, recorded %.4f", l.Name, level, got, want)
 		}
 	}
 }
 
-// Guards against decisions that are worse than none.
+// Guards against a scheduler that is worse than queues in order of arrival.
 func TestSchedulerBeatsArrivalOrder(t *testing.T) {
 	for _, l := range readLoads(t) {
 		for _, level := range l.Levels {
-			got, plain := l.Simulate(level, 1).WorthShare(), l.ArrivalOrder(level, 1).WorthShare()
-			assert.Check(t, got > plain, "%s at %.2f: %.3f, in order of arrival %.3f", l.Name, level, got, plain)
+			got, unscheduled := l.Simulate(level, 1).WorthShare(), l.ArrivalOrder(level, 1).WorthShare()
+			assert.Check(t, got > unscheduled, "%s at %.2f: %.3f, in order of arrival %.3f", l.Name, level, got, unscheduled)
 		}
 	}
 }
 
-// Guards against a kind that is not served because others are more urgent.
+// Guards against a kind that starves because others have a higher priority.
 func TestNoKindStarves(t *testing.T) {
 	for _, l := range readLoads(t) {
 		for _, level := range l.Levels {
 			r := l.Simulate(level, 1)
-			served, came := 0, 0
+			served, arrived := 0, 0
 			for _, o := range r.Kinds {
 				served += o.InTime + o.Late
-				came += o.Arrived
+				arrived += o.Arrived
 			}
-			all := float64(served) / float64(came)
+			all := float64(served) / float64(arrived)
 			for _, o := range r.Kinds {
 				assert.Check(t, o.AnsweredShare() > all/4, "%s at %.2f: %s %.3f of %.3f", l.Name, level, o.Kind.Name, o.AnsweredShare(), all)
 			}
@@ -130,12 +129,12 @@
 	}
 }
 
-// Guards against callers that are counted twice, or lost, when they come back.
+// Guards against requests that are counted twice, or not at all, when they are retried.
 func TestEveryRequestIsCountedOnce(t *testing.T) {
 	for _, l := range readLoads(t) {
 		for _, r := range []*Report{l.Simulate(1.2, 2), l.Bound(1.2, 2), l.KindsBound(1.2, 2), l.ArrivalOrder(1.2, 2)} {
 			for _, o := range r.Kinds {
-				assert.Check(t, o.Arrived == o.InTime+o.Late+o.Refused, "%s, %s, %s: %d came, %d + %d + %d",
+				assert.Check(t, o.Arrived == o.InTime+o.Late+o.Refused, "%s, %s, %s: %d arrived, %d in time + %d late + %d refused",
 					l.Name, r.Strategy, o.Kind.Name, o.Arrived, o.InTime, o.Late, o.Refused)
 			}
 		}
@@ -167,7 +166,7 @@
 	assert.Assert(t, strings.Contains(string(text), "schedule") && strings.Contains(string(text), "bound"))
 }
 
-// Guards against faults of a load that are told one at a time, or without a field.
+// Guards against validation that stops at the first error or doesn't name the field.
 func TestParseReportsEveryInvalidField(t *testing.T) {
 	_, err := Parse([]byte(`{"name": "x", "levels": [0], "targets": [{"count": 1, "slots": 2}], "kinds": [{"objectiveMs": 5}], "busyShare": 0.5}`))
 	for _, field := range []string{
@@ -176,15 +175,15 @@
 	} {
 		assert.ErrorContains(t, err, field+": want ")
 	}
-	var bad *FieldError
-	assert.Assert(t, errors.As(err, &bad))
+	var fieldErr *FieldError
+	assert.Assert(t, errors.As(err, &fieldErr))
 	_, err = Parse([]byte(`{"nam": "x"}`))
 	assert.ErrorContains(t, err, `"nam"`)
 	_, err = Read("loads/none.json")
 	assert.ErrorContains(t, err, "none.json")
 }
 
-// Guards against chance that does not come from the seed.
+// Guards against randomness that doesn't derive from the seed.
 func TestSameSeedGivesSameResult(t *testing.T) {
 	for _, l := range readLoads(t) {
 		assert.Equal(t, l.Simulate(1.2, 1).WorthShare(), l.Simulate(1.2, 1).WorthShare(), l.Name)
--- a/standin/experiment/load.go
+++ b/standin/experiment/load.go
@@ -1,6 +1,6 @@
-// Package experiment plays loads against the product's decisions about slots, in
-// virtual time and without a network, and sets them beside what a queue could do
-// that knows everything ahead.
+// Package experiment simulates loads against the product's scheduler, in virtual time
+// and without a network, and compares the results with those of an oracle and of
+// queues in order of arrival.
 package experiment
 
 import (
@@ -12,73 +12,74 @@
 	"time"
 )
 
-// Load is who asks for what, and who serves it. All times are in milliseconds.
+// Load describes the requests of a simulation and its targets. Times are in
+// milliseconds, except Seconds, which is the length of a run.
 type Load struct {
 	Name    string `json:"name"`
 	Seconds int    `json:"seconds"`
-	// Levels are the loads to play, as shares of what the targets can do.
+	// Levels are the request rates to simulate, as shares of the targets' capacity.
 	Levels []float64 `json:"levels"`
-	// Sharded requests have one target each; others may go to any one.
+	// Sharded requests have one target each; others may go to any target.
 	Sharded bool `json:"divided"`
-	// HotTargetShare of all requests goes to one target of a divided service, beside
-	// its own part.
+	// HotTargetShare of all requests goes to one target of a sharded service, in
+	// addition to its regular share.
 	HotTargetShare float64  `json:"busyShare"`
-	Targets   []Target `json:"targets"`
-	Kinds     []Kind   `json:"kinds"`
-	// OneWayDelays are the times of a message to and from the instances by which
-	// callers come, one for each instance.
+	Targets        []Target `json:"targets"`
+	Kinds          []Kind   `json:"kinds"`
+	// OneWayDelays are the network delays of a message to or from an instance, one
+	// for each instance that receives requests.
 	OneWayDelays []float64 `json:"transitsMs"`
-	Bursts   []Burst   `json:"bursts"`
-	// ImmediateRetryShare is the share of callers that repeat at once, whatever they are told.
+	Bursts       []Burst   `json:"bursts"`
+	// ImmediateRetryShare is the share of callers that retry without the requested wait.
 	ImmediateRetryShare float64 `json:"atOnceShare"`
 }
 
-// Target is a group of equal targets.
+// Target is a group of identical targets.
 type Target struct {
 	Count int `json:"count"`
 	Slots int `json:"slots"`
-	// Slowness is how long they need for the work of an average one.
+	// Slowness is the processing time as a multiple of an average target's.
 	Slowness float64 `json:"slowness"`
-	// ShedShare is the share of requests that they refuse by chance.
+	// ShedShare is the probability that a target sheds a request.
 	ShedShare float64 `json:"shedShare"`
-	// SlowFrom and SlowFor are when they need SlowTimes as long.
-	SlowFrom  float64 `json:"slowFromMs"`
-	SlowDuration   float64 `json:"slowForMs"`
-	SlowFactor float64 `json:"slowTimes"`
+	// SlowFactor multiplies Slowness from SlowFrom on for SlowDuration.
+	SlowFrom     float64 `json:"slowFromMs"`
+	SlowDuration float64 `json:"slowForMs"`
+	SlowFactor   float64 `json:"slowTimes"`
 }
 
-// Kind is a kind of request.
+// Kind is a kind of request, with its share of the load and what an answer is worth.
 type Kind struct {
 	Name  string  `json:"name"`
 	Share float64 `json:"share"`
-	// MeanWork is the mean for an average target, Spread the most by which it
-	// differs, as a share of it.
-	MeanWork      float64 `json:"workMs"`
+	// MeanWork is the mean processing time at an average target; Spread is the
+	// largest deviation from it, as a share of it.
+	MeanWork  float64 `json:"workMs"`
 	Spread    float64 `json:"spread"`
 	Worth     float64 `json:"worth"`
 	LateWorth float64 `json:"lateWorth"`
 	Priority  int     `json:"priority"`
 	Objective float64 `json:"objectiveMs"`
 	Deadline  float64 `json:"deadlineMs"`
-	// MaxRetries is how often a caller comes back that was refused.
+	// MaxRetries is how often a refused caller retries.
 	MaxRetries int `json:"retries"`
 }
 
-// Burst is a time with more requests than usual.
+// Burst multiplies the request rate by Factor from Start on for Duration.
 type Burst struct {
 	Start    float64 `json:"atMs"`
-	Duration   float64 `json:"forMs"`
-	Factor float64 `json:"times"`
+	Duration float64 `json:"forMs"`
+	Factor   float64 `json:"times"`
 }
 
-// FieldError says which field of a load cannot be used, and why.
+// FieldError reports an invalid field of a load and what is expected of it.
 type FieldError struct {
 	Field, Want string
 }
 
 func (e *FieldError) Error() string { return e.Field + ": want " + e.Want }
 
-// Parse decodes a load and checks it.
+// Parse decodes a load and validates it; unknown fields are errors.
 func Parse(text []byte) (*Load, error) {
 	l := &Load{}
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -89,7 +90,7 @@
 	return l, l.Validate()
 }
 
-// Read reads a load from a file.
+// Read reads and validates a load from a file.
 func Read(file string) (*Load, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return l, nil
 }
 
-// Validate returns all that cannot be used, as a *FieldError each.
+// Validate returns all invalid fields, joined, as a *FieldError each.
 func (l *Load) Validate() error {
 	var errs []error
 	check := func(ok bool, field, want string) {
@@ -117,29 +118,29 @@
 		check(v > 0, fmt.Sprintf("levels[%d]", i), "a number above 0")
 	}
 	check(0 <= l.HotTargetShare && l.HotTargetShare < 1, "busyShare", "a share below 1")
-	check(l.HotTargetShare == 0 || l.Sharded, "busyShare", "a divided service")
-	check(0 <= l.ImmediateRetryShare && l.ImmediateRetryShare <= 1, "atOnceShare", "a share")
+	check(l.HotTargetShare == 0 || l.Sharded, "busyShare", "a sharded service (divided: true)")
+	check(0 <= l.ImmediateRetryShare && l.ImmediateRetryShare <= 1, "atOnceShare", "a share from 0 to 1")
 	check(len(l.OneWayDelays) > 0, "transitsMs", "at least one")
 	check(len(l.Targets) > 0, "targets", "at least one")
 	for i, t := range l.Targets {
-		at := fmt.Sprintf("targets[%d].", i)
-		check(t.Count > 0, at+"count", "a number above 0")
-		check(t.Slots > 0, at+"slots", "a number above 0")
-		check(t.Slowness > 0, at+"slowness", "a number above 0")
-		check(0 <= t.ShedShare && t.ShedShare < 1, at+"shedShare", "a share below 1")
-		check(t.SlowDuration == 0 || t.SlowFactor > 0, at+"slowTimes", "a number above 0")
+		prefix := fmt.Sprintf("targets[%d].", i)
+		check(t.Count > 0, prefix+"count", "a number above 0")
+		check(t.Slots > 0, prefix+"slots", "a number above 0")
+		check(t.Slowness > 0, prefix+"slowness", "a number above 0")
+		check(0 <= t.ShedShare && t.ShedShare < 1, prefix+"shedShare", "a share below 1")
+		check(t.SlowDuration == 0 || t.SlowFactor > 0, prefix+"slowTimes", "a number above 0")
 	}
 	check(len(l.Kinds) > 0, "kinds", "at least one")
 	for i, k := range l.Kinds {
-		at := fmt.Sprintf("kinds[%d].", i)
-		check(k.Name != "", at+"name", "a name")
-		check(k.Share > 0, at+"share", "a number above 0")
-		check(k.MeanWork > 0, at+"workMs", "a number above 0")
-		check(0 <= k.Spread && k.Spread < 1, at+"spread", "a share below 1")
-		check(k.Worth > 0, at+"worth", "a number above 0")
-		check(0 <= k.LateWorth && k.LateWorth <= k.Worth, at+"lateWorth", "at most worth")
-		check(k.Objective > 0, at+"objectiveMs", "a number above 0")
-		check(k.Deadline >= k.Objective, at+"deadlineMs", "at least objectiveMs")
+		prefix := fmt.Sprintf("kinds[%d].", i)
+		check(k.Name != "", prefix+"name", "a name")
+		check(k.Share > 0, prefix+"share", "a number above 0")
+		check(k.MeanWork > 0, prefix+"workMs", "a number above 0")
+		check(0 <= k.Spread && k.Spread < 1, prefix+"spread", "a share below 1")
+		check(k.Worth > 0, prefix+"worth", "a number above 0")
+		check(0 <= k.LateWorth && k.LateWorth <= k.Worth, prefix+"lateWorth", "at most worth")
+		check(k.Objective > 0, prefix+"objectiveMs", "a number above 0")
+		check(k.Deadline >= k.Objective, prefix+"deadlineMs", "at least objectiveMs")
 	}
 	for i, b := range l.Bursts {
 		check(b.Factor > 0, fmt.Sprintf("bursts[%d].times", i), "a number above 0")
@@ -147,19 +148,19 @@
 	return errors.Join(errs...)
 }
 
-// capacity is how many requests per second the targets can do, if the work is
-// shared out evenly.
+// capacity returns how many requests per second the targets can serve if the work is
+// distributed evenly.
 func (l *Load) capacity() float64 {
 	work, shares := 0.0, 0.0
 	for _, k := range l.Kinds {
 		work += k.Share * k.MeanWork / 1000
 		shares += k.Share
 	}
-	can := 0.0
+	slots := 0.0
 	for _, t := range l.Targets {
-		can += float64(t.Count*t.Slots) / t.Slowness
+		slots += float64(t.Count*t.Slots) / t.Slowness
 	}
-	return can / (work / shares)
+	return slots / (work / shares)
 }
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/standin/experiment/plot.go
+++ b/standin/experiment/plot.go
@@ -15,14 +15,14 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// WritePlot draws the share of requests in time over the load, a line for each way
-// of deciding. The file's ending chooses the format, such as .svg.
+// WritePlot draws the share of requests answered in time over the load, one line for
+// each strategy. The file's extension selects the format, such as .svg.
 func WritePlot(file, title string, reports []*Report) error {
 	lines := map[string]plotter.XYs{}
-	var ways []string
+	var strategies []string
 	for _, r := range reports {
 		if lines[r.Strategy] == nil {
-			ways = append(ways, r.Strategy)
+			strategies = append(strategies, r.Strategy)
 		}
 		lines[r.Strategy] = append(lines[r.Strategy], plotter.XY{X: r.Level, Y: r.InTimeShare()})
 	}
@@ -34,14 +34,14 @@
 	p.Legend.Top = false
 	p.Legend.Left = true
 	var items []any
-	for _, way := range ways {
-		items = append(items, way, lines[way])
+	for _, strategy := range strategies {
+		items = append(items, strategy, lines[strategy])
 	}
 	if err := plotutil.AddLinePoints(p, items...); err != nil {
-		return fmt.Errorf("plot %s: %w", title, err)
+		return fmt.Errorf("add lines to plot %q: %w", title, err)
 	}
 	if err := p.Save(plotWidth, plotHeight, file); err != nil {
-		return fmt.Errorf("plot %s: %w", title, err)
+		return fmt.Errorf("save plot %q as %s: %w", title, file, err)
 	}
 	return nil
 }
--- a/standin/experiment/report.go
+++ b/standin/experiment/report.go
@@ -8,30 +8,32 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is what became of a load's requests.
+// Report counts the outcomes of a load's requests under one strategy.
 type Report struct {
-	// Strategy is how it was decided.
-	Strategy   string
+	// Strategy is schedule, bound, kindsBound or arrivalOrder.
+	Strategy string
+	// Level is the load, as a share of the targets' capacity.
 	Level float64
 	Kinds []Outcome
 }
 
-// Outcome is what became of the requests of one kind.
+// Outcome counts the outcomes of one kind's requests. Those answered after their
+// deadline count as refused.
 type Outcome struct {
 	Kind    *Kind
-	Arrived    int
+	Arrived int
 	InTime  int
 	Late    int
 	Refused int
-	// QueueTime is how long they waited before they were sent, in microseconds.
+	// QueueTime is the wait before a request is sent, in microseconds.
 	QueueTime *hdrhistogram.Histogram
 }
 
-// maxQueueTime is the longest wait that a report tells apart, in microseconds.
+// maxQueueTime is the histogram's highest value, in microseconds.
 const maxQueueTime = 60_000_000
 
-func (l *Load) newReport(way string, level float64) *Report {
-	r := &Report{Strategy: way, Level: level}
+func (l *Load) newReport(strategy string, level float64) *Report {
+	r := &Report{Strategy: strategy, Level: level}
 	for i := range l.Kinds {
 		r.Kinds = append(r.Kinds, Outcome{Kind: &l.Kinds[i], QueueTime: hdrhistogram.New(1, maxQueueTime, 3)})
 	}
@@ -40,11 +42,11 @@
 
 func (r *Report) outcomeOf(q *request) *Outcome { return &r.Kinds[q.kindNumber-1] }
 
-func (r *Report) recordArrival(q *request)    { r.outcomeOf(q).Arrived++ }
+func (r *Report) recordArrival(q *request) { r.outcomeOf(q).Arrived++ }
 func (r *Report) recordRefusal(q *request) { r.outcomeOf(q).Refused++ }
 
 func (r *Report) recordQueueTime(q *request, d time.Duration) {
-	// A wait beyond the longest cannot be: every deadline is earlier.
+	// No wait exceeds maxQueueTime: every deadline is earlier.
 	_ = r.outcomeOf(q).QueueTime.RecordValue(min(d.Microseconds(), maxQueueTime))
 }
 
@@ -60,28 +62,30 @@
 	}
 }
 
-// WorthShare is the share of all worth that callers got.
+// WorthShare returns the worth of the answered requests as a share of all requests' worth.
 func (r *Report) WorthShare() float64 {
-	got, owed := 0.0, 0.0
+	got, total := 0.0, 0.0
 	for _, o := range r.Kinds {
 		got += float64(o.InTime)*o.Kind.Worth + float64(o.Late)*o.Kind.LateWorth
-		owed += float64(o.Arrived) * o.Kind.Worth
+		total += float64(o.Arrived) * o.Kind.Worth
 	}
-	return got / max(1, owed)
+	return got / max(1, total)
 }
 
-// InTimeShare is the share of all requests that were answered in time.
+// InTimeShare returns the share of all requests that were answered in time.
 func (r *Report) InTimeShare() float64 {
-	in, came := 0, 0
+	inTime, arrived := 0, 0
 	for _, o := range r.Kinds {
-		in += o.InTime
-		came += o.Arrived
+		inTime += o.InTime
+		arrived += o.Arrived
 	}
-	return float64(in) / float64(max(1, came))
+	return float64(inTime) / float64(max(1, arrived))
 }
 
-// AnsweredShare is the part of the kind's requests that were answered at all.
-func (o *Outcome) AnsweredShare() float64 { return float64(o.InTime+o.Late) / float64(max(1, o.Arrived)) }
+// AnsweredShare returns the share of the kind's requests that were answered, in time or late.
+func (o *Outcome) AnsweredShare() float64 {
+	return float64(o.InTime+o.Late) / float64(max(1, o.Arrived))
+}
 
 // WriteText writes reports as a table.
 func WriteText(w io.Writer, reports []*Report) {
--- /dev/null
+++ b/standin/experiment/simulate.go
@@ -0,0 +1,235 @@
+package experiment
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"basilcross.example/basilcross/roster"
+	"basilcross.example/basilcross/schedule"
+)
+
+const (
+	// admitInterval is how often waiting requests are rescheduled even if no slot is
+	// released.
+	admitInterval = 25 * time.Millisecond
+	// maxTargetsPerAttempt limits the targets that one attempt is sent to.
+	maxTargetsPerAttempt = 3
+	// retryWaitDivisor limits the wait before a retry to a third of the time left
+	// until the deadline.
+	retryWaitDivisor = 3
+	// minRetryAfter is the shortest wait that a refusal asks of callers.
+	minRetryAfter = 50 * time.Millisecond
+	// reconnectDelay is the wait of a caller that retries immediately.
+	reconnectDelay = 5 * time.Millisecond
+)
+
+// schedulerRun simulates a load against the product's scheduler.
+type schedulerRun struct {
+	eventLoop
+	scheduler   schedule.Scheduler
+	random      *rand.Rand
+	targets     []*simTarget
+	queues      []*targetQueue
+	targetIndex map[string]int
+	waiting     map[*schedule.Ticket]*attempt
+	// ticketQueue has the waiting tickets, oldest first; some are no longer waiting.
+	ticketQueue  []*schedule.Ticket
+	admissionDue bool
+	report       *Report
+}
+
+// targetQueue counts a target's busy slots and holds the requests waiting for one.
+type targetQueue struct {
+	busy    int
+	waiting []func()
+}
+
+// attempt is one attempt of a caller to get a request answered.
+type attempt struct {
+	req       *request
+	retries   int
+	started   time.Duration
+	excluded  map[string]bool
+	submitted time.Duration
+	ticket    *schedule.Ticket
+}
+
+// startTime is the wall-clock time at which each simulation starts.
+var startTime = time.Unix(1_000_000, 0)
+
+// Simulate runs a load at a level against the product's scheduler.
+func (l *Load) Simulate(level float64, seed uint64) *Report {
+	s := &schedulerRun{
+		random: rand.New(rand.NewPCG(seed, 23)), targets: l.simTargets(), targetIndex: map[string]int{},
+		waiting: map[*schedule.Ticket]*attempt{}, report: l.newReport("schedule", level),
+	}
+	list := make([]*roster.Target, 0, len(s.targets))
+	for n, target := range s.targets {
+		id := fmt.Sprintf("t%03d", n)
+		s.targetIndex[id] = n
+		list = append(list, &roster.Target{ID: id, Service: "s", Zone: "z", Slots: target.Slots, Started: 1})
+		s.queues = append(s.queues, &targetQueue{})
+	}
+	targets := &roster.Roster{}
+	targets.Replace(startTime.Add(-time.Hour), list, 1)
+	s.scheduler.Roster = targets
+	for _, r := range l.requests(level, seed) {
+		s.after(r.arrival, func() {
+			s.report.recordArrival(r)
+			s.startAttempt(&attempt{req: r, started: r.arrival})
+		})
+	}
+	s.run()
+	return s.report
+}
+
+func (s *schedulerRun) clock() time.Time { return startTime.Add(s.now) }
+
+// startAttempt sends a caller's attempt to an instance, which submits it to the scheduler.
+func (s *schedulerRun) startAttempt(a *attempt) { s.after(a.req.oneWayDelay, func() { s.submit(a) }) }
+
+func (s *schedulerRun) submit(a *attempt) {
+	r := schedule.Request{
+		Service: "s", Kind: a.req.kindNumber, Zone: "z", Excluded: a.excluded, Priority: a.req.kind.Priority,
+		Objective:   startTime.Add(a.started + millis(a.req.kind.Objective)),
+		Deadline:    startTime.Add(a.req.arrival + millis(a.req.kind.Deadline)),
+		OneWayDelay: a.req.oneWayDelay,
+	}
+	if a.req.target >= 0 {
+		r.Target = fmt.Sprintf("t%03d", a.req.target)
+	}
+	t, err := s.scheduler.Submit(s.clock(), r)
+	if err != nil {
+		s.handleRefusal(a, err)
+		return
+	}
+	a.ticket, a.submitted = t, s.now
+	if t.Target != nil {
+		s.send(a)
+		return
+	}
+	s.waiting[t] = a
+	s.ticketQueue = append(s.ticketQueue, t)
+	s.scheduleExpiry(t)
+	s.scheduleAdmission()
+}
+
+func (s *schedulerRun) scheduleExpiry(t *schedule.Ticket) {
+	s.after(t.WaitUntil.Sub(s.clock()), func() {
+		a := s.waiting[t]
+		if a == nil {
+			return
+		}
+		if err := s.scheduler.Expire(s.clock(), t); err != nil {
+			delete(s.waiting, t)
+			s.handleRefusal(a, err)
+			return
+		}
+		s.scheduleExpiry(t)
+	})
+}
+
+// scheduleAdmission admits waiting requests every admitInterval while there are any.
+func (s *schedulerRun) scheduleAdmission() {
+	if s.admissionDue {
+		return
+	}
+	s.admissionDue = true
+	s.after(admitInterval, func() {
+		s.admissionDue = false
+		seen := map[string]bool{}
+		s.ticketQueue = slices.DeleteFunc(s.ticketQueue, func(t *schedule.Ticket) bool { return s.waiting[t] == nil })
+		for _, t := range slices.Clone(s.ticketQueue) {
+			if !seen[t.Request.Target] {
+				seen[t.Request.Target] = true
+				s.sendAdmitted(s.scheduler.Admit(s.clock(), t))
+			}
+		}
+		if len(s.waiting) > 0 {
+			s.scheduleAdmission()
+		}
+	})
+}
+
+func (s *schedulerRun) sendAdmitted(admitted []*schedule.Ticket) {
+	for _, t := range admitted {
+		a := s.waiting[t]
+		delete(s.waiting, t)
+		s.send(a)
+	}
+}
+
+// send forwards the request from its instance to the target.
+func (s *schedulerRun) send(a *attempt) {
+	t := a.ticket
+	s.report.recordQueueTime(a.req, s.now-a.submitted)
+	n := s.targetIndex[t.Target.ID]
+	s.after(2*a.req.oneWayDelay, func() {
+		target, q := s.targets[n], s.queues[n]
+		if s.random.Float64() < target.ShedShare {
+			s.handleShed(a, t)
+			return
+		}
+		if q.busy < target.Slots {
+			s.execute(a, n)
+			return
+		}
+		q.waiting = append(q.waiting, func() { s.execute(a, n) })
+	})
+}
+
+func (s *schedulerRun) execute(a *attempt, n int) {
+	target, q := s.targets[n], s.queues[n]
+	q.busy++
+	s.after(time.Duration(float64(a.req.work)*target.slownessAt(s.now)), func() {
+		q.busy--
+		if len(q.waiting) > 0 {
+			next := q.waiting[0]
+			q.waiting = q.waiting[1:]
+			next()
+		}
+		s.report.recordResponse(a.req, s.now+a.req.oneWayDelay)
+		s.after(2*a.req.oneWayDelay, func() {
+			s.sendAdmitted(s.scheduler.Release(s.clock(), a.ticket, schedule.Answered))
+		})
+	})
+}
+
+// handleShed resubmits a request that a target shed, excluding that target.
+func (s *schedulerRun) handleShed(a *attempt, t *schedule.Ticket) {
+	s.after(2*a.req.oneWayDelay, func() {
+		s.sendAdmitted(s.scheduler.Release(s.clock(), t, schedule.Shed))
+		excluded := map[string]bool{t.Target.ID: true}
+		for id := range a.excluded {
+			excluded[id] = true
+		}
+		if len(excluded) >= maxTargetsPerAttempt {
+			s.handleRefusal(a, nil)
+			return
+		}
+		s.submit(&attempt{req: a.req, retries: a.retries, started: a.started, excluded: excluded})
+	})
+}
+
+// handleRefusal refuses the attempt; the caller retries if it has retries and time left.
+func (s *schedulerRun) handleRefusal(a *attempt, err error) {
+	var busy *schedule.BusyError
+	wait := minRetryAfter
+	if errors.As(err, &busy) {
+		wait = max(wait, busy.Wait)
+	}
+	responseAt := s.now + a.req.oneWayDelay
+	left := a.req.arrival + millis(a.req.kind.Deadline) - responseAt
+	if a.req.retryImmediately {
+		wait = reconnectDelay
+	}
+	wait = min(wait, left/retryWaitDivisor)
+	if a.retries == a.req.kind.MaxRetries || left <= 0 {
+		s.report.recordRefusal(a.req)
+		return
+	}
+	s.after(responseAt+wait-s.now, func() { s.startAttempt(&attempt{req: a.req, retries: a.retries + 1, started: s.now}) })
+}
