--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -1,5 +1,5 @@
-// Package target stands in for the users' servers: it takes fenced grants, has
-// a few slots, works for a while, and keeps the truth about what it ran.
+// Package target simulates the users' servers: a target accepts fenced grants, has a
+// few slots, takes time for each request, and records what it executed.
 package target
 
 import (
@@ -24,37 +24,38 @@
 )
 
 const (
-	// RequestHeader carries the caller's unique name of a request.
+	// RequestHeader carries the caller's unique ID of a request.
 	RequestHeader = "X-Request-Id"
-	// maxQueuePerSlot is how many requests wait for each slot before it sheds.
+	// maxQueuePerSlot is how many requests wait per slot before the target sheds.
 	maxQueuePerSlot = 4
-	// warmupTime is how long a started target is slow, by coldFactor.
-	warmupTime    = 2 * time.Second
+	// warmupTime is how long after a start requests take warmupFactor times as long.
+	warmupTime   = 2 * time.Second
 	warmupFactor = 3
 )
 
-// Response is the body of an answer; Filler makes its length vary.
+// Response is the body of a response; Filler varies its length.
 type Response struct {
 	Request string `json:"request"`
 	Target  string `json:"target"`
 	Filler  string `json:"filler"`
-	// Value is the key's value, the name of the last write.
+	// Value is the key's value: the ID of the last request that wrote it.
 	Value string `json:"value"`
-	// Complete shows that the answer is whole.
+	// Complete is the last field, true unless the response is truncated.
 	Complete bool `json:"end"`
 }
 
-// Target is one server. Create it with New, then Start.
+// Target is one simulated server. Set the exported fields, then call Listen.
 type Target struct {
 	Name    string
 	Service deployment.Service
-	// Fenced targets check grants.
+	// Fenced targets admit only requests that their grants cover.
 	Fenced bool
-	// MeanWork is the mean time of a request, by kind.
-	MeanWork    map[string]time.Duration
-	IsWrite   map[string]bool
+	// MeanWork is the mean processing time of a request, by kind.
+	MeanWork map[string]time.Duration
+	// IsWrite has the kinds that write.
+	IsWrite map[string]bool
 	History *judge.History
-	// Values outlive the targets, as the users' own storage does.
+	// Values survive restarts of the targets, as the users' own storage does.
 	Values *Values
 
 	address string
@@ -65,12 +66,12 @@
 	frozen  chan struct{}
 	slots   chan struct{}
 	waiting atomic.Int32
-	// cache keeps values while the key is owned under one epoch.
-	cache  map[string]cachedValue
+	// cache has the values of keys, each valid for one epoch of its owner.
+	cache      map[string]cachedValue
 	orderCount atomic.Int64
 }
 
-// Listen takes an address for the target's whole life.
+// Listen starts the target at a free address, which it keeps across restarts.
 func (t *Target) Listen() (address string, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -103,7 +104,7 @@
 	group.Go(func() { _ = server.Serve(l) })
 }
 
-// Kill ends the target as a crash would: connections break, memory is lost.
+// Kill simulates a crash: connections break and memory is lost.
 func (t *Target) Kill() {
 	t.mu.Lock()
 	server, guard := t.server, t.guard
@@ -116,7 +117,7 @@
 	guard.Flush(time.Now())
 }
 
-// Start brings a killed target back at the same address.
+// Start restarts a killed target at the same address.
 func (t *Target) Start() error {
 	t.mu.Lock()
 	running := t.server != nil
@@ -126,14 +127,13 @@
 	}
 	l, err := net.Listen("tcp", t.address)
 	if err != nil {
-		return fmt.Errorf("start target: %w", err)
+		return fmt.Errorf("start target %s: %w", t.Name, err)
 	}
 	t.serve(l)
 	return nil
 }
 
-// Freeze stops the target as a paused process would stop; Thaw lets it go on
-// as if nothing had happened.
+// Freeze blocks the target as if its process were paused, until Thaw.
 func (t *Target) Freeze() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,7 +142,7 @@
 	}
 }
 
-// Thaw ends a freeze.
+// Thaw lets a frozen target continue.
 func (t *Target) Thaw() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -152,7 +152,7 @@
 	}
 }
 
-// Flush records what the target holds up to now.
+// Flush records the target's holds up to now in the History.
 func (t *Target) Flush() {
 	t.mu.Lock()
 	guard := t.guard
@@ -160,10 +160,9 @@
 	guard.Flush(time.Now())
 }
 
-// OrderCount returns how many orders the target has taken.
+// OrderCount returns how many orders the target has received.
 func (t *Target) OrderCount() int64 { return t.orderCount.Load() }
 
-// waitWhileFrozen blocks while the target is frozen.
 func (t *Target) waitWhileFrozen() {
 	t.mu.Lock()
 	frozen := t.frozen
@@ -196,7 +195,7 @@
 	w.WriteHeader(http.StatusConflict)
 }
 
-// execution is one request on its way through the target.
+// execution is one request being processed by the target.
 type execution struct {
 	run       judge.Run
 	key       string
@@ -207,19 +206,19 @@
 func (t *Target) handleRequest(w http.ResponseWriter, r *http.Request, guard *grant.Guard) {
 	t.waitWhileFrozen()
 	kind := r.PathValue("kind")
-	j := &execution{key: r.PathValue("key"), run: judge.Run{
+	e := &execution{key: r.PathValue("key"), run: judge.Run{
 		Request: r.Header.Get(RequestHeader),
 		Target:  t.Name,
 		Service: t.Service.Name,
 		Hash:    shard.Hash(t.Service.Name, r.PathValue("key")),
 		Write:   t.IsWrite[kind],
 	}}
-	j.run.Unfenced = t.Service.Divided && !t.Fenced
-	if t.Service.Divided && t.Fenced && !j.admit(w, r, guard) {
+	e.run.Unfenced = t.Service.Divided && !t.Fenced
+	if t.Service.Divided && t.Fenced && !e.admit(w, r, guard) {
 		return
 	}
-	if j.admission != nil {
-		defer j.admission.Done()
+	if e.admission != nil {
+		defer e.admission.Done()
 	}
 	if !t.acquireSlot(r.Context()) {
 		refuse(w, grant.Shed)
@@ -230,25 +229,26 @@
 		return
 	}
 	t.waitWhileFrozen()
-	if err := t.commit(j); err != nil {
+	if err := t.commit(e); err != nil {
 		var refused *grant.RefusedError
 		if errors.As(err, &refused) {
 			refuse(w, refused.Reason)
 		}
 		return
 	}
-	t.respond(w, j)
+	t.respond(w, e)
 }
 
-func (j *execution) admit(w http.ResponseWriter, r *http.Request, guard *grant.Guard) bool {
-	j.run.Epoch, _ = strconv.ParseUint(r.Header.Get(grant.EpochHeader), 10, 64)
-	admission, err := guard.Enter(time.Now(), j.run.Hash, j.run.Epoch)
+// admit checks the request against the grants; it responds and returns false if refused.
+func (e *execution) admit(w http.ResponseWriter, r *http.Request, guard *grant.Guard) bool {
+	e.run.Epoch, _ = strconv.ParseUint(r.Header.Get(grant.EpochHeader), 10, 64)
+	admission, err := guard.Enter(time.Now(), e.run.Hash, e.run.Epoch)
 	var refused *grant.RefusedError
 	if errors.As(err, &refused) {
 		refuse(w, refused.Reason)
 		return false
 	}
-	j.admission = admission
+	e.admission = admission
 	return true
 }
 
@@ -266,7 +266,8 @@
 	}
 }
 
-// simulateWork takes the kind's time, exponentially distributed around its mean.
+// simulateWork waits for half the kind's mean time plus an exponentially distributed
+// time with the same mean. It returns false if the context ends first.
 func (t *Target) simulateWork(ctx context.Context, kind string) bool {
 	mean := t.MeanWork[kind]
 	t.mu.Lock()
@@ -274,55 +275,55 @@
 		mean *= warmupFactor
 	}
 	t.mu.Unlock()
-	took := time.Duration(float64(mean) * (0.5 + mathrand.ExpFloat64()/2))
+	duration := time.Duration(float64(mean) * (0.5 + mathrand.ExpFloat64()/2))
 	select {
-	case <-time.After(took):
+	case <-time.After(duration):
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (t *Target) commit(j *execution) error {
+func (t *Target) commit(e *execution) error {
 	effect := func(now time.Time) {
-		j.run.At = now
-		t.History.AddRun(j.run)
-		t.accessValue(j)
+		e.run.At = now
+		t.History.AddRun(e.run)
+		t.accessValue(e)
 	}
-	if j.admission != nil {
-		return j.admission.Commit(effect)
+	if e.admission != nil {
+		return e.admission.Commit(effect)
 	}
 	effect(time.Now())
 	return nil
 }
 
-// accessValue reads or writes the key's value. The target trusts its memory as long
-// as it owns the key, which is what sole ownership is for.
-func (t *Target) accessValue(j *execution) {
+// accessValue reads or writes the key's value. A fenced target trusts its cache
+// within an epoch, as sole ownership of the key permits.
+func (t *Target) accessValue(e *execution) {
 	if !t.Service.Divided {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.cache[j.key]
-	if !ok || known.epoch != j.run.Epoch || !t.Fenced {
-		known = cachedValue{epoch: j.run.Epoch, value: t.Values.get(j.key)}
+	entry, ok := t.cache[e.key]
+	if !ok || entry.epoch != e.run.Epoch || !t.Fenced {
+		entry = cachedValue{epoch: e.run.Epoch, value: t.Values.get(e.key)}
 	}
-	if j.run.Write {
-		known.value = j.run.Request
-		t.Values.set(j.key, known.value)
+	if e.run.Write {
+		entry.value = e.run.Request
+		t.Values.set(e.key, entry.value)
 	}
-	t.cache[j.key] = known
-	j.value = known.value
+	t.cache[e.key] = entry
+	e.value = entry.value
 }
 
-func (t *Target) respond(w http.ResponseWriter, j *execution) {
+func (t *Target) respond(w http.ResponseWriter, e *execution) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(Response{
-		Request: j.run.Request,
-		Target:  t.Name,
-		Value:   j.value,
-		Filler:  strings.Repeat("x", int(j.run.Hash%900)),
-		Complete:     true,
+		Request:  e.run.Request,
+		Target:   t.Name,
+		Value:    e.value,
+		Filler:   strings.Repeat("x", int(e.run.Hash%900)),
+		Complete: true,
 	})
 }
--- a/standin/target/values.go
+++ b/standin/target/values.go
@@ -2,14 +2,13 @@
 
 import "sync"
 
-// Values is the storage behind the targets of a service. The zero value is
-// empty.
+// Values is the storage shared by the targets of a service. The zero value is empty.
 type Values struct {
 	mu     sync.Mutex
 	values map[string]string
 }
 
-// cachedValue is a value as a target has it in memory.
+// cachedValue is a value in a target's memory, read or written under an epoch.
 type cachedValue struct {
 	epoch uint64
 	value string
