--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller stands in for the users' callers: open-loop load whose
-// requests are sent when they are due, whether or not earlier ones are done.
+// Package caller simulates the users' callers with open-loop load: requests are sent
+// when they are due, whether or not earlier ones are done.
 package caller
 
 import (
@@ -25,25 +25,26 @@
 )
 
 const (
-	// keyCount is the number of different keys of a service, zipf their skew.
-	keyCount = 20_000
+	// keyCount is the number of different keys of a service, zipfExponent their skew.
+	keyCount     = 20_000
 	zipfExponent = 1.05
 	// zipfOffset flattens the head: the hottest key has about 1% of a service.
 	zipfOffset = 20
-	// timeoutMargin is how much longer than the deadline a caller waits.
+	// timeoutMargin is how long after the deadline a caller times out.
 	timeoutMargin = 2 * time.Second
 	// maxBalancerAttempts is how many gateways the balancer tries to connect to.
 	maxBalancerAttempts = 3
 )
 
-// Gateway is a way in, as the balancer sees it.
+// Gateway is a gateway as the callers' load balancer sees it.
 type Gateway struct {
 	Name    string
 	Address string
 	Ready   atomic.Bool
 }
 
-// Generator sends requests to the gateways that are ready.
+// Generator sends Rate requests per second, on average, to ready gateways. Call Init
+// before use.
 type Generator struct {
 	Deployment deployment.Deployment
 	Gateways   []*Gateway
@@ -52,96 +53,96 @@
 	Seed       uint64
 
 	client *http.Client
-	lastID   atomic.Uint64
+	lastID atomic.Uint64
 }
 
-// Init prepares the load.
-func (l *Generator) Init() {
-	l.client = &http.Client{Transport: &http.Transport{
+// Init creates the HTTP client.
+func (gen *Generator) Init() {
+	gen.client = &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 256,
 		IdleConnTimeout:     time.Minute,
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
 	}}
 }
 
-// Run sends with exponentially distributed gaps until the context ends, then
-// waits for the last answers.
-func (l *Generator) Run(ctx context.Context) {
-	random := rand.New(rand.NewPCG(l.Seed, 1))
+// Run sends requests with exponentially distributed gaps until the context ends, then
+// waits for the last responses.
+func (gen *Generator) Run(ctx context.Context) {
+	random := rand.New(rand.NewPCG(gen.Seed, 1))
 	ranks := rand.NewZipf(random, zipfExponent, zipfOffset, keyCount-1)
 	var group sync.WaitGroup
 	defer group.Wait()
 	due := time.Now()
 	for {
-		due = due.Add(time.Duration(random.ExpFloat64() / l.Rate * float64(time.Second)))
+		due = due.Add(time.Duration(random.ExpFloat64() / gen.Rate * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Until(due)):
 		}
-		kind := l.pickKind(random.Float64())
+		kind := gen.pickKind(random.Float64())
 		key := fmt.Sprintf("k%d", ranks.Uint64())
 		at := due
-		group.Go(func() { l.Call(kind, key, at) })
+		group.Go(func() { gen.Call(kind, key, at) })
 	}
 }
 
-func (l *Generator) pickKind(x float64) deployment.Kind {
-	for _, k := range l.Deployment.Kinds {
+func (gen *Generator) pickKind(x float64) deployment.Kind {
+	for _, k := range gen.Deployment.Kinds {
 		if x -= k.Share; x < 0 {
 			return k
 		}
 	}
-	return l.Deployment.Kinds[0]
+	return gen.Deployment.Kinds[0]
 }
 
-// Call sends one request through any gateway that is ready and records it.
-func (l *Generator) Call(kind deployment.Kind, key string, due time.Time) judge.Call {
-	return l.call(l.Gateways, kind, key, due, false)
+// Call sends one request through any ready gateway and records it in the History.
+func (gen *Generator) Call(kind deployment.Kind, key string, due time.Time) judge.Call {
+	return gen.call(gen.Gateways, kind, key, due, false)
 }
 
-// Probe sends one request through one of some gateways. It is judged, but does
-// not count as load.
-func (l *Generator) Probe(ways []*Gateway, kind deployment.Kind, key string) judge.Call {
-	return l.call(ways, kind, key, time.Now(), true)
+// Probe sends one request through a ready one of the gateways. It is recorded and
+// checked, but does not count as load.
+func (gen *Generator) Probe(gateways []*Gateway, kind deployment.Kind, key string) judge.Call {
+	return gen.call(gateways, kind, key, time.Now(), true)
 }
 
-func (l *Generator) call(ways []*Gateway, kind deployment.Kind, key string, due time.Time, probe bool) judge.Call {
+func (gen *Generator) call(gateways []*Gateway, kind deployment.Kind, key string, due time.Time, probe bool) judge.Call {
 	c := judge.Call{
 		Probe:   probe,
-		Request: fmt.Sprintf("r%d", l.lastID.Add(1)),
+		Request: fmt.Sprintf("r%d", gen.lastID.Add(1)),
 		Service: kind.Service,
 		Kind:    kind.Name,
 		Hash:    shard.Hash(kind.Service, key),
-		Key:     l.checkedKey(kind.Service, key),
+		Key:     gen.checkedKey(kind.Service, key),
 		Write:   !kind.Idempotent,
 		Due:     due,
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), kind.Deadline+timeoutMargin)
 	defer cancel()
-	time.Sleep(l.Deployment.CallerDelay)
-	l.send(ctx, ways, kind, key, &c)
-	time.Sleep(l.Deployment.CallerDelay)
+	time.Sleep(gen.Deployment.CallerDelay)
+	gen.send(ctx, gateways, kind, key, &c)
+	time.Sleep(gen.Deployment.CallerDelay)
 	c.Done = time.Now()
-	l.History.AddCall(c)
+	gen.History.AddCall(c)
 	return c
 }
 
-// send goes through the balancer, which tries another gateway only if it could
-// not connect at all.
-func (l *Generator) send(ctx context.Context, ways []*Gateway, kind deployment.Kind, key string, c *judge.Call) {
+// send sends a request through the load balancer, which tries another gateway only
+// if it can't connect to one.
+func (gen *Generator) send(ctx context.Context, gateways []*Gateway, kind deployment.Kind, key string, c *judge.Call) {
 	c.Outcome = judge.Unknown
 	for range maxBalancerAttempts {
-		g := readyGateway(ways)
+		g := readyGateway(gateways)
 		if g == nil {
 			c.Outcome, c.Cause = judge.DidNotRun, "no gateway is ready"
 			return
 		}
 		c.Gateway = g.Name
-		err := l.sendTo(ctx, g, kind, key, c)
-		var op *net.OpError
+		err := gen.sendTo(ctx, g, kind, key, c)
+		var opErr *net.OpError
 		var broken *connectionBrokenError
-		if !errors.As(err, &broken) && errors.As(err, &op) && op.Op == "dial" {
+		if !errors.As(err, &broken) && errors.As(err, &opErr) && opErr.Op == "dial" {
 			continue
 		}
 		if err != nil {
@@ -152,9 +153,10 @@
 	c.Outcome, c.Cause = judge.DidNotRun, "no gateway could be connected to"
 }
 
-// checkedKey is the key for the check of values; only divided services have one.
-func (l *Generator) checkedKey(service, key string) string {
-	for _, s := range l.Deployment.Services {
+// checkedKey returns the key whose values the history checks, or "" for unsharded
+// services, which have none.
+func (gen *Generator) checkedKey(service, key string) string {
+	for _, s := range gen.Deployment.Services {
 		if s.Name == service && s.Divided {
 			return key
 		}
@@ -162,17 +164,18 @@
 	return ""
 }
 
-func readyGateway(ways []*Gateway) *Gateway {
-	start := rand.IntN(len(ways))
-	for i := range ways {
-		if g := ways[(start+i)%len(ways)]; g.Ready.Load() {
+// readyGateway returns a random ready gateway, or nil.
+func readyGateway(gateways []*Gateway) *Gateway {
+	start := rand.IntN(len(gateways))
+	for i := range gateways {
+		if g := gateways[(start+i)%len(gateways)]; g.Ready.Load() {
 			return g
 		}
 	}
 	return nil
 }
 
-func (l *Generator) sendTo(ctx context.Context, g *Gateway, kind deployment.Kind, key string, c *judge.Call) error {
+func (gen *Generator) sendTo(ctx context.Context, g *Gateway, kind deployment.Kind, key string, c *judge.Call) error {
 	method, body := http.MethodGet, ""
 	if c.Write {
 		method, body = http.MethodPost, "a deposit of 35 EUR for "+key
@@ -183,13 +186,13 @@
 		return err
 	}
 	req.Header.Set(target.RequestHeader, c.Request)
-	// The client repeats a GET whose connection broke; if it then cannot
-	// connect, the request may have run all the same.
-	wrote := false
-	trace := &httptrace.ClientTrace{WroteHeaders: func() { wrote = true }}
+	// The HTTP client retries a GET whose connection broke; if it then can't
+	// connect, the request may still have been executed.
+	headersWritten := false
+	trace := &httptrace.ClientTrace{WroteHeaders: func() { headersWritten = true }}
 	req = req.WithContext(httptrace.WithClientTrace(ctx, trace))
-	res, err := l.client.Do(req)
-	if wrote && err != nil {
+	res, err := gen.client.Do(req)
+	if headersWritten && err != nil {
 		return &connectionBrokenError{cause: err}
 	}
 	if err != nil {
@@ -204,13 +207,14 @@
 	return nil
 }
 
-// connectionBrokenError is a failure after the request had been written.
+// connectionBrokenError is a failure after the request's headers were written.
 type connectionBrokenError struct{ cause error }
 
 func (e *connectionBrokenError) Error() string { return e.cause.Error() }
 
 func (e *connectionBrokenError) Unwrap() error { return e.cause }
 
+// classify sets the call's outcome from the response.
 func classify(c *judge.Call, res *http.Response, content []byte) {
 	switch refusal.Outcome(res.Header.Get(refusal.OutcomeHeader)) {
 	case refusal.DidNotRun:
@@ -219,23 +223,23 @@
 		c.Outcome = judge.Unknown
 	default:
 		c.Outcome = judge.Answered
-		var a target.Response
-		err := json.Unmarshal(content, &a)
-		c.Right = err == nil && a.Request == c.Request && a.Complete
+		var body target.Response
+		err := json.Unmarshal(content, &body)
+		c.Right = err == nil && body.Request == c.Request && body.Complete
 		c.Ran = res.StatusCode == http.StatusOK
-		c.Value = a.Value
+		c.Value = body.Value
 		return
 	}
-	var b refusal.Body
-	if json.Unmarshal(content, &b) == nil {
-		c.Cause = b.Name
+	var refused refusal.Body
+	if json.Unmarshal(content, &refused) == nil {
+		c.Cause = refused.Name
 	}
 }
 
-// maxKeysTried is how many keys KeyIn looks at, those of the load first.
+// maxKeysTried is how many keys KeyInRange tries, those of the load first.
 const maxKeysTried = 200_000
 
-// KeyInRange returns a key of the service whose hash lies in the range; empty if
+// KeyInRange returns a key of the service whose hash lies in [first, last], or "" if
 // none is found.
 func KeyInRange(service string, first, last uint64) string {
 	for i := range maxKeysTried {
