--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,5 +1,5 @@
-// Package store stands in for the platform: table service, object store and a
-// lagging instance list over HTTP, with switches for what goes wrong.
+// Package store simulates the platform over HTTP: table service, object store and a
+// delayed instance list, with switches that inject failures.
 package store
 
 import (
@@ -19,19 +19,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// listLag is how far the instance list is behind.
+// listLag is the delay after which the instance list shows that an instance leaves.
 const listLag = time.Second
 
-// Store is the platform. The zero value is empty and works.
+// Store is the simulated platform. The zero value is empty and ready to use.
 type Store struct {
 	Table   table.Memory
 	Objects object.Memory
 
-	mu   sync.Mutex
-	down bool
-	delay time.Duration
+	mu            sync.Mutex
+	down          bool
+	delay         time.Duration
 	loseResponses bool
-	listings []listing
+	listings      []listing
 }
 
 type listing struct {
@@ -40,7 +40,7 @@
 	leaving time.Time
 }
 
-// SetDown makes every call fail.
+// SetDown makes every call fail with a closed connection.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,21 +54,21 @@
 	s.delay = d
 }
 
-// SetLoseResponses loses the answers to writes after they have taken effect.
-func (s *Store) SetLoseResponses(lose bool) {
+// SetLoseResponses drops the responses to writes after they were applied.
+func (s *Store) SetLoseResponses(loseResponses bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loseResponses = lose
+	s.loseResponses = loseResponses
 }
 
-// AddInstance lists an instance.
+// AddInstance adds an instance to the list.
 func (s *Store) AddInstance(i platform.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listings = append(s.listings, listing{Instance: i, listed: time.Now()})
 }
 
-// SetLeaving marks an instance as leaving, or takes the mark back.
+// SetLeaving marks an instance as leaving, or clears the mark.
 func (s *Store) SetLeaving(id string, leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,32 +83,32 @@
 	}
 }
 
-// Instances returns the list as the platform shows it now.
+// Instances returns the list as the platform shows it now: leaving shows after listLag.
 func (s *Store) Instances() []platform.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []platform.Instance
-	shown := time.Now().Add(-listLag)
+	var instances []platform.Instance
+	visible := time.Now().Add(-listLag)
 	for _, l := range s.listings {
 		i := l.Instance
-		i.Leaving = !l.leaving.IsZero() && l.leaving.Before(shown)
-		out = append(out, i)
+		i.Leaving = !l.leaving.IsZero() && l.leaving.Before(visible)
+		instances = append(instances, i)
 	}
-	return out
+	return instances
 }
 
-// ServeHTTP serves the platform's calls.
+// ServeHTTP serves the platform's API: transactions, instance list and objects.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	down, slow, lose := s.down, s.delay, s.loseResponses
+	down, delay, loseResponses := s.down, s.delay, s.loseResponses
 	s.mu.Unlock()
 	if down {
 		panic(http.ErrAbortHandler)
 	}
-	time.Sleep(slow)
+	time.Sleep(delay)
 	switch {
 	case r.URL.Path == platform.TransactPath:
-		s.serveTransact(w, r, lose)
+		s.serveTransact(w, r, loseResponses)
 	case r.URL.Path == platform.InstancesPath:
 		s.serveInstances(w, r)
 	case strings.HasPrefix(r.URL.Path, platform.ObjectPath):
@@ -118,14 +118,14 @@
 	}
 }
 
-func (s *Store) serveTransact(w http.ResponseWriter, r *http.Request, lose bool) {
+func (s *Store) serveTransact(w http.ResponseWriter, r *http.Request, loseResponses bool) {
 	var tx table.Transaction
 	if err := json.NewDecoder(r.Body).Decode(&tx); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	res, err := s.Table.Transact(r.Context(), tx)
-	if err != nil || lose && len(tx.Puts) > 0 {
+	if err != nil || loseResponses && len(tx.Puts) > 0 {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, res)
@@ -163,6 +163,6 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// A failed write is the other end's loss, as it would be in life.
+	// A write error means that the client disconnected; it sees a lost response.
 	_ = json.NewEncoder(w).Encode(v)
 }
