--- a/gateway/admin/admin.go
+++ b/gateway/admin/admin.go
@@ -26,8 +26,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// maxDocument bounds a submitted configuration.
-const maxDocument = 1 << 20
+// maxConfigBytes bounds a submitted configuration.
+const maxConfigBytes = 1 << 20
 
 // Options are what the handler needs; all fields but Pprof must be set.
 type Options struct {
@@ -35,27 +35,27 @@
 	Zone     string
 	View     *view.View
 	Table    table.Client
-	Leader   *leader.Duty
+	Leader   *leader.Leader
 	Ready    func() bool
 	// Planning tells whether this instance is the planner.
-	Planning func(now time.Time) bool
-	Registry *prometheus.Registry
-	Log      *slog.Logger
-	Pprof    bool
-	Gate     operator.Authorizer
+	Planning   func(now time.Time) bool
+	Registry   *prometheus.Registry
+	Log        *slog.Logger
+	Pprof      bool
+	Authorizer operator.Authorizer
 }
 
 // Handler serves the admin address.
 type Handler struct {
 	Options
 
-	mux  *http.ServeMux
-	docs configlog.Log
+	mux       *http.ServeMux
+	configLog configlog.Log
 }
 
 // New returns a handler.
 func New(o Options) *Handler {
-	h := &Handler{Options: o, mux: http.NewServeMux(), docs: configlog.Log{Table: o.Table}}
+	h := &Handler{Options: o, mux: http.NewServeMux(), configLog: configlog.Log{Table: o.Table}}
 	h.mux.HandleFunc("GET /livez", h.livez)
 	h.mux.HandleFunc("GET /readyz", h.readyz)
 	h.mux.Handle("GET /metrics", promhttp.HandlerFor(o.Registry, promhttp.HandlerOpts{}))
@@ -65,14 +65,14 @@
 	guarded.HandleFunc("GET /v1/assignment", h.assignment)
 	guarded.HandleFunc("GET /v1/config", h.config)
 	guarded.HandleFunc("GET /v1/config/explain", h.explain)
-	guarded.HandleFunc("POST /v1/config/check", h.check)
-	guarded.HandleFunc("POST /v1/config", h.accept)
+	guarded.HandleFunc("POST /v1/config/check", h.checkConfig)
+	guarded.HandleFunc("POST /v1/config", h.submitConfig)
 	guarded.HandleFunc("GET /v1/audit", h.audit)
-	h.mux.Handle("/v1/", h.Gate.Wrap(guarded))
+	h.mux.Handle("/v1/", h.Authorizer.Wrap(guarded))
 	if o.Pprof {
 		guarded.HandleFunc("GET /debug/pprof/", pprof.Index)
 		guarded.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
-		h.mux.Handle("/debug/", h.Gate.Wrap(guarded))
+		h.mux.Handle("/debug/", h.Authorizer.Wrap(guarded))
 	}
 	return h
 }
@@ -105,7 +105,7 @@
 }
 
 func (h *Handler) status(w http.ResponseWriter, _ *http.Request) {
-	h.answer(w, Status{
+	h.writeJSON(w, Status{
 		Instance: h.Instance,
 		Zone:     h.Zone,
 		Ready:    h.Ready(),
@@ -129,13 +129,13 @@
 func (h *Handler) owner(w http.ResponseWriter, r *http.Request) {
 	service, key := r.FormValue("service"), r.FormValue("key")
 	s := h.View.Load().Services[service]
-	if s == nil || s.Map == nil {
-		h.fail(w, http.StatusNotFound, errors.New("no divided service "+strconv.Quote(service)))
+	if s == nil || s.ShardMap == nil {
+		h.writeError(w, http.StatusNotFound, errors.New("no divided service "+strconv.Quote(service)))
 		return
 	}
 	hash := shard.Hash(service, key)
-	found, _ := s.Map.Find(hash)
-	h.answer(w, Owner{
+	found, _ := s.ShardMap.Find(hash)
+	h.writeJSON(w, Owner{
 		Service: service, Key: key, Hash: hash, Shard: found,
 		Target: s.Targets[found.Owner], Version: s.Assignment.Version, Cause: s.Assignment.Cause,
 	})
@@ -144,37 +144,37 @@
 func (h *Handler) assignment(w http.ResponseWriter, r *http.Request) {
 	s := h.View.Load().Services[r.FormValue("service")]
 	if s == nil {
-		h.fail(w, http.StatusNotFound, errors.New("no service "+strconv.Quote(r.FormValue("service"))))
+		h.writeError(w, http.StatusNotFound, errors.New("no service "+strconv.Quote(r.FormValue("service"))))
 		return
 	}
-	h.answer(w, s.Assignment)
+	h.writeJSON(w, s.Assignment)
 }
 
 func (h *Handler) config(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.ParseUint(r.FormValue("version"), 10, 64)
 	if err != nil && r.FormValue("version") != "" {
-		h.fail(w, http.StatusBadRequest, errors.New("version: want a number"))
+		h.writeError(w, http.StatusBadRequest, errors.New("version: want a number"))
 		return
 	}
-	doc, err := h.docs.Version(r.Context(), version)
-	var missing *configlog.MissingError
+	doc, err := h.configLog.Version(r.Context(), version)
+	var missing *configlog.NotFoundError
 	switch {
 	case errors.As(err, &missing):
-		h.fail(w, http.StatusNotFound, err)
+		h.writeError(w, http.StatusNotFound, err)
 	case err != nil:
-		h.fail(w, http.StatusServiceUnavailable, err)
+		h.writeError(w, http.StatusServiceUnavailable, err)
 	default:
-		h.answer(w, doc)
+		h.writeJSON(w, doc)
 	}
 }
 
 func (h *Handler) explain(w http.ResponseWriter, r *http.Request) {
 	doc := h.View.Load().Config
 	if doc == nil {
-		h.fail(w, http.StatusNotFound, errors.New("no configuration is in force yet"))
+		h.writeError(w, http.StatusNotFound, errors.New("no configuration is in force yet"))
 		return
 	}
-	h.answer(w, doc.Explain(config.Scope{
+	h.writeJSON(w, doc.Explain(config.Scope{
 		Service: r.FormValue("service"),
 		Kind:    r.FormValue("kind"),
 		Zone:    r.FormValue("zone"),
@@ -183,69 +183,69 @@
 	}, time.Now()))
 }
 
-func (h *Handler) check(w http.ResponseWriter, r *http.Request) {
-	doc, err := readDocument(r)
+func (h *Handler) checkConfig(w http.ResponseWriter, r *http.Request) {
+	doc, err := readConfig(r)
 	if err != nil {
-		h.fail(w, http.StatusUnprocessableEntity, err)
+		h.writeError(w, http.StatusUnprocessableEntity, err)
 		return
 	}
-	h.answer(w, doc)
+	h.writeJSON(w, doc)
 }
 
-func readDocument(r *http.Request) (*config.Document, error) {
-	content, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxDocument))
+func readConfig(r *http.Request) (*config.Document, error) {
+	content, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxConfigBytes))
 	if err != nil {
 		return nil, err
 	}
 	return config.Parse(content)
 }
 
-// Accepted is what a successful submission answers.
-type Accepted struct {
+// SubmitResponse is what a successful submission answers.
+type SubmitResponse struct {
 	Version uint64 `json:"version"`
 }
 
-// accept takes a document as the successor of the version in the query.
-func (h *Handler) accept(w http.ResponseWriter, r *http.Request) {
+// submitConfig takes a document as the successor of the version in the query.
+func (h *Handler) submitConfig(w http.ResponseWriter, r *http.Request) {
 	basedOn, err := strconv.ParseUint(r.FormValue("basedOn"), 10, 64)
 	if err != nil || r.FormValue("id") == "" {
-		h.fail(w, http.StatusBadRequest, errors.New("want basedOn, a version, and id, a unique word, in the query"))
+		h.writeError(w, http.StatusBadRequest, errors.New("want basedOn, a version, and id, a unique word, in the query"))
 		return
 	}
-	doc, err := readDocument(r)
+	doc, err := readConfig(r)
 	if err != nil {
-		h.fail(w, http.StatusUnprocessableEntity, err)
+		h.writeError(w, http.StatusUnprocessableEntity, err)
 		return
 	}
-	version, err := h.docs.Accept(r.Context(), configlog.Proposal{BasedOn: basedOn, Document: doc, ID: r.FormValue("id")})
+	version, err := h.configLog.Accept(r.Context(), configlog.Proposal{BasedOn: basedOn, Document: doc, ID: r.FormValue("id")})
 	var conflict *configlog.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		h.fail(w, http.StatusConflict, err)
+		h.writeError(w, http.StatusConflict, err)
 	case err != nil:
-		h.fail(w, http.StatusServiceUnavailable, err)
+		h.writeError(w, http.StatusServiceUnavailable, err)
 	default:
 		event.ConfigAccepted.Log(h.Log, "version", version, "author", doc.Author, "reason", doc.Reason)
 		h.Leader.NudgeAll(context.WithoutCancel(r.Context()))
-		h.answer(w, Accepted{Version: version})
+		h.writeJSON(w, SubmitResponse{Version: version})
 	}
 }
 
 func (h *Handler) audit(w http.ResponseWriter, r *http.Request) {
 	stream := r.FormValue("stream")
 	if stream != audit.Operators && stream != audit.System {
-		h.fail(w, http.StatusBadRequest, errors.New("stream: want operators or system"))
+		h.writeError(w, http.StatusBadRequest, errors.New("stream: want operators or system"))
 		return
 	}
 	records, err := audit.Read(r.Context(), h.Table, stream)
 	if err != nil {
-		h.fail(w, http.StatusServiceUnavailable, err)
+		h.writeError(w, http.StatusServiceUnavailable, err)
 		return
 	}
-	h.answer(w, records)
+	h.writeJSON(w, records)
 }
 
-func (h *Handler) answer(w http.ResponseWriter, v any) {
+func (h *Handler) writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
@@ -254,14 +254,14 @@
 	}
 }
 
-// Problem is the body of a failed call.
-type Problem struct {
+// ErrorResponse is the body of a failed call.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
-func (h *Handler) fail(w http.ResponseWriter, status int, err error) {
+func (h *Handler) writeError(w http.ResponseWriter, status int, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	// The status is out already; a failed body write has nobody to tell.
-	_ = json.NewEncoder(w).Encode(Problem{Error: err.Error()})
+	_ = json.NewEncoder(w).Encode(ErrorResponse{Error: err.Error()})
 }
--- a/gateway/broker/broker.go
+++ b/gateway/broker/broker.go
@@ -61,7 +61,7 @@
 	group          errgroup.Group
 	mu             sync.Mutex
 	seq            uint64
-	pending        map[uint64]chan *peers.Reserved
+	pending        map[uint64]chan *peers.ReserveResponse
 	remoteRequests map[remoteKey]*remoteRequest
 	unresponsive   map[string]backoff
 	fullUntil      map[fullKey]time.Time
@@ -90,7 +90,7 @@
 	return &Broker{
 		// Sequence numbers start at random: if each incarnation began with the same
 		// ones, a reply to an earlier incarnation could match a request of this one.
-		Options: o, seq: uint64(rand.Uint32()), pending: map[uint64]chan *peers.Reserved{}, remoteRequests: map[remoteKey]*remoteRequest{},
+		Options: o, seq: uint64(rand.Uint32()), pending: map[uint64]chan *peers.ReserveResponse{}, remoteRequests: map[remoteKey]*remoteRequest{},
 		unresponsive: map[string]backoff{}, fullUntil: map[fullKey]time.Time{},
 		oneWayDelays: map[string]time.Duration{},
 	}
@@ -238,7 +238,7 @@
 	b.mu.Lock()
 	b.seq++
 	seq := b.seq
-	replies := make(chan *peers.Reserved, 4)
+	replies := make(chan *peers.ReserveResponse, 4)
 	b.pending[seq] = replies
 	b.mu.Unlock()
 	defer func() {
@@ -246,7 +246,7 @@
 		delete(b.pending, seq)
 		b.mu.Unlock()
 	}()
-	b.Peers.Send(scheduler, &peers.Message{Reserve: encodeReserveRequest(seq, &req)})
+	b.Peers.Send(scheduler, &peers.Message{ReserveRequest: encodeReserveRequest(seq, &req)})
 	timer := time.NewTimer(resendInterval)
 	defer timer.Stop()
 	for unanswered := 0; ; {
@@ -266,7 +266,7 @@
 				b.sendRelease(scheduler, seq, schedule.Abandoned, 0)
 				return nil, &UnresponsiveError{Scheduler: scheduler}
 			}
-			b.Peers.Send(scheduler, &peers.Message{Reserve: encodeReserveRequest(seq, &req)})
+			b.Peers.Send(scheduler, &peers.Message{ReserveRequest: encodeReserveRequest(seq, &req)})
 			timer.Reset(resendInterval)
 		case <-ctx.Done():
 			b.sendRelease(scheduler, seq, schedule.Abandoned, 0)
@@ -284,7 +284,7 @@
 // isMisdirected reports whether a reply belongs to a request of an earlier incarnation
 // of this instance with the same sequence number. Its target would run this request,
 // since it is addressed by its own name, although it is of another service.
-func (b *Broker) isMisdirected(req *schedule.Request, r *peers.Reserved) bool {
+func (b *Broker) isMisdirected(req *schedule.Request, r *peers.ReserveResponse) bool {
 	if r.Target == "" {
 		return false
 	}
@@ -292,15 +292,15 @@
 	return req.Target != "" && r.Target != req.Target || t != nil && t.Service != req.Service
 }
 
-func (b *Broker) reservationFrom(scheduler string, seq uint64, req *schedule.Request, r *peers.Reserved) (*Reservation, error) {
+func (b *Broker) reservationFrom(scheduler string, seq uint64, req *schedule.Request, r *peers.ReserveResponse) (*Reservation, error) {
 	switch {
 	case r.NoTarget:
 		return nil, &schedule.NoTargetError{Service: req.Service}
 	case r.Target == "":
-		return nil, &schedule.BusyError{Service: req.Service, Wait: time.Duration(r.WaitMs) * time.Millisecond, Queued: r.Waiting}
+		return nil, &schedule.BusyError{Service: req.Service, Wait: time.Duration(r.WaitMs) * time.Millisecond, Queued: r.QueueLength}
 	}
 	t := b.Roster.Load().Targets[r.Target]
-	if t == nil || t.Started != r.Born || req.Target == "" && t.Draining {
+	if t == nil || t.Started != r.Started || req.Target == "" && t.Draining {
 		b.sendRelease(scheduler, seq, schedule.Abandoned, 0)
 		return nil, &schedule.NoTargetError{Service: req.Service}
 	}
@@ -309,13 +309,13 @@
 }
 
 func (b *Broker) sendRelease(scheduler string, seq uint64, result schedule.Result, held time.Duration) {
-	b.Peers.Send(scheduler, &peers.Message{Release: &peers.Release{Seq: seq, Result: int(result), TookUs: held.Microseconds()}})
+	b.Peers.Send(scheduler, &peers.Message{Release: &peers.Release{Seq: seq, Result: int(result), HeldUs: held.Microseconds()}})
 }
 
-func encodeReserveRequest(seq uint64, req *schedule.Request) *peers.Reserve {
+func encodeReserveRequest(seq uint64, req *schedule.Request) *peers.ReserveRequest {
 	now := time.Now()
-	msg := &peers.Reserve{
-		Seq: seq, Service: req.Service, Kind: req.Kind, Target: req.Target, Zone: req.Zone, Priority: req.Priority, OnTime: req.RejectLate,
+	msg := &peers.ReserveRequest{
+		Seq: seq, Service: req.Service, Kind: req.Kind, Target: req.Target, Zone: req.Zone, Priority: req.Priority, RejectLate: req.RejectLate,
 		ObjectiveMs: req.Objective.Sub(now).Milliseconds(), DeadlineMs: req.Deadline.Sub(now).Milliseconds(),
 	}
 	for id := range req.Excluded {
--- a/gateway/broker/broker_test.go
+++ b/gateway/broker/broker_test.go
@@ -42,7 +42,7 @@
 		address := c.LocalAddr().String()
 		assert.NilError(t, c.Close())
 		n := &testInstance{roster: targets}
-		n.peers = &peers.Peers{Self: peers.Instance{Name: name, Life: "1", Zone: "z", Datagram: address}, Log: log}
+		n.peers = &peers.Peers{Self: peers.Instance{Name: name, Incarnation: "1", Zone: "z", Datagram: address}, Log: log}
 		n.peers.Receive = func(m *peers.Message) {
 			if f := n.receiveHook.Load(); f != nil {
 				(*f)(m)
@@ -62,7 +62,7 @@
 		all[name], members[name] = n, n.peers.Self
 	}
 	for _, n := range all {
-		n.peers.Know(members)
+		n.peers.SetInstances(members)
 	}
 	return all
 }
@@ -150,7 +150,7 @@
 	}
 	all["strong"] = peers.Instance{Name: "strong", Zone: "z", Cores: 0.8, Datagram: "127.0.0.1:9"}
 	p := &peers.Peers{Self: all["a"], Log: slog.New(slog.DiscardHandler)}
-	p.Know(all)
+	p.SetInstances(all)
 	b := broker.New(broker.Options{Self: p.Self, Peers: p})
 	schedulersOfTargets := map[string]bool{}
 	for _, id := range []string{"t1", "t2", "t3", "t4", "t5", "t6", "t7", "t8"} {
@@ -167,9 +167,9 @@
 	var sent atomic.Int64
 	scheduler := all["scheduler"].peers
 	queue := func(m *peers.Message) {
-		if m.Reserve != nil {
+		if m.ReserveRequest != nil {
 			sent.Add(1)
-			scheduler.Send(m.From, &peers.Message{Reserved: &peers.Reserved{Seq: m.Reserve.Seq, Queued: true}})
+			scheduler.Send(m.From, &peers.Message{ReserveResponse: &peers.ReserveResponse{Seq: m.ReserveRequest.Seq, Queued: true}})
 		}
 	}
 	all["scheduler"].receiveHook.Store(&queue)
@@ -196,21 +196,21 @@
 // which would run the request, since it is addressed by its own name. The reply must
 // be ignored until the right one arrives.
 func TestReplyToEarlierIncarnationIsIgnored(t *testing.T) {
-	for name, misdirected := range map[string]*peers.Reserved{
-		"another service's target": {Target: "other", Born: 7},
-		"another target":           {Target: "second", Born: 1},
+	for name, misdirected := range map[string]*peers.ReserveResponse{
+		"another service's target": {Target: "other", Started: 7},
+		"another target":           {Target: "second", Started: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			all := startInstances(t, "a", "scheduler")
 			scheduler := all["scheduler"].peers
 			reply := func(m *peers.Message) {
-				if m.Reserve == nil {
+				if m.ReserveRequest == nil {
 					return
 				}
 				r := *misdirected
-				r.Seq = m.Reserve.Seq
-				scheduler.Send(m.From, &peers.Message{Reserved: &r})
-				scheduler.Send(m.From, &peers.Message{Reserved: &peers.Reserved{Seq: m.Reserve.Seq, Target: m.Reserve.Target, Born: 1}})
+				r.Seq = m.ReserveRequest.Seq
+				scheduler.Send(m.From, &peers.Message{ReserveResponse: &r})
+				scheduler.Send(m.From, &peers.Message{ReserveResponse: &peers.ReserveResponse{Seq: m.ReserveRequest.Seq, Target: m.ReserveRequest.Target, Started: 1}})
 			}
 			all["scheduler"].receiveHook.Store(&reply)
 			req := request(time.Second, time.Minute)
@@ -237,9 +237,9 @@
 		all := startInstances(t, "a", "scheduler")
 		seen := make(chan uint64, 1)
 		record := func(m *peers.Message) {
-			if m.Reserve != nil {
+			if m.ReserveRequest != nil {
 				select {
-				case seen <- m.Reserve.Seq:
+				case seen <- m.ReserveRequest.Seq:
 				default:
 				}
 			}
--- a/gateway/broker/scheduler.go
+++ b/gateway/broker/scheduler.go
@@ -21,7 +21,7 @@
 type remoteRequest struct {
 	cancel      context.CancelFunc
 	reservation *dispatch.Reservation
-	reply       *peers.Reserved
+	reply       *peers.ReserveResponse
 	// repliedAt is when the reply was sent.
 	repliedAt time.Time
 }
@@ -29,10 +29,10 @@
 // Receive handles a message about slots, and reports whether it was one.
 func (b *Broker) Receive(m *peers.Message) bool {
 	switch {
-	case m.Reserve != nil:
+	case m.ReserveRequest != nil:
 		b.handleReserveRequest(m)
-	case m.Reserved != nil:
-		b.handleReserveResponse(m.Reserved)
+	case m.ReserveResponse != nil:
+		b.handleReserveResponse(m.ReserveResponse)
 	case m.Release != nil:
 		b.handleRelease(m)
 	default:
@@ -41,7 +41,7 @@
 	return true
 }
 
-func (b *Broker) handleReserveResponse(r *peers.Reserved) {
+func (b *Broker) handleReserveResponse(r *peers.ReserveResponse) {
 	b.mu.Lock()
 	replies := b.pending[r.Seq]
 	b.mu.Unlock()
@@ -56,20 +56,20 @@
 }
 
 func (b *Broker) handleReserveRequest(m *peers.Message) {
-	key := remoteKey{m.From, m.Life, m.Reserve.Seq}
+	key := remoteKey{m.From, m.Incarnation, m.ReserveRequest.Seq}
 	b.mu.Lock()
 	r := b.remoteRequests[key]
 	if r != nil {
 		reply := r.reply
 		b.mu.Unlock()
 		if reply == nil {
-			reply = &peers.Reserved{Seq: m.Reserve.Seq, Queued: true}
+			reply = &peers.ReserveResponse{Seq: m.ReserveRequest.Seq, Queued: true}
 		}
-		b.Peers.Send(m.From, &peers.Message{Reserved: reply})
+		b.Peers.Send(m.From, &peers.Message{ReserveResponse: reply})
 		return
 	}
 	now := time.Now()
-	req := decodeReserveRequest(now, m.Reserve)
+	req := decodeReserveRequest(now, m.ReserveRequest)
 	ctx, cancel := context.WithDeadline(context.Background(), req.Deadline)
 	r = &remoteRequest{cancel: cancel}
 	b.remoteRequests[key] = r
@@ -83,9 +83,9 @@
 }
 
 // decodeReserveRequest returns the request of another instance's message.
-func decodeReserveRequest(now time.Time, m *peers.Reserve) schedule.Request {
+func decodeReserveRequest(now time.Time, m *peers.ReserveRequest) schedule.Request {
 	req := schedule.Request{
-		Service: m.Service, Kind: m.Kind, Target: m.Target, Zone: m.Zone, Priority: m.Priority, RejectLate: m.OnTime,
+		Service: m.Service, Kind: m.Kind, Target: m.Target, Zone: m.Zone, Priority: m.Priority, RejectLate: m.RejectLate,
 		Objective: now.Add(time.Duration(m.ObjectiveMs) * time.Millisecond),
 		Deadline:  now.Add(time.Duration(m.DeadlineMs) * time.Millisecond),
 	}
@@ -101,14 +101,14 @@
 // reserveFor reserves a slot for another instance's request and sends the reply.
 func (b *Broker) reserveFor(ctx context.Context, key remoteKey, r *remoteRequest, req schedule.Request) {
 	res, err := b.Dispatcher.Acquire(ctx, req)
-	reply := &peers.Reserved{Seq: key.seq}
+	reply := &peers.ReserveResponse{Seq: key.seq}
 	var busy *schedule.BusyError
 	var noTarget *schedule.NoTargetError
 	switch {
 	case err == nil:
-		reply.Target, reply.Born = res.Target.ID, res.Target.Started
+		reply.Target, reply.Started = res.Target.ID, res.Target.Started
 	case errors.As(err, &busy):
-		reply.WaitMs, reply.Waiting = busy.Wait.Milliseconds(), busy.Queued
+		reply.WaitMs, reply.QueueLength = busy.Wait.Milliseconds(), busy.Queued
 	case errors.As(err, &noTarget):
 		reply.NoTarget = true
 	}
@@ -123,13 +123,13 @@
 	}
 	r.reservation, r.reply, r.repliedAt = res, reply, time.Now()
 	b.mu.Unlock()
-	b.Peers.Send(key.from, &peers.Message{Reserved: reply})
+	b.Peers.Send(key.from, &peers.Message{ReserveResponse: reply})
 }
 
 func (b *Broker) handleRelease(m *peers.Message) {
-	key, result := remoteKey{m.From, m.Life, m.Release.Seq}, schedule.Result(m.Release.Result)
+	key, result := remoteKey{m.From, m.Incarnation, m.Release.Seq}, schedule.Result(m.Release.Result)
 	if result == schedule.Answered {
-		b.updateOneWayDelay(key, time.Duration(m.Release.TookUs)*time.Microsecond)
+		b.updateOneWayDelay(key, time.Duration(m.Release.HeldUs)*time.Microsecond)
 	}
 	b.releaseRemote(key, result)
 }
--- a/gateway/checksettings_test.go
+++ b/gateway/checksettings_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// check runs the command and returns what it prints.
-func check(t *testing.T, lines string, args ...string) (string, error) {
+// runCheckSettings runs the command and returns what it prints.
+func runCheckSettings(t *testing.T, lines string, args ...string) (string, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "settings.conf")
 	assert.NilError(t, os.WriteFile(file, []byte(lines), 0o600))
@@ -22,19 +22,19 @@
 	return out.String(), err
 }
 
-func TestCheckSettingsPrintsWhatIsInForce(t *testing.T) {
-	out, err := check(t, "BASILCROSS_ZONE=graz\nBASILCROSS_CORES=0.32\nBASILCROSS_SEEDS=10.0.0.1:1,10.0.0.2:1\nUNKNOWN=7\n", "--region=ost")
+func TestCheckSettingsPrintsSettingsInForce(t *testing.T) {
+	out, err := runCheckSettings(t, "BASILCROSS_ZONE=graz\nBASILCROSS_CORES=0.32\nBASILCROSS_SEEDS=10.0.0.1:1,10.0.0.2:1\nUNKNOWN=7\n", "--region=ost")
 	assert.NilError(t, err)
 	for _, line := range []string{"zone=graz\n", "region=ost\n", "cores=0.32\n", "seeds=[10.0.0.1:1,10.0.0.2:1]\n"} {
 		assert.Assert(t, bytes.Contains([]byte(out), []byte(line)), "%s in %s", line, out)
 	}
 }
 
-func TestCheckSettingsNamesEveryFault(t *testing.T) {
-	_, err := check(t, "BASILCROSS_STORE=nowhere\nBASILCROSS_CORES=-1\n", "--retry-ratio=3")
+func TestCheckSettingsReportsEveryError(t *testing.T) {
+	_, err := runCheckSettings(t, "BASILCROSS_STORE=nowhere\nBASILCROSS_CORES=-1\n", "--retry-ratio=3")
 	for _, field := range []string{"--store", "--cores", "--retry-ratio"} {
 		assert.ErrorContains(t, err, field)
 	}
-	_, err = check(t, "BASILCROSS_CORES=many\n")
+	_, err = runCheckSettings(t, "BASILCROSS_CORES=many\n")
 	assert.ErrorContains(t, err, "cores")
 }
--- a/gateway/coordinator/address_test.go
+++ b/gateway/coordinator/address_test.go
@@ -44,14 +44,14 @@
 	f := &fleet{t: t, roster: &roster.Roster{}}
 	var list []*process
 	for i := range targets {
-		p := f.start("t"+strconv.Itoa(i), "127.0.0.1:0")
-		f.list(p, true)
+		p := f.startTarget("t"+strconv.Itoa(i), "127.0.0.1:0")
+		f.setListed(p, true)
 		list = append(list, p)
 	}
-	f.lead("lists")
-	f.until("all hold keys", func() bool {
+	f.runCoordinator("lists")
+	f.waitFor("all hold keys", func() bool {
 		for _, p := range list {
-			if len(p.Epochs()) == 0 {
+			if len(p.AcceptedEpochs()) == 0 {
 				return false
 			}
 		}
@@ -60,8 +60,8 @@
 	return f, list
 }
 
-// lead runs a coordinator over divided services.
-func (f *fleet) lead(services ...string) {
+// runCoordinator runs a coordinator over divided services.
+func (f *fleet) runCoordinator(services ...string) {
 	t := f.t
 	t.Helper()
 	store := httptest.NewServer(&standin.Store{})
@@ -71,15 +71,15 @@
 		config.Services = append(config.Services, routing.Service{Name: name, Sharded: true, HealthPath: standin.HealthPath})
 	}
 	table := routing.New(config)
-	log := slog.New(slog.NewTextHandler(testLog{t}, nil))
+	log := slog.New(slog.NewTextHandler(testLogWriter{t}, nil))
 	c := New(Options{
-		Self:     peers.Instance{Name: "one", Life: "a", Cores: 1},
+		Self:     peers.Instance{Name: "one", Incarnation: "a", Cores: 1},
 		Store:    &platform.Store{Address: strings.TrimPrefix(store.URL, "http://"), HTTP: store.Client()},
 		Channels: &channel.Set{Dial: (&net.Dialer{}).DialContext},
-		Releases: &platform.Grants{HTTP: &http.Client{Transport: &http.Transport{}}},
+		Releases: &platform.GrantClient{HTTP: &http.Client{Transport: &http.Transport{}}},
 		Peers:    &peers.Peers{Log: log}, Roster: f.roster, Table: func() *routing.Table { return table },
-		Revisions: func() map[string]uint64 { return nil }, Leads: func(int, bool) {}, Refresh: func() {},
-		Took: func(*peers.News) {}, Missed: func() {}, Log: log, Joined: func() bool { return true },
+		Revisions: func() map[string]uint64 { return nil }, OnLeading: func(int, bool) {}, RestartFeeds: func() {},
+		OnUpdate: func(*peers.AssignmentUpdate) {}, OnOversizedUpdate: func() {}, Log: log, Joined: func() bool { return true },
 		Holds: ownership.Holds{Normal: 3200 * time.Millisecond, Long: 6 * time.Second, RenewInterval: 800 * time.Millisecond, AddressReuse: 2 * time.Second},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -91,10 +91,10 @@
 	})
 }
 
-// testLog shows the coordinator's lines with a failed test.
-type testLog struct{ t *testing.T }
+// testLogWriter shows the coordinator's lines with a failed test.
+type testLogWriter struct{ t *testing.T }
 
-func (l testLog) Write(line []byte) (int, error) {
+func (l testLogWriter) Write(line []byte) (int, error) {
 	// A line may come as the test ends.
 	if l.t.Context().Err() == nil {
 		l.t.Log(strings.TrimSpace(string(line)))
@@ -102,8 +102,8 @@
 	return len(line), nil
 }
 
-// start begins a process at an address.
-func (f *fleet) start(id, address string) *process {
+// startTarget begins a process at an address.
+func (f *fleet) startTarget(id, address string) *process {
 	f.t.Helper()
 	listener, err := net.Listen("tcp", address)
 	assert.NilError(f.t, err)
@@ -114,15 +114,15 @@
 	}
 	var group errgroup.Group
 	group.Go(func() error { return p.server.Serve(listener) })
-	f.t.Cleanup(func() { p.end() })
+	f.t.Cleanup(func() { p.crash() })
 	return p
 }
 
-// end is a crash: its connections are reset, and its port refuses others.
-func (p *process) end() { _ = p.server.Close() }
+// crash is a crash: its connections are reset, and its port refuses others.
+func (p *process) crash() { _ = p.server.Close() }
 
-// list names a target, or does so no more.
-func (f *fleet) list(p *process, named bool) {
+// setListed names a target, or does so no more.
+func (f *fleet) setListed(p *process, named bool) {
 	change := roster.Change{ID: p.ID}
 	if named {
 		change.Target = p.listed
@@ -130,7 +130,7 @@
 	f.roster.Apply(time.Now(), []roster.Change{change}, uint64(time.Now().UnixNano()))
 }
 
-func (f *fleet) until(what string, done func() bool) {
+func (f *fleet) waitFor(what string, done func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(10 * time.Second); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -139,8 +139,8 @@
 	}
 }
 
-// watch fails if two of the processes hold a key at once within the time.
-func (f *fleet) watch(d time.Duration, processes ...*process) {
+// checkSingleHolder fails if two of the processes hold a key at once within the time.
+func (f *fleet) checkSingleHolder(d time.Duration, processes ...*process) {
 	f.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		for key := 0; key < ownership.KeyCount; key += 4096 {
@@ -168,17 +168,17 @@
 // there. Proved by the coordinator's lines: six renewals refused since 12.18 s,
 // the seventh on a connection of its own at 12.904 s, 21 ms after the newcomer's
 // start, and the targets' record of who had which epoch.
-func TestEpochNeverReachesASecondTarget(t *testing.T) {
+func TestEpochIsNotSentToSecondTargetAtSameAddress(t *testing.T) {
 	for name, pause := range map[string]time.Duration{"at once": 0, "after a while": 1100 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			f, targets := startFleet(t, 3)
 			first := targets[0]
-			first.end()
+			first.crash()
 			time.Sleep(pause)
-			second := f.start("newcomer", first.listed.Address)
-			f.watch(2*time.Second, second, targets[1], targets[2])
-			for _, epoch := range second.Epochs() {
-				assert.Assert(t, !first.Took(epoch), "epoch %d was taken by both", epoch)
+			second := f.startTarget("newcomer", first.listed.Address)
+			f.checkSingleHolder(2*time.Second, second, targets[1], targets[2])
+			for _, epoch := range second.AcceptedEpochs() {
+				assert.Assert(t, !first.AcceptedEpoch(epoch), "epoch %d was taken by both", epoch)
 			}
 		})
 	}
@@ -193,18 +193,18 @@
 // though the orders sent there since may be in its hands. Proved by the lines:
 // it took the keys at 5.893 s, counted as the proof at 5.904 s, and the same
 // keys went to others at 5.96 s, before its hold had run out.
-func TestNewcomersKeysAreNotGivenToOthers(t *testing.T) {
+func TestKeysOfReplacementTargetAreNotGrantedToOthers(t *testing.T) {
 	f, targets := startFleet(t, 3)
 	first := targets[0]
-	first.end()
-	second := f.start("newcomer", first.listed.Address)
+	first.crash()
+	second := f.startTarget("newcomer", first.listed.Address)
 	// It is slow at first, so some of the keys go to others.
 	second.listed.WarmupLeft = 3 * time.Second
-	f.watch(time.Second, second, targets[1], targets[2])
-	f.list(second, true)
-	f.list(first, false)
-	f.watch(4*time.Second, second, targets[1], targets[2])
-	f.until("the first one's keys are held again", func() bool {
+	f.checkSingleHolder(time.Second, second, targets[1], targets[2])
+	f.setListed(second, true)
+	f.setListed(first, false)
+	f.checkSingleHolder(4*time.Second, second, targets[1], targets[2])
+	f.waitFor("the first one's keys are held again", func() bool {
 		for key := 0; key < ownership.KeyCount; key += 4096 {
 			if !second.Holds(key) && !targets[1].Holds(key) && !targets[2].Holds(key) {
 				return false
@@ -214,19 +214,19 @@
 	})
 }
 
-// strangers are two divided services, of which one has a dead target that is
+// newReusedAddress are two divided services, of which one has a dead target that is
 // still named. Its address belongs to the other one's target by now.
-func strangers(t *testing.T) (f *fleet, newcomer, other *process) {
+func newReusedAddress(t *testing.T) (f *fleet, newcomer, other *process) {
 	t.Helper()
 	f = &fleet{t: t, roster: &roster.Roster{}}
-	newcomer, other = f.start("newcomer", "127.0.0.1:0"), f.start("other", "127.0.0.1:0")
+	newcomer, other = f.startTarget("newcomer", "127.0.0.1:0"), f.startTarget("other", "127.0.0.1:0")
 	newcomer.listed.Service, other.listed.Service = "others", "others"
 	dead := &process{Target: &standin.Target{ID: "dead"}, listed: &roster.Target{
 		ID: "dead", Service: "lists", Address: newcomer.listed.Address, Slots: 3, Started: newcomer.listed.Started - 5000,
 	}}
-	f.list(dead, true)
-	f.list(f.start("last", "127.0.0.1:0"), true)
-	f.list(other, true)
+	f.setListed(dead, true)
+	f.setListed(f.startTarget("last", "127.0.0.1:0"), true)
+	f.setListed(other, true)
 	return f, newcomer, other
 }
 
@@ -234,31 +234,31 @@
 // named there while the dead one still is. It must not be granted the first
 // service's keys: it would take them for its own, which others of its service
 // hold.
-func TestNamedStrangerGetsNoOrders(t *testing.T) {
-	f, newcomer, other := strangers(t)
-	f.list(newcomer, true)
-	f.lead("lists", "others")
-	f.watch(4*time.Second, newcomer, other)
+func TestListedTargetOfOtherServiceGetsNoOrders(t *testing.T) {
+	f, newcomer, other := newReusedAddress(t)
+	f.setListed(newcomer, true)
+	f.runCoordinator("lists", "others")
+	f.checkSingleHolder(4*time.Second, newcomer, other)
 }
 
 // The same before anybody has named the newcomer. It takes the first order of
 // the term, since nothing but its own look at the name in it could tell.
-func TestUnnamedStrangerGetsNoOrders(t *testing.T) {
-	f, newcomer, other := strangers(t)
-	f.lead("lists", "others")
-	f.watch(4*time.Second, newcomer, other)
+func TestUnlistedTargetOfOtherServiceGetsNoOrders(t *testing.T) {
+	f, newcomer, other := newReusedAddress(t)
+	f.runCoordinator("lists", "others")
+	f.checkSingleHolder(4*time.Second, newcomer, other)
 }
 
 // A release finds the authority gone for a moment, and the answer to a write
 // renews it. The piece must not wait for the release's end for ever: nobody
 // would serve its keys for the rest of the term.
-func TestReleaseThatIsNotSentEnds(t *testing.T) {
-	c := New(Options{Log: slog.New(slog.DiscardHandler), Releases: &platform.Grants{HTTP: http.DefaultClient}})
+func TestUnsentReleaseIsReported(t *testing.T) {
+	c := New(Options{Log: slog.New(slog.DiscardHandler), Releases: &platform.GrantClient{HTTP: http.DefaultClient}})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l := newLeading(ctx, cancel, Lease{Term: 1}, 1)
-	l.goodUntil.Store(int64(boottime() - time.Millisecond))
-	c.leading = l
+	l := newLeadership(ctx, cancel, Lease{Term: 1}, 1)
+	l.authorityEnd.Store(int64(boottime() - time.Millisecond))
+	c.leadership = l
 	c.release(l, &ownership.Manager{}, &ownership.Release{Address: "127.0.0.1:1", HeldUntil: time.Now().Add(time.Second)})
 	assert.Equal(t, len(c.events), 1)
 }
@@ -281,12 +281,12 @@
 		{&net.OpError{Op: "read"}, ownership.Unknown},
 		{context.DeadlineExceeded, ownership.Unknown},
 	} {
-		assert.Equal(t, outcome(c.err), c.want, "%v", c.err)
+		assert.Equal(t, orderOutcome(c.err), c.want, "%v", c.err)
 	}
 }
 
 // Guards against health checks, which take slots, where no other service has keys.
-func TestNamesAreAskedForOnlyAmongDividedServices(t *testing.T) {
+func TestTargetIsVerifiedOnlyAmongSeveralShardedServices(t *testing.T) {
 	one := routing.Service{Name: "lists", Sharded: true, HealthPath: "/lists"}
 	other := routing.Service{Name: "others", Sharded: true, HealthPath: "/others"}
 	undivided := routing.Service{Name: "more", HealthPath: "/more"}
--- a/gateway/coordinator/lead.go
+++ b/gateway/coordinator/lead.go
@@ -24,58 +24,58 @@
 
 // lead does what is due in a term.
 func (c *Coordinator) lead(ctx context.Context) {
-	l := c.leading
-	if boottime() >= time.Duration(l.goodUntil.Load()) {
+	l := c.leadership
+	if boottime() >= time.Duration(l.authorityEnd.Load()) {
 		c.stepDown("the lease ran out")
 		return
 	}
 	now := time.Now()
-	if unanswered := l.writing && now.Sub(l.wroteAt) > calmWithin; unanswered != l.unanswered {
-		l.unanswered = unanswered
-		c.Leads(c.countMembers(now), !unanswered)
+	if unanswered := l.writing && now.Sub(l.writeStarted) > healthyWriteTime; unanswered != l.writeOverdue {
+		l.writeOverdue = unanswered
+		c.OnLeading(c.countMembers(now), !unanswered)
 	}
-	c.beat(now)
+	c.sendHeartbeat(now)
 	if l.resigning {
 		return
 	}
 	if l.recorded == nil {
-		c.readRecorded(ctx)
+		c.readAssignments(ctx)
 	} else {
-		c.keep(now) //nolint:contextcheck // orders end with the term, whose context is the term's own
+		c.stepManagers(now) //nolint:contextcheck // orders end with the term, whose context is the term's own
 	}
-	c.noteDoubt(now)
-	if c.handsOver(now) {
+	c.checkInDoubt(now)
+	if c.shouldHandOver(now) {
 		l.resigning = true
 		c.group.Go(func() error {
-			c.giveUp(ctx, l)
+			c.releaseLease(ctx, l)
 			return nil
 		})
 		return
 	}
-	gap := renewEvery
+	gap := renewInterval
 	if len(l.pending) > 0 {
-		gap = recordEvery
+		gap = recordInterval
 	}
-	if !l.writing && now.Sub(l.wroteAt) >= gap {
-		c.renew(ctx, now)
+	if !l.writing && now.Sub(l.writeStarted) >= gap {
+		c.renewLease(ctx, now)
 	}
 }
 
 const (
-	// handOverAfter is how long a term lasts before it is handed over to a
+	// handoverAfter is how long a term lasts before it is handed over to a
 	// stronger instance: by then all have been heard that started with it.
-	handOverAfter = 1500 * time.Millisecond
-	// muchStronger is how much more of a processor is worth a hand-over, after
+	handoverAfter = 1500 * time.Millisecond
+	// handoverCoresRatio is how much more of a processor is worth a hand-over, after
 	// which all keys are granted anew.
-	muchStronger = 1.5
+	handoverCoresRatio = 1.5
 )
 
-// handsOver tells whether a stronger instance is there to take over. When a
+// shouldHandOver tells whether a stronger instance is there to take over. When a
 // fleet starts, nobody knows yet who is strong; a small instance that went on
 // would lose its lease behind its own renewals as soon as many keys move.
-func (c *Coordinator) handsOver(now time.Time) bool {
-	l := c.leading
-	if l.recorded == nil || l.inDoubt || l.writing || len(l.pending) > 0 || now.Sub(l.since) < handOverAfter {
+func (c *Coordinator) shouldHandOver(now time.Time) bool {
+	l := c.leadership
+	if l.recorded == nil || l.inDoubt || l.writing || len(l.pending) > 0 || now.Sub(l.started) < handoverAfter {
 		return false
 	}
 	for _, k := range l.managers {
@@ -84,33 +84,33 @@
 		}
 	}
 	for name, at := range c.members {
-		if now.Sub(at) < memberFor && c.Peers.Find(name).Cores > muchStronger*c.Self.Cores {
+		if now.Sub(at) < memberTimeout && c.Peers.Find(name).Cores > handoverCoresRatio*c.Self.Cores {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Coordinator) beat(now time.Time) {
-	l := c.leading
-	if now.Before(l.beatAt) {
+func (c *Coordinator) sendHeartbeat(now time.Time) {
+	l := c.leadership
+	if now.Before(l.nextHeartbeat) {
 		return
 	}
-	l.beatAt = now.Add(beatEvery)
-	c.Leads(c.countMembers(now), !l.unanswered)
-	c.Peers.Broadcast(c.signOfLife(l))
+	l.nextHeartbeat = now.Add(heartbeatInterval)
+	c.OnLeading(c.countMembers(now), !l.writeOverdue)
+	c.Peers.Broadcast(c.heartbeat(l))
 }
 
-func (c *Coordinator) signOfLife(l *leading) *peers.Message {
-	return &peers.Message{Revisions: c.Revisions(), Beat: &peers.Beat{
-		Term: l.lease.Term, Lease: l.revision, LeaseMs: l.lease.LeaseMs, Members: c.countMembers(time.Now()), InDoubt: l.inDoubt,
+func (c *Coordinator) heartbeat(l *leadership) *peers.Message {
+	return &peers.Message{Revisions: c.Revisions(), Heartbeat: &peers.Heartbeat{
+		Term: l.lease.Term, LeaseRevision: l.revision, LeaseMs: l.lease.LeaseMs, Members: c.countMembers(time.Now()), InDoubt: l.inDoubt,
 	}}
 }
 
 func (c *Coordinator) countMembers(now time.Time) int {
 	n := 1
 	for name, at := range c.members {
-		if now.Sub(at) > memberFor {
+		if now.Sub(at) > memberTimeout {
 			delete(c.members, name)
 			continue
 		}
@@ -119,10 +119,10 @@
 	return n
 }
 
-// readRecorded reads what former coordinators recorded. It is read after the
+// readAssignments reads what former coordinators recorded. It is read after the
 // lease was written, so no former one can write after it.
-func (c *Coordinator) readRecorded(ctx context.Context) {
-	l := c.leading
+func (c *Coordinator) readAssignments(ctx context.Context) {
+	l := c.leadership
 	if l.reading {
 		return
 	}
@@ -130,16 +130,16 @@
 	c.group.Go(func() error {
 		callCtx, cancel := context.WithTimeout(l.ctx, attemptTimeout)
 		defer cancel()
-		recorded, told, store, err := c.allRecorded(callCtx) //nolint:contextcheck // as above
-		c.post(ctx, func() {
+		recorded, told, store, err := c.loadAssignments(callCtx) //nolint:contextcheck // as above
+		c.enqueue(ctx, func() {
 			l.reading = false
 			if err != nil {
-				c.storeFailed("read assignments", err)
+				c.logStoreFailure("read assignments", err)
 				return
 			}
-			l.recorded, l.store, l.storeAt = recorded, store, time.Now()
+			l.recorded, l.storeClock, l.storeClockAt = recorded, store, time.Now()
 			// Others know these rows: changes can be told as differences to them.
-			l.told = told
+			l.announced = told
 		})
 		return nil
 	})
@@ -147,12 +147,12 @@
 
 // storeTime is what the store's clock is at least: what it was when it
 // answered, and the time since.
-func (l *leading) storeTime(now time.Time) time.Duration {
-	return l.store + now.Sub(l.storeAt)
+func (l *leadership) storeTime(now time.Time) time.Duration {
+	return l.storeClock + now.Sub(l.storeClockAt)
 }
 
-func (c *Coordinator) allRecorded(ctx context.Context) (map[string]*ownership.Assignment, map[string]toldOf, time.Duration, error) {
-	recorded, told := map[string]*ownership.Assignment{}, map[string]toldOf{}
+func (c *Coordinator) loadAssignments(ctx context.Context) (map[string]*ownership.Assignment, map[string]announcement, time.Duration, error) {
+	recorded, told := map[string]*ownership.Assignment{}, map[string]announcement{}
 	after := ""
 	for {
 		rows, err := c.Store.Range(ctx, AssignmentTable, "", after)
@@ -164,7 +164,7 @@
 			if err != nil {
 				return nil, nil, 0, fmt.Errorf("service %s: %w", r.Key, err)
 			}
-			recorded[r.Key], told[r.Key] = a, toldOf{a, r.Revision}
+			recorded[r.Key], told[r.Key] = a, announcement{a, r.Revision}
 			after = r.Key
 		}
 		if !rows.More {
@@ -173,13 +173,13 @@
 	}
 }
 
-// keep looks after the holders of every sharded service.
-func (c *Coordinator) keep(now time.Time) {
+// stepManagers looks after the holders of every sharded service.
+func (c *Coordinator) stepManagers(now time.Time) {
 	table := c.Table()
 	if table == nil {
 		return
 	}
-	l := c.leading
+	l := c.leadership
 	view := c.Roster.Load()
 	for i := range table.Config.Services {
 		s := &table.Config.Services[i]
@@ -190,37 +190,37 @@
 		if k == nil {
 			k = &ownership.Manager{
 				Service: s.Name, Term: l.lease.Term, Epochs: l.epochs, Holds: c.Holds,
-				Jitter: rand.N[time.Duration], OnInherit: c.inherited(s.Name),
+				Jitter: rand.N[time.Duration], OnInherit: c.inheritedLogger(s.Name),
 			}
 			k.BeginTerm(now, l.recorded[s.Name], c.Holds.Long+orderTimeout, l.storeTime(now))
 			k.SetStoreInDoubt(now, l.inDoubt)
 			l.managers[s.Name] = k
 		}
-		c.noteReplaced(k, table, view)
+		c.detectReplacedOwners(k, table, view)
 		for _, o := range k.Step(now, view.ByService[s.Name]) {
-			c.carryOut(k, o)
+			c.execute(k, o)
 		}
 	}
 }
 
-// noteDoubt makes holds long while a write is without an answer.
-func (c *Coordinator) noteDoubt(now time.Time) {
-	l := c.leading
-	if !l.writing || l.inDoubt || now.Sub(l.wroteAt) < doubtAfter {
+// checkInDoubt makes holds long while a write is without an answer.
+func (c *Coordinator) checkInDoubt(now time.Time) {
+	l := c.leadership
+	if !l.writing || l.inDoubt || now.Sub(l.writeStarted) < inDoubtAfter {
 		return
 	}
 	l.inDoubt = true
 	// Others that rely on its way to the store must not do so any longer.
-	l.beatAt = time.Time{}
-	event.StoreInDoubt.Log(c.Log, "term", l.lease.Term, "waitedMs", now.Sub(l.wroteAt).Milliseconds())
+	l.nextHeartbeat = time.Time{}
+	event.StoreInDoubt.Log(c.Log, "term", l.lease.Term, "waitedMs", now.Sub(l.writeStarted).Milliseconds())
 	for _, k := range l.managers {
 		k.SetStoreInDoubt(now, true)
 	}
 }
 
-// renew writes the lease, together with the assignments to be recorded.
-func (c *Coordinator) renew(ctx context.Context, now time.Time) {
-	l := c.leading
+// renewLease writes the lease, together with the assignments to be recorded.
+func (c *Coordinator) renewLease(ctx context.Context, now time.Time) {
+	l := c.leadership
 	next := l.lease
 	next.Seq++
 	var writes []platform.Write
@@ -233,18 +233,18 @@
 		}
 		writes = append(writes, platform.Write{Table: AssignmentTable, Key: name, Value: text})
 	}
-	l.writing, l.wroteAt = true, now
+	l.writing, l.writeStarted = true, now
 	sent := boottime()
 	on := l.revision
 	c.group.Go(func() error {
-		s := c.write(l.ctx, &next, on, writes) //nolint:contextcheck // as above
-		c.post(ctx, func() { c.renewed(l, next, sent, s, records) })
+		s := c.writeLease(l.ctx, &next, on, writes) //nolint:contextcheck // as above
+		c.enqueue(ctx, func() { c.onLeaseRenewed(l, next, sent, s, records) })
 		return nil
 	})
 }
 
-func (c *Coordinator) renewed(l *leading, next Lease, sent time.Duration, s settled, records map[string]*ownership.Record) {
-	if c.leading != l {
+func (c *Coordinator) onLeaseRenewed(l *leadership, next Lease, sent time.Duration, s writeResult, records map[string]*ownership.Record) {
+	if c.leadership != l {
 		return
 	}
 	l.writing = false
@@ -259,22 +259,22 @@
 		return
 	}
 	if !s.ok {
-		c.observe(s.revision, s.present)
-		c.stepDown("the lease's row was changed by " + s.present.Holder)
+		c.observe(s.revision, s.current)
+		c.stepDown("the lease's row was changed by " + s.current.Holder)
 		return
 	}
 	l.lease, l.revision = next, s.revision
-	if s.store > 0 {
+	if s.storeClock > 0 {
 		for _, k := range l.managers {
 			// At the answer's arrival it is later than told by the way at most.
-			k.SetStoreClock(s.at, s.store+s.took)
+			k.SetStoreClock(s.storeClockAt, s.storeClock+s.took)
 		}
 	}
-	l.goodUntil.Store(int64(sent + time.Duration(next.LeaseMs)*time.Millisecond - orderMargin))
+	l.authorityEnd.Store(int64(sent + time.Duration(next.LeaseMs)*time.Millisecond - orderMargin))
 	c.observe(s.revision, next)
-	if l.inDoubt && s.took < calmWithin {
+	if l.inDoubt && s.took < healthyWriteTime {
 		l.inDoubt = false
-		c.Refresh()
+		c.RestartFeeds()
 		for _, k := range l.managers {
 			k.SetStoreInDoubt(now, false)
 		}
@@ -288,51 +288,51 @@
 		event.KeysRecorded.Log(c.Log, "service", name, "term", next.Term, "revision", s.revision,
 			"pieces", len(r.Assignment.Pieces), "tookMs", s.took.Milliseconds(),
 			"movedLeaving", moved.Leaving, "movedLost", moved.Lost, "movedBalance", moved.Balance)
-		c.spread(l, name, r.Assignment, s.revision)
+		c.announce(l, name, r.Assignment, s.revision)
 	}
 }
 
 const (
-	// recordEvery is the least time between two writes with assignments: what
+	// recordInterval is the least time between two writes with assignments: what
 	// changes together costs one call and one datagram.
-	recordEvery = 100 * time.Millisecond
-	// newsPieces bounds the pieces in one datagram, newsParts the datagrams of
+	recordInterval = 100 * time.Millisecond
+	// piecesPerDatagram bounds the pieces in one datagram, newsParts the datagrams of
 	// one change; larger ones are read from the store.
-	newsPieces = 36
-	newsParts  = 8
+	piecesPerDatagram = 36
+	maxUpdateParts    = 8
 )
 
-// spread tells all instances what has changed. Those that miss it learn from
+// announce tells all instances what has changed. Those that miss it learn from
 // the next beat that their copy is old, and read the store.
-func (c *Coordinator) spread(l *leading, service string, a *ownership.Assignment, revision uint64) {
-	last := l.told[service]
-	l.told[service] = toldOf{a, revision}
+func (c *Coordinator) announce(l *leadership, service string, a *ownership.Assignment, revision uint64) {
+	last := l.announced[service]
+	l.announced[service] = announcement{a, revision}
 	if last.assignment != nil {
 		changed := last.assignment.Diff(a)
-		if parts := (len(changed) + newsPieces - 1) / newsPieces; parts <= newsParts {
-			c.tell(&peers.News{Service: service, Term: a.Term, Base: last.revision, Revision: revision, Parts: max(1, parts)}, changed)
+		if parts := (len(changed) + piecesPerDatagram - 1) / piecesPerDatagram; parts <= maxUpdateParts {
+			c.sendUpdate(&peers.AssignmentUpdate{Service: service, Term: a.Term, Base: last.revision, Revision: revision, Parts: max(1, parts)}, changed)
 			return
 		}
 	}
-	c.Missed()
-	l.beatAt = time.Time{}
+	c.OnOversizedUpdate()
+	l.nextHeartbeat = time.Time{}
 }
 
-// tell sends a change in as many datagrams as it needs.
-func (c *Coordinator) tell(whole *peers.News, changed []ownership.Piece) {
+// sendUpdate sends a change in as many datagrams as it needs.
+func (c *Coordinator) sendUpdate(whole *peers.AssignmentUpdate, changed []ownership.Piece) {
 	for part := range whole.Parts {
 		n := *whole
 		n.Part = part
-		n.Pieces = named(changed[min(part*newsPieces, len(changed)):min((part+1)*newsPieces, len(changed))])
-		c.Peers.Broadcast(&peers.Message{News: &n})
-		c.Took(&n)
+		n.Pieces = withOwnersOnly(changed[min(part*piecesPerDatagram, len(changed)):min((part+1)*piecesPerDatagram, len(changed))])
+		c.Peers.Broadcast(&peers.Message{AssignmentUpdate: &n})
+		c.OnUpdate(&n)
 	}
 }
 
-// named returns pieces with nothing but their owners' names: instances know the
+// withOwnersOnly returns pieces with nothing but their owners' names: instances know the
 // owners' addresses from the platform, and whoever coordinates next reads the
 // rows. That is half of what a change costs between regions.
-func named(pieces []ownership.Piece) []ownership.Piece {
+func withOwnersOnly(pieces []ownership.Piece) []ownership.Piece {
 	list := make([]ownership.Piece, len(pieces))
 	for i, p := range pieces {
 		list[i] = ownership.Piece{First: p.First, Last: p.Last, Owner: p.Owner, FreeAt: p.FreeAt}
@@ -343,9 +343,9 @@
 // Resign gives the lease up, so that another instance takes over at once.
 func (c *Coordinator) Resign(ctx context.Context) {
 	done := make(chan struct{})
-	c.post(ctx, func() {
-		c.retired = true
-		l := c.leading
+	c.enqueue(ctx, func() {
+		c.stopping = true
+		l := c.leadership
 		if l == nil || l.recorded == nil {
 			close(done)
 			return
@@ -353,7 +353,7 @@
 		l.resigning = true
 		c.group.Go(func() error {
 			defer close(done)
-			c.giveUp(ctx, l)
+			c.releaseLease(ctx, l)
 			return nil
 		})
 	})
@@ -363,12 +363,12 @@
 	}
 }
 
-// resignPause lets orders and writes under way end; new ones are not sent.
-const resignPause = 150 * time.Millisecond
+// resignDelay lets orders and writes under way end; new ones are not sent.
+const resignDelay = 150 * time.Millisecond
 
-// giveUp writes that the lease is over.
-func (c *Coordinator) giveUp(ctx context.Context, l *leading) {
-	timer := time.NewTimer(resignPause)
+// releaseLease writes that the lease is over.
+func (c *Coordinator) releaseLease(ctx context.Context, l *leadership) {
+	timer := time.NewTimer(resignDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -376,12 +376,12 @@
 		return
 	}
 	free := make(chan uint64, 1)
-	c.post(ctx, func() {
-		if c.leading == l && !l.writing {
+	c.enqueue(ctx, func() {
+		if c.leadership == l && !l.writing {
 			free <- l.revision
 			return
 		}
-		l.resigning = l.resigning && c.retired
+		l.resigning = l.resigning && c.stopping
 		close(free)
 	})
 	select {
@@ -389,16 +389,16 @@
 		if !ok {
 			return
 		}
-		given := Lease{Term: l.lease.Term, Holder: c.Self.Name, Life: c.Self.Life, Seq: l.lease.Seq + 1}
-		s := c.write(ctx, &given, on, nil)
+		given := Lease{Term: l.lease.Term, Holder: c.Self.Name, Incarnation: c.Self.Incarnation, Seq: l.lease.Seq + 1}
+		s := c.writeLease(ctx, &given, on, nil)
 		if s.ok {
 			event.LeadResigned.Log(c.Log, "term", given.Term)
-			c.Peers.Broadcast(&peers.Message{Beat: &peers.Beat{Term: given.Term, Lease: s.revision, Resigned: true}})
+			c.Peers.Broadcast(&peers.Message{Heartbeat: &peers.Heartbeat{Term: given.Term, LeaseRevision: s.revision, Resigned: true}})
 		}
-		c.post(ctx, func() {
-			if c.leading == l {
+		c.enqueue(ctx, func() {
+			if c.leadership == l {
 				c.stepDown("resigned")
-				c.heard = time.Now()
+				c.lastHeartbeat = time.Now()
 			}
 		})
 	case <-ctx.Done():
--- a/gateway/coordinator/lease.go
+++ b/gateway/coordinator/lease.go
@@ -23,31 +23,31 @@
 )
 
 const (
-	// leaseFor is how long a lease is good, from the sending of its write. An
+	// leaseDuration is how long a lease is good, from the sending of its write. An
 	// instance that falls silent is replaced after that; the grants of targets
 	// outlast it.
-	leaseFor = 2 * time.Second
-	// renewEvery is the time between two writes of the lease.
-	renewEvery = 500 * time.Millisecond
-	// leaseDrift is how much faster another instance's clock may run.
-	leaseDrift = 1.03
+	leaseDuration = 2 * time.Second
+	// renewInterval is the time between two writes of the lease.
+	renewInterval = 500 * time.Millisecond
+	// clockDriftFactor is how much faster another instance's clock may run.
+	clockDriftFactor = 1.03
 	// orderMargin ends the authority to send orders before the lease's end.
 	orderMargin = 100 * time.Millisecond
-	// hedgeAfter is when a write without an answer is sent again on another
+	// hedgeDelay is when a write without an answer is sent again on another
 	// connection. Its condition makes the second one harmless.
-	hedgeAfter = 500 * time.Millisecond
-	// rejectPause is the wait after the store did not take a write.
-	rejectPause = 150 * time.Millisecond
+	hedgeDelay = 500 * time.Millisecond
+	// retryDelay is the wait after the store did not take a write.
+	retryDelay = 150 * time.Millisecond
 	// attemptTimeout bounds one try of a write.
 	attemptTimeout = 3 * time.Second
 )
 
 // Lease is the row of the coordinator. LeaseMs 0 means that it was given up.
 type Lease struct {
-	Term    int64  `json:"term"`
-	Holder  string `json:"holder"`
-	Life    string `json:"life"`
-	LeaseMs int64  `json:"leaseMs"`
+	Term        int64  `json:"term"`
+	Holder      string `json:"holder"`
+	Incarnation string `json:"life"`
+	LeaseMs     int64  `json:"leaseMs"`
 	// Seq tells the holder's writes apart, for settling those without answer.
 	Seq int64 `json:"seq"`
 }
@@ -60,57 +60,57 @@
 	return text
 }
 
-// seenLease is the newest row that this instance knows of.
-type seenLease struct {
+// observedLease is the newest row that this instance knows of.
+type observedLease struct {
 	revision uint64
 	lease    Lease
-	// since is when it was first seen, by the boot-time clock.
-	since time.Duration
-	known bool
+	// firstSeen is when it was first seen, by the boot-time clock.
+	firstSeen time.Duration
+	known     bool
 }
 
-// over tells whether the row's holder has no authority any more: it gave up,
+// hasEnded tells whether the row's holder has no authority any more: it gave up,
 // its process has ended since another one runs in its place, or its time has
 // passed since the row was first seen. A renewal would have changed the row.
-func (s *seenLease) over(now time.Duration, name, life string) bool {
+func (s *observedLease) hasEnded(now time.Duration, name, life string) bool {
 	if !s.known {
 		return false
 	}
 	if s.revision == 0 || s.lease.LeaseMs == 0 {
 		return true
 	}
-	if s.lease.Holder == name && s.lease.Life != life {
+	if s.lease.Holder == name && s.lease.Incarnation != life {
 		return true
 	}
-	good := time.Duration(float64(s.lease.LeaseMs)*leaseDrift) * time.Millisecond
-	return now >= s.since+good+orderMargin
+	good := time.Duration(float64(s.lease.LeaseMs)*clockDriftFactor) * time.Millisecond
+	return now >= s.firstSeen+good+orderMargin
 }
 
-// settled is how a conditional write ended.
-type settled struct {
+// writeResult is how a conditional write ended.
+type writeResult struct {
 	ok bool
 	// revision of the write, or of the row that stood in its way.
 	revision uint64
-	present  Lease
+	current  Lease
 	// invalid is set if the store does not take such a transaction at all.
 	invalid bool
-	// store is the store's clock at the write, if its answer came, at at.
-	store time.Duration
-	at    time.Time
-	took  time.Duration
+	// storeClock is the store's clock at the write, if its answer came, at at.
+	storeClock   time.Duration
+	storeClockAt time.Time
+	took         time.Duration
 }
 
-// write carries out a transaction that sets the lease row, and finds out for
+// writeLease carries out a transaction that sets the lease row, and finds out for
 // certain whether it took effect. It gives up only when the context ends.
-func (c *Coordinator) write(ctx context.Context, mine *Lease, on uint64, more []platform.Write) settled {
+func (c *Coordinator) writeLease(ctx context.Context, mine *Lease, on uint64, more []platform.Write) writeResult {
 	began := time.Now()
 	tx := platform.Transaction{
-		If:  []platform.Condition{{Table: LeaseTable, Key: LeaseKey, Revision: on}},
-		Set: append([]platform.Write{{Table: LeaseTable, Key: LeaseKey, Value: mine.encode()}}, more...),
+		Conditions: []platform.Condition{{Table: LeaseTable, Key: LeaseKey, Revision: on}},
+		Set:        append([]platform.Write{{Table: LeaseTable, Key: LeaseKey, Value: mine.encode()}}, more...),
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan answer, 1)
+	answers := make(chan storeAnswer, 1)
 	var group errgroup.Group
 	send := func() {
 		group.Go(func() error {
@@ -118,63 +118,63 @@
 			defer cancelTry()
 			done, err := c.Store.Transact(tryCtx, tx)
 			select {
-			case answers <- answer{done, err, time.Now()}:
+			case answers <- storeAnswer{done, err, time.Now()}:
 			case <-ctx.Done():
 			}
 			return nil
 		})
 	}
 	send()
-	timer := time.NewTimer(hedgeAfter)
+	timer := time.NewTimer(hedgeDelay)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			return settled{took: time.Since(began)}
+			return writeResult{took: time.Since(began)}
 		case <-timer.C:
 			send()
-			timer.Reset(hedgeAfter)
+			timer.Reset(hedgeDelay)
 		case a := <-answers:
-			if s, final := c.judge(mine, a); final {
+			if s, final := c.evaluate(mine, a); final {
 				s.took = time.Since(began)
 				return s
 			}
-			timer.Reset(rejectPause)
+			timer.Reset(retryDelay)
 		}
 	}
 }
 
-type answer struct {
-	done platform.Rows
+type storeAnswer struct {
+	rows platform.Response
 	err  error
 	at   time.Time
 }
 
-// judge tells what an answer proves. A row with this write's own number shows
+// evaluate tells what an answer proves. A row with this write's own number shows
 // that an earlier try took effect though its answer was lost.
-func (c *Coordinator) judge(mine *Lease, a answer) (s settled, final bool) {
+func (c *Coordinator) evaluate(mine *Lease, a storeAnswer) (s writeResult, final bool) {
 	if a.err == nil {
-		return settled{ok: true, revision: a.done.Revision, store: time.Duration(a.done.Now), at: a.at}, true
+		return writeResult{ok: true, revision: a.rows.Revision, storeClock: time.Duration(a.rows.Now), storeClockAt: a.at}, true
 	}
 	var conflict *platform.ConflictError
 	var rejected *platform.RejectedError
 	if errors.As(a.err, &rejected) && rejected.Invalid() {
-		c.storeFailed("write lease", a.err)
-		return settled{invalid: true}, true
+		c.logStoreFailure("write lease", a.err)
+		return writeResult{invalid: true}, true
 	}
 	if !errors.As(a.err, &conflict) {
-		c.storeFailed("write lease", a.err)
-		return settled{}, false
+		c.logStoreFailure("write lease", a.err)
+		return writeResult{}, false
 	}
 	for _, r := range conflict.Rows {
 		if r.Table != LeaseTable || r.Key != LeaseKey {
 			continue
 		}
-		if err := json.Unmarshal(r.Value, &s.present); err != nil {
-			c.storeFailed("parse lease", err)
+		if err := json.Unmarshal(r.Value, &s.current); err != nil {
+			c.logStoreFailure("parse lease", err)
 		}
 		s.revision = r.Revision
 	}
-	s.ok = s.present == *mine
+	s.ok = s.current == *mine
 	return s, true
 }
--- a/gateway/coordinator/lease_test.go
+++ b/gateway/coordinator/lease_test.go
@@ -29,29 +29,29 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestLeaseIsOver(t *testing.T) {
+func TestLeaseHasEnded(t *testing.T) {
 	const since = 100 * time.Second
-	held := Lease{Term: 3, Holder: "one", Life: "a", LeaseMs: 2000}
+	held := Lease{Term: 3, Holder: "one", Incarnation: "a", LeaseMs: 2000}
 	for _, c := range []struct {
 		name string
-		seen seenLease
+		seen observedLease
 		now  time.Duration
 		want bool
 	}{
-		{"nothing is known yet", seenLease{}, since + time.Hour, false},
-		{"nobody has had it", seenLease{known: true, since: since}, since, true},
-		{"within its time", seenLease{known: true, revision: 7, lease: held, since: since}, since + 2*time.Second, false},
-		{"a clock may run slower", seenLease{known: true, revision: 7, lease: held, since: since}, since + 2050*time.Millisecond, false},
-		{"past its time", seenLease{known: true, revision: 7, lease: held, since: since}, since + 2200*time.Millisecond, true},
-		{"given up", seenLease{known: true, revision: 7, lease: Lease{Term: 3, Holder: "one"}, since: since}, since, true},
-		{"another lifetime of this instance", seenLease{known: true, revision: 7, lease: Lease{Term: 3, Holder: "me", Life: "old", LeaseMs: 2000}, since: since}, since, true},
-		{"this lifetime's own", seenLease{known: true, revision: 7, lease: Lease{Term: 3, Holder: "me", Life: "new", LeaseMs: 2000}, since: since}, since, false},
+		{"nothing is known yet", observedLease{}, since + time.Hour, false},
+		{"nobody has had it", observedLease{known: true, firstSeen: since}, since, true},
+		{"within its time", observedLease{known: true, revision: 7, lease: held, firstSeen: since}, since + 2*time.Second, false},
+		{"a clock may run slower", observedLease{known: true, revision: 7, lease: held, firstSeen: since}, since + 2050*time.Millisecond, false},
+		{"past its time", observedLease{known: true, revision: 7, lease: held, firstSeen: since}, since + 2200*time.Millisecond, true},
+		{"given up", observedLease{known: true, revision: 7, lease: Lease{Term: 3, Holder: "one"}, firstSeen: since}, since, true},
+		{"another lifetime of this instance", observedLease{known: true, revision: 7, lease: Lease{Term: 3, Holder: "me", Incarnation: "old", LeaseMs: 2000}, firstSeen: since}, since, true},
+		{"this lifetime's own", observedLease{known: true, revision: 7, lease: Lease{Term: 3, Holder: "me", Incarnation: "new", LeaseMs: 2000}, firstSeen: since}, since, false},
 	} {
-		assert.Equal(t, c.seen.over(c.now, "me", "new"), c.want, c.name)
+		assert.Equal(t, c.seen.hasEnded(c.now, "me", "new"), c.want, c.name)
 	}
 }
 
-func withStore(t *testing.T) (*standin.Store, *Coordinator) {
+func newWithStore(t *testing.T) (*standin.Store, *Coordinator) {
 	t.Helper()
 	fake := &standin.Store{}
 	server := httptest.NewServer(fake)
@@ -65,29 +65,29 @@
 
 // The write of the lease takes effect and its answer is lost. Sent again, its
 // condition fails; the row's own number shows that it was this write.
-func TestLostAnswerIsSettled(t *testing.T) {
-	fake, c := withStore(t)
-	fake.LoseAnswers(1)
-	mine := Lease{Term: 1, Holder: "one", Life: "a", LeaseMs: 2000, Seq: 1}
-	s := c.write(context.Background(), &mine, 0, nil)
+func TestLeaseWriteWithLostAnswerSucceeds(t *testing.T) {
+	fake, c := newWithStore(t)
+	fake.LoseResponses(1)
+	mine := Lease{Term: 1, Holder: "one", Incarnation: "a", LeaseMs: 2000, Seq: 1}
+	s := c.writeLease(context.Background(), &mine, 0, nil)
 	assert.Assert(t, s.ok)
 	assert.Equal(t, s.revision, fake.Row(LeaseTable, LeaseKey).Revision)
 }
 
 // Another instance has taken the lease meanwhile. The write must fail whole,
 // the assignment included.
-func TestWriteFailsIfAnotherLeads(t *testing.T) {
-	fake, c := withStore(t)
-	other := Lease{Term: 2, Holder: "two", Life: "b", LeaseMs: 2000, Seq: 1}
+func TestLeaseWriteFailsIfAnotherInstanceHoldsIt(t *testing.T) {
+	fake, c := newWithStore(t)
+	other := Lease{Term: 2, Holder: "two", Incarnation: "b", LeaseMs: 2000, Seq: 1}
 	fake.Put(LeaseTable, LeaseKey, other.encode())
-	mine := Lease{Term: 1, Holder: "one", Life: "a", LeaseMs: 2000, Seq: 9}
-	s := c.write(context.Background(), &mine, 0, []platform.Write{{Table: AssignmentTable, Key: "s", Value: []byte("x")}})
+	mine := Lease{Term: 1, Holder: "one", Incarnation: "a", LeaseMs: 2000, Seq: 9}
+	s := c.writeLease(context.Background(), &mine, 0, []platform.Write{{Table: AssignmentTable, Key: "s", Value: []byte("x")}})
 	assert.Assert(t, !s.ok)
-	assert.Equal(t, s.present, other)
+	assert.Equal(t, s.current, other)
 	assert.Equal(t, fake.Row(AssignmentTable, "s").Revision, uint64(0))
 }
 
-func TestBoottimeGoesOn(t *testing.T) {
+func TestBoottimeIsMonotonic(t *testing.T) {
 	first := boottime()
 	assert.Assert(t, first > 0)
 	assert.Assert(t, boottime() >= first)
@@ -105,20 +105,20 @@
 	all["strong"] = peers.Instance{Name: "strong", Cores: 0.8}
 	list := slices.Collect(maps.Values(all))
 	for range 100 {
-		assert.Assert(t, takeOverDelay(all["strong"], list) < weakDelay)
-		assert.Assert(t, takeOverDelay(all["small7"], list) >= weakDelay)
+		assert.Assert(t, takeoverDelay(all["strong"], list) < weakTakeoverDelay)
+		assert.Assert(t, takeoverDelay(all["small7"], list) >= weakTakeoverDelay)
 	}
 	delete(all, "strong")
-	assert.Assert(t, takeOverDelay(all["small7"], slices.Collect(maps.Values(all))) < 40*spread)
+	assert.Assert(t, takeoverDelay(all["small7"], slices.Collect(maps.Values(all))) < 40*takeoverSpread)
 }
 
-// crowd counts how many calls are under way at once.
-type crowd struct {
-	now, most atomic.Int64
-	calls     atomic.Int64
+// callCounter counts how many calls are under way at once.
+type callCounter struct {
+	current, peak atomic.Int64
+	total         atomic.Int64
 }
 
-func (c *crowd) serve(conn net.Conn) error {
+func (c *callCounter) serve(conn net.Conn) error {
 	defer conn.Close()
 	for in := bufio.NewReader(conn); ; {
 		r, err := http.ReadRequest(in)
@@ -126,12 +126,12 @@
 			return nil
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
-		now := c.now.Add(1)
-		for most := c.most.Load(); now > most && !c.most.CompareAndSwap(most, now); most = c.most.Load() {
+		now := c.current.Add(1)
+		for most := c.peak.Load(); now > most && !c.peak.CompareAndSwap(most, now); most = c.peak.Load() {
 		}
-		c.calls.Add(1)
+		c.total.Add(1)
 		time.Sleep(20 * time.Millisecond)
-		c.now.Add(-1)
+		c.current.Add(-1)
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	}
 }
@@ -139,9 +139,9 @@
 // A new coordinator grants 600 pieces anew. Sent all at once, the calls waited
 // for the processor of a small instance until each had timed out; sound targets
 // counted as silent, and their keys were given to others.
-func TestGrantsAreNotSentAllAtOnce(t *testing.T) {
+func TestConcurrentGrantsAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		calls := &crowd{}
+		calls := &callCounter{}
 		var group errgroup.Group
 		c := New(Options{Log: slog.New(slog.DiscardHandler), Roster: &roster.Roster{}, Table: func() *routing.Table { return nil }})
 		c.Channels = &channel.Set{Dial: func(context.Context, string, string) (net.Conn, error) {
@@ -151,20 +151,20 @@
 		}}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		l := newLeading(ctx, cancel, Lease{Term: 1}, 1)
-		l.goodUntil.Store(int64(boottime() + time.Hour))
-		c.leading = l
+		l := newLeadership(ctx, cancel, Lease{Term: 1}, 1)
+		l.authorityEnd.Store(int64(boottime() + time.Hour))
+		c.leadership = l
 		k := &ownership.Manager{}
 		for i := range 600 {
-			c.carryOut(k, &ownership.Grant{First: i, Last: i, Address: "t" + strconv.Itoa(i) + ":1", Suspect: i%2 == 0})
+			c.execute(k, &ownership.Grant{First: i, Last: i, Address: "t" + strconv.Itoa(i) + ":1", Suspect: i%2 == 0})
 		}
 		done := 0
 		for done < 600 {
 			(<-c.events)()
 			done++
 		}
-		assert.Equal(t, calls.calls.Load(), int64(600))
-		assert.Equal(t, calls.most.Load(), int64(grantsAtOnce+suspectsAtOnce))
+		assert.Equal(t, calls.total.Load(), int64(600))
+		assert.Equal(t, calls.peak.Load(), int64(maxConcurrentGrants+maxConcurrentSuspects))
 		c.Channels.Close()
 		assert.NilError(t, group.Wait())
 	})
@@ -175,55 +175,55 @@
 func TestSmallCoordinatorHandsOver(t *testing.T) {
 	now := time.Now()
 	p := &peers.Peers{Log: slog.New(slog.DiscardHandler)}
-	p.Know(map[string]peers.Instance{
+	p.SetInstances(map[string]peers.Instance{
 		"strong": {Name: "strong", Cores: 0.8, Datagram: "127.0.0.1:9"},
 		"alike":  {Name: "alike", Cores: 0.16, Datagram: "127.0.0.1:9"},
 	})
 	c := New(Options{Log: p.Log, Peers: p, Self: peers.Instance{Name: "small", Cores: 0.16}})
-	c.leading = newLeading(context.Background(), func() {}, Lease{Term: 1}, 1)
-	c.leading.recorded = map[string]*ownership.Assignment{}
-	c.leading.since = now
+	c.leadership = newLeadership(context.Background(), func() {}, Lease{Term: 1}, 1)
+	c.leadership.recorded = map[string]*ownership.Assignment{}
+	c.leadership.started = now
 	c.members["alike"], c.members["strong"] = now, now
-	assert.Assert(t, !c.handsOver(now), "too early")
-	later := now.Add(handOverAfter)
-	assert.Assert(t, c.handsOver(later))
-	c.leading.inDoubt = true
-	assert.Assert(t, !c.handsOver(later), "the write could be lost")
-	c.leading.inDoubt = false
+	assert.Assert(t, !c.shouldHandOver(now), "too early")
+	later := now.Add(handoverAfter)
+	assert.Assert(t, c.shouldHandOver(later))
+	c.leadership.inDoubt = true
+	assert.Assert(t, !c.shouldHandOver(later), "the write could be lost")
+	c.leadership.inDoubt = false
 	delete(c.members, "strong")
-	assert.Assert(t, !c.handsOver(later), "no strong one reports")
+	assert.Assert(t, !c.shouldHandOver(later), "no strong one reports")
 }
 
 // The coordinator falls silent. What is known of its lease says that it cannot
 // be over yet, so nobody calls the store; when it is over, everybody waits its
 // turn, and hears of the next coordinator meanwhile.
-func TestNobodyLooksBeforeTheLeaseCanBeOver(t *testing.T) {
-	c := New(Options{Peers: &peers.Peers{}, Self: peers.Instance{Name: "me", Life: "a"}})
+func TestLeaseIsNotReadBeforeItCanHaveExpired(t *testing.T) {
+	c := New(Options{Peers: &peers.Peers{}, Self: peers.Instance{Name: "me", Incarnation: "a"}})
 	now := time.Now()
-	assert.Assert(t, c.isDue(now), "nothing is known")
+	assert.Assert(t, c.leaseReadDue(now), "nothing is known")
 	c.observe(7, Lease{Term: 1, Holder: "other", LeaseMs: 2000})
-	assert.Assert(t, !c.isDue(now))
-	c.seen.since -= 3 * time.Second
-	for !c.isDue(now) {
-		assert.Assert(t, c.turn == 7 && now.Before(c.lookAt))
-		now = c.lookAt
+	assert.Assert(t, !c.leaseReadDue(now))
+	c.observed.firstSeen -= 3 * time.Second
+	for !c.leaseReadDue(now) {
+		assert.Assert(t, c.takeoverRevision == 7 && now.Before(c.nextLeaseRead))
+		now = c.nextLeaseRead
 	}
 	c.observe(8, Lease{Term: 1, Holder: "other", LeaseMs: 2000})
-	assert.Assert(t, !c.isDue(now), "it was renewed")
+	assert.Assert(t, !c.leaseReadDue(now), "it was renewed")
 }
 
 // A datagram must hold as many pieces as are put into it, or it is cut on its
 // way and nobody hears of the change.
-func TestNewsFitIntoDatagrams(t *testing.T) {
+func TestAssignmentUpdatesFitIntoDatagrams(t *testing.T) {
 	var pieces []ownership.Piece
-	for i := range newsPieces {
+	for i := range piecesPerDatagram {
 		pieces = append(pieces, ownership.Piece{
 			First: 65000 + i, Last: 65000 + i, Owner: "i-0123456789ab", Started: 1772495803149,
 			Address: "10.200.100.100:18080", FreeAt: 1 << 40,
 		})
 	}
-	m := &peers.Message{From: "front-west-innsbruck-100", Life: "ABCDEFGH", News: &peers.News{
-		Service: "a-service-name", Term: 1 << 30, Base: 1 << 40, Revision: 1 << 40, Part: 7, Parts: 8, Pieces: named(pieces),
+	m := &peers.Message{From: "front-west-innsbruck-100", Incarnation: "ABCDEFGH", AssignmentUpdate: &peers.AssignmentUpdate{
+		Service: "a-service-name", Term: 1 << 30, Base: 1 << 40, Revision: 1 << 40, Part: 7, Parts: 8, Pieces: withOwnersOnly(pieces),
 	}}
 	text, err := cbor.Marshal(m)
 	assert.NilError(t, err)
@@ -231,8 +231,8 @@
 }
 
 // Guards against a coordinator that takes over while its own process ends.
-func TestEndingInstanceDoesNotTakeOver(t *testing.T) {
-	c := New(Options{Peers: &peers.Peers{}, Self: peers.Instance{Name: "me", Life: "a"}, Log: slog.New(slog.DiscardHandler)})
+func TestStoppingInstanceDoesNotTakeOver(t *testing.T) {
+	c := New(Options{Peers: &peers.Peers{}, Self: peers.Instance{Name: "me", Incarnation: "a"}, Log: slog.New(slog.DiscardHandler)})
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
 	group.Go(func() error {
@@ -251,6 +251,6 @@
 	given := Lease{Term: 1, Holder: "other"}
 	c.observe(7, given)
 	c.step(context.Background())
-	c.looked(context.Background(), platform.Row{Revision: 7, Value: given.encode()}, nil)
-	assert.Assert(t, !c.looking && c.leading == nil)
+	c.onLeaseRead(context.Background(), platform.Row{Revision: 7, Value: given.encode()}, nil)
+	assert.Assert(t, !c.leaseCallActive && c.leadership == nil)
 }
--- a/gateway/coordinator/orders.go
+++ b/gateway/coordinator/orders.go
@@ -25,16 +25,16 @@
 // moment by a small instance, hundreds of calls wait for its processor until
 // all of them time out, and sound targets count as silent.
 const (
-	grantsAtOnce   = 48
-	suspectsAtOnce = 24
+	maxConcurrentGrants   = 48
+	maxConcurrentSuspects = 24
 )
 
 // releaseTimeout bounds a release beyond the hold's end.
 const releaseTimeout = 100 * time.Millisecond
 
-// carryOut sends an order, or queues a write.
-func (c *Coordinator) carryOut(k *ownership.Manager, o ownership.Order) {
-	l := c.leading
+// execute sends an order, or queues a write.
+func (c *Coordinator) execute(k *ownership.Manager, o ownership.Order) {
+	l := c.leadership
 	switch o := o.(type) {
 	case *ownership.Record:
 		l.pending[k.Service] = o
@@ -51,30 +51,30 @@
 	}
 }
 
-func (c *Coordinator) grant(l *leading, k *ownership.Manager, o *ownership.Grant) {
-	grants := l.grants
+func (c *Coordinator) grant(l *leadership, k *ownership.Manager, o *ownership.Grant) {
+	grants := l.grantLimit
 	if o.Suspect {
-		grants = l.suspects
+		grants = l.suspectLimit
 	}
 	if grants.Acquire(l.ctx, 1) != nil {
 		return
 	}
 	defer grants.Release(1)
 	sent, err := c.sendGrant(l, k.Service, o)
-	out := outcome(err)
+	out := orderOutcome(err)
 	now := time.Now()
 	if out != ownership.Done {
 		event.GrantFailed.Log(c.Log, "service", k.Service, "target", o.Owner.ID, "first", o.First, "last", o.Last,
 			"epoch", o.Epoch, "channel", o.Channel, "tookMs", now.Sub(sent).Milliseconds(), "error", err)
 	}
-	c.post(l.ctx, func() {
+	c.enqueue(l.ctx, func() {
 		k.Granted(now, sent, o, out)
 	})
 }
 
 // sendGrant sends a grant on the channel that its epoch belongs to, or on any
 // one, which it notes, if the epoch was not sent yet.
-func (c *Coordinator) sendGrant(l *leading, service string, o *ownership.Grant) (sent time.Time, err error) {
+func (c *Coordinator) sendGrant(l *leadership, service string, o *ownership.Grant) (sent time.Time, err error) {
 	sent = time.Now()
 	takeCtx, stop := context.WithTimeout(l.ctx, orderTimeout)
 	defer stop()
@@ -83,14 +83,14 @@
 		return sent, &unsentError{err}
 	}
 	defer on.Release()
-	if err := c.identify(l.ctx, service, on, o); err != nil {
+	if err := c.verifyTarget(l.ctx, service, on, o); err != nil {
 		return sent, &unsentError{err}
 	}
-	if !c.mayOrder(l) {
+	if !c.hasAuthority(l) {
 		event.OrderDropped.Log(c.Log, "term", l.lease.Term, "target", o.Owner.ID)
 		return sent, &unsentError{errNoAuthority}
 	}
-	if at := c.strangerAt(service, o); at != "" {
+	if at := c.otherServiceTargetAt(service, o); at != "" {
 		return sent, &unsentError{fmt.Errorf("%s of another service lives at %s", at, o.Address)}
 	}
 	if o.Channel == 0 {
@@ -101,15 +101,15 @@
 	ctx, cancel := context.WithTimeout(l.ctx, orderTimeout)
 	defer cancel()
 	sent = time.Now()
-	grants := &platform.Grants{HTTP: on.Client()}
+	grants := &platform.GrantClient{HTTP: on.Client()}
 	return sent, grants.Grant(ctx, o.Address, platform.Grant{
 		Target: o.Owner.ID, First: o.First, Last: o.Last, Epoch: o.Epoch, Hold: o.Hold, Handover: o.Handover,
 	})
 }
 
-// strangerAt returns another service's target that is named at the order's
+// otherServiceTargetAt returns another service's target that is named at the order's
 // address and is younger than the one meant; it would take the order for its own.
-func (c *Coordinator) strangerAt(service string, o *ownership.Grant) string {
+func (c *Coordinator) otherServiceTargetAt(service string, o *ownership.Grant) string {
 	at := c.Roster.Load().ByAddress[o.Address]
 	if at == nil || at.Service == service || at.Started <= o.Owner.Started {
 		return ""
@@ -117,24 +117,24 @@
 	return at.ID
 }
 
-// identify makes sure that the order's target is at the other end of the channel,
+// verifyTarget makes sure that the order's target is at the other end of the channel,
 // if another divided service's target could be: that one would take the keys for
 // its own. One answer tells for as long as the connection lasts.
-func (c *Coordinator) identify(ctx context.Context, service string, on *channel.Channel, o *ownership.Grant) error {
+func (c *Coordinator) verifyTarget(ctx context.Context, service string, on *channel.Channel, o *ownership.Grant) error {
 	path := healthPath(c.Table(), service)
 	if path == "" || on.Target == o.Owner.ID {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	health := &platform.Health{HTTP: on.Client()}
-	id, err := health.Target(ctx, o.Address, path, o.Owner.ID)
+	health := &platform.HealthClient{HTTP: on.Client()}
+	id, err := health.TargetID(ctx, o.Address, path, o.Owner.ID)
 	if err != nil {
 		return err
 	}
 	on.Target = id
 	if id != o.Owner.ID {
-		return &notTargetError{Address: o.Address, Want: o.Owner.ID, Lives: id}
+		return &wrongTargetError{Address: o.Address, Want: o.Owner.ID, Got: id}
 	}
 	return nil
 }
@@ -161,12 +161,12 @@
 	return path
 }
 
-// notTargetError says that another target than the one meant, or one without a
+// wrongTargetError says that another target than the one meant, or one without a
 // name, lives at an address.
-type notTargetError struct{ Address, Want, Lives string }
+type wrongTargetError struct{ Address, Want, Got string }
 
-func (e *notTargetError) Error() string {
-	return fmt.Sprintf("%q lives at %s, not %s", e.Lives, e.Address, e.Want)
+func (e *wrongTargetError) Error() string {
+	return fmt.Sprintf("%q lives at %s, not %s", e.Got, e.Address, e.Want)
 }
 
 // unsentError is an order of which nothing was sent.
@@ -179,14 +179,14 @@
 
 var errNoAuthority = errors.New("the authority to send it has ended")
 
-func (c *Coordinator) release(l *leading, k *ownership.Manager, o *ownership.Release) {
+func (c *Coordinator) release(l *leadership, k *ownership.Manager, o *ownership.Release) {
 	sent := time.Now()
 	ctx, cancel := context.WithDeadline(l.ctx, o.HeldUntil.Add(releaseTimeout))
 	defer cancel()
-	if !c.mayOrder(l) {
+	if !c.hasAuthority(l) {
 		event.OrderDropped.Log(c.Log, "term", l.lease.Term, "target", o.Owner.ID)
 		// The authority may be renewed yet, and the piece must not wait for ever.
-		c.post(l.ctx, func() { k.Released(time.Now(), o, "", ownership.Unsent) })
+		c.enqueue(l.ctx, func() { k.Released(time.Now(), o, "", ownership.Unsent) })
 		return
 	}
 	handover, err := c.Releases.Release(ctx, o.Address, o.Owner.ID, o.First, o.Last, o.Epoch)
@@ -194,22 +194,22 @@
 	event.KeysReleased.Log(c.Log, "service", k.Service, "target", o.Owner.ID, "first", o.First, "last", o.Last,
 		"epoch", o.Epoch, "handover", handover != "", "tookMs", now.Sub(sent).Milliseconds(),
 		"heldForMs", o.HeldUntil.Sub(now).Milliseconds(), "error", err)
-	c.post(l.ctx, func() {
-		k.Released(now, o, handover, outcome(err))
+	c.enqueue(l.ctx, func() {
+		k.Released(now, o, handover, orderOutcome(err))
 	})
 }
 
-// mayOrder is asked last thing before an order is sent. It reads the lease's
+// hasAuthority is asked last thing before an order is sent. It reads the lease's
 // end without a lock: it only grows, and an old value is the safe one.
-func (c *Coordinator) mayOrder(l *leading) bool {
-	return l.ctx.Err() == nil && boottime() < time.Duration(l.goodUntil.Load())
+func (c *Coordinator) hasAuthority(l *leadership) bool {
+	return l.ctx.Err() == nil && boottime() < time.Duration(l.authorityEnd.Load())
 }
 
-// noteReplaced takes it as the proof of a target's end that another service's
+// detectReplacedOwners takes it as the proof of a target's end that another service's
 // younger one has its address, if it leaves orders unanswered or is not named
 // any more. A refused connection proves nothing: a partition that resets looks
 // the same. What the manager's own service has at the address, it sees itself.
-func (c *Coordinator) noteReplaced(k *ownership.Manager, table *routing.Table, view *roster.View) {
+func (c *Coordinator) detectReplacedOwners(k *ownership.Manager, table *routing.Table, view *roster.View) {
 	for life, owner := range k.Owners() {
 		at := view.ByAddress[owner.Address]
 		if at == nil || at.Service == k.Service || at.Started <= life.Started {
@@ -227,16 +227,16 @@
 	}
 }
 
-// inherited returns what tells of keys that stay at their address.
-func (c *Coordinator) inherited(service string) func(ownership.Piece, roster.Incarnation) {
+// inheritedLogger returns what tells of keys that stay at their address.
+func (c *Coordinator) inheritedLogger(service string) func(ownership.Piece, roster.Incarnation) {
 	return func(p ownership.Piece, to roster.Incarnation) {
 		event.KeysInherited.Log(c.Log, "service", service, "target", p.Owner, "address", p.Address,
 			"now", to.ID, "first", p.First, "last", p.Last)
 	}
 }
 
-// outcome tells what an order's error proves.
-func outcome(err error) ownership.Outcome {
+// orderOutcome tells what an order's error proves.
+func orderOutcome(err error) ownership.Outcome {
 	var stale *platform.StaleEpochError
 	var refused *platform.OrderError
 	var lost *channel.ClosedError
@@ -251,7 +251,7 @@
 		return ownership.Unsent
 	case errors.As(err, &stale):
 		return ownership.Stale
-	case errors.As(err, &refused) && refused.Understood():
+	case errors.As(err, &refused) && refused.NotExecuted():
 		return ownership.Refused
 	case errors.As(err, &op) && op.Op == "dial":
 		return ownership.Unsent
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -45,18 +45,18 @@
 const (
 	// userTimeout breaks off connections whose other end acknowledges nothing.
 	userTimeout = 3 * time.Second
-	// pingAfter is the silence of a connection to another instance after
+	// pingIdleTime is the silence of a connection to another instance after
 	// which it is pinged, pingTimeout the wait for the answer.
-	pingAfter   = 500 * time.Millisecond
-	pingTimeout = 300 * time.Millisecond
+	pingIdleTime = 500 * time.Millisecond
+	pingTimeout  = 300 * time.Millisecond
 	// headerTimeout is how long a caller may take for a request's head.
 	headerTimeout = 5 * time.Second
 	// idleTimeout closes callers' connections that are not used.
 	idleTimeout = 2 * time.Minute
-	// bodyTimeout bounds the reading of a whole request.
-	bodyTimeout = time.Minute
-	// maxHeader bounds a request's head.
-	maxHeader = 32 << 10
+	// requestReadTimeout bounds the reading of a whole request.
+	requestReadTimeout = time.Minute
+	// maxHeaderBytes bounds a request's head.
+	maxHeaderBytes = 32 << 10
 	// refreshInterval is how often expiring exceptions are looked at.
 	refreshInterval = time.Second
 	// handOverTimeout bounds the writes by which a leader steps down.
@@ -69,15 +69,15 @@
 	log      *slog.Logger
 	view     *view.View
 	lanes    *lane.Set
-	leader   *leader.Duty
-	planner  *planner.Duty
-	follower *follower.Duty
-	renewer  *renewer.Duty
+	leader   *leader.Leader
+	planner  *planner.Planner
+	follower *follower.Follower
+	renewer  *renewer.Renewer
 	front    http.Handler
 	admin    http.Handler
 	control  http.Handler
 	table    table.Client
-	keys     *keys.Files
+	tlsFiles *keys.Files
 	draining atomic.Bool
 }
 
@@ -85,7 +85,7 @@
 func New(s settings.Settings, log *slog.Logger) (*Daemon, error) {
 	d := &Daemon{settings: s, log: log, view: &view.View{Zone: s.Zone}}
 	dialer := &egress.Dialer{Proxy: s.EgressProxy, UserTimeout: userTimeout}
-	client := outsideClient(dialer)
+	client := newExternalClient(dialer)
 	backend, err := newBackend(s, client, log)
 	if err != nil {
 		return nil, err
@@ -93,14 +93,14 @@
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	d.lanes = &lane.Set{Dial: dialer.DialContext}
-	cell := &authority.Cell{}
-	sum := &heat.Sum{}
-	d.keys = &keys.Files{Certificate: s.TLSCertFile, Key: s.TLSKeyFile, Authority: s.TLSAuthorityFile}
-	if err := d.keys.Check(); err != nil {
+	cell := &authority.Authority{}
+	sum := &heat.Collector{}
+	d.tlsFiles = &keys.Files{Certificate: s.TLSCertFile, Key: s.TLSKeyFile, Authority: s.TLSAuthorityFile}
+	if err := d.tlsFiles.Check(); err != nil {
 		return nil, err
 	}
-	peers := &peer.Caller{Client: peerClient(dialer, d.keys), TLS: d.keys.Set()}
-	d.buildDuties(backend, client, peers, cell, sum)
+	peers := &peer.Caller{Client: newPeerClient(dialer, d.tlsFiles), TLS: d.tlsFiles.Set()}
+	d.buildTasks(backend, client, peers, cell, sum)
 	d.front = entry.New(entry.Options{
 		Zone: s.Zone, Region: s.Region, View: d.view, Authority: cell, Lanes: d.lanes,
 		Heat: sum, Metrics: entry.NewMetrics(registry), Log: log,
@@ -108,7 +108,7 @@
 	d.admin = admin.New(admin.Options{
 		Instance: s.Instance, Zone: s.Zone, View: d.view, Table: d.table, Leader: d.leader,
 		Ready: d.Ready, Planning: d.planner.Planning, Registry: registry, Log: log, Pprof: s.Pprof,
-		Gate: operator.Authorizer{ReadFile: s.ReadTokenFile, ChangeFile: s.ChangeTokenFile},
+		Authorizer: operator.Authorizer{ReadFile: s.ReadTokenFile, ChangeFile: s.ChangeTokenFile},
 	})
 	mux := http.NewServeMux()
 	mux.Handle(control.ZonePathPrefix, control.NewZoneServer(d.leader))
@@ -117,17 +117,17 @@
 	return d, nil
 }
 
-func (d *Daemon) buildDuties(b *backend, outside *http.Client, peers *peer.Caller, cell *authority.Cell, sum *heat.Sum) {
+func (d *Daemon) buildTasks(b *backend, outside *http.Client, peers *peer.Caller, cell *authority.Authority, sum *heat.Collector) {
 	s := d.settings
 	incarnation := rand.Text()
 	d.renewer = renewer.New(renewer.Options{
 		Instance: s.Instance, View: d.view, Authority: cell,
 		Caller: &renewer.HTTPCaller{Client: outside}, Log: d.log,
 	})
-	d.follower = &follower.Duty{
-		Instance: s.Instance, Incarnation: incarnation, Address: s.AdvertisedAddress(), Zone: s.Zone, Peers: s.Peers,
-		View: d.view, Authority: cell, Renewer: d.renewer, Loads: sum, Calls: peers, Log: d.log,
-		Hint: func(now time.Time, term, renewals uint64, left time.Duration) {
+	d.follower = &follower.Follower{
+		Instance: s.Instance, Incarnation: incarnation, Address: s.AdvertisedAddress(), Zone: s.Zone, PeerAddresses: s.Peers,
+		View: d.view, Authority: cell, Renewer: d.renewer, Loads: sum, Caller: peers, Log: d.log,
+		OnRenewal: func(now time.Time, term, renewals uint64, left time.Duration) {
 			d.leader.Hint(now, term, renewals, left)
 		},
 	}
@@ -135,27 +135,27 @@
 		Direct: b.table, Caller: peers, Log: d.log,
 		Peers: func() []string { return d.leader.OtherLeaders() },
 	}
-	evictions := &evictor.Evictor{Instance: s.Instance, Table: second, Peers: peers, Token: rand.Text, Log: d.log}
+	evictions := &evictor.Evictor{Instance: s.Instance, Table: second, Peers: peers, NewToken: rand.Text, Log: d.log}
 	d.table = second
 	d.planner = planner.New(planner.Options{
 		Instance: s.Instance, Incarnation: incarnation, Address: s.AdvertisedAddress(),
-		Table: second, Objects: b.objects, View: d.view, Peers: peers, Log: d.log, Token: rand.Text,
-		Evictor:   evictions,
-		Instances: b.instances,
-		Leading:   func(now time.Time) bool { return d.leader.Leading(now) },
-		Unheard:   func() bool { return d.leader.PlannerSilent() },
+		Table: second, Objects: b.objects, View: d.view, Peers: peers, Log: d.log, NewToken: rand.Text,
+		Evictor:             evictions,
+		Instances:           b.instances,
+		Leading:             func(now time.Time) bool { return d.leader.Leading(now) },
+		PlannerUnresponsive: func() bool { return d.leader.PlannerUnresponsive() },
 	})
 	d.leader = leader.New(leader.Options{
 		Instance: s.Instance, Incarnation: incarnation, Address: s.AdvertisedAddress(), Zone: s.Zone,
 		Table: second, Direct: b.table, Evictor: evictions, Objects: b.objects, View: d.view, Follower: d.follower, Authority: cell,
-		Planner: d.planner, Peers: peers, Log: d.log, Token: rand.Text,
+		Planner: d.planner, Peers: peers, Log: d.log, NewToken: rand.Text,
 	})
 }
 
-// peerClient reaches other instances over HTTP/2, whose header
+// newPeerClient reaches other instances over HTTP/2, whose header
 // compression spares most of a poll's headers. A connection that goes silent
 // is found out by pings, since its streams' timeouts do not close it.
-func peerClient(dialer *egress.Dialer, files *keys.Files) *http.Client {
+func newPeerClient(dialer *egress.Dialer, files *keys.Files) *http.Client {
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(!files.Set())
 	protocols.SetHTTP2(files.Set())
@@ -164,12 +164,12 @@
 		IdleConnTimeout: idleTimeout,
 		TLSClientConfig: files.Client(),
 		Protocols:       &protocols,
-		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
+		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingIdleTime, PingTimeout: pingTimeout},
 	}}
 }
 
-// outsideClient reaches the platform and targets' grants.
-func outsideClient(dialer *egress.Dialer) *http.Client {
+// newExternalClient reaches the platform and targets' grants.
+func newExternalClient(dialer *egress.Dialer) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext,
 		// With one idle connection, the try after a silent one is on a new one.
@@ -188,7 +188,7 @@
 
 func newBackend(s settings.Settings, client *http.Client, log *slog.Logger) (*backend, error) {
 	if s.PlatformURL != "" {
-		c := &platform.Client{Base: s.PlatformURL, HTTP: client}
+		c := &platform.Client{BaseURL: s.PlatformURL, HTTPClient: client}
 		return &backend{table: c, objects: c, instances: c.Instances}, nil
 	}
 	listed, err := s.ParseTargets()
@@ -219,7 +219,7 @@
 	}
 	dutyCtx, stopDuties := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopDuties()
-	tree := d.tree()
+	tree := d.supervisorTree()
 	var group errgroup.Group
 	group.Go(func() error { return ignoreCanceled(tree.Serve(dutyCtx)) })
 	failed := make(chan error, len(servers))
@@ -240,9 +240,9 @@
 	return errors.Join(err, group.Wait())
 }
 
-// tree is the supervisor tree: every background duty with its name. Intervals
+// supervisorTree is the supervisor tree: every background duty with its name. Intervals
 // stand as constants in the duties' packages.
-func (d *Daemon) tree() *suture.Supervisor {
+func (d *Daemon) supervisorTree() *suture.Supervisor {
 	root := suture.New("gateway", suture.Spec{
 		EventHook: func(e suture.Event) {
 			event.DutyFailed.Log(d.log, "detail", e.String())
@@ -251,11 +251,11 @@
 	root.Add(d.leader)
 	root.Add(&leader.Extender{Leader: d.leader})
 	root.Add(&leader.Reporter{Leader: d.leader})
-	root.Add(&leader.Beater{Leader: d.leader})
+	root.Add(&leader.HeartbeatSender{Leader: d.leader})
 	root.Add(d.planner)
 	root.Add(d.follower)
 	root.Add(d.renewer)
-	root.Add(&collector{view: d.view, lanes: d.lanes})
+	root.Add(&housekeeper{view: d.view, lanes: d.lanes})
 	return root
 }
 
@@ -300,7 +300,7 @@
 		encrypted bool
 	}{
 		{d.settings.CallersListen, d.front, false},
-		{d.settings.ControlListen, d.control, d.keys.Set()},
+		{d.settings.ControlListen, d.control, d.tlsFiles.Set()},
 		{d.settings.AdminListen, d.admin, false},
 	} {
 		listener, err := net.Listen("tcp", l.address)
@@ -308,7 +308,7 @@
 			return nil, fmt.Errorf("listen: %w", err)
 		}
 		if l.encrypted {
-			listener = tls.NewListener(listener, d.keys.Server())
+			listener = tls.NewListener(listener, d.tlsFiles.Server())
 		}
 		var protocols http.Protocols
 		protocols.SetHTTP1(true)
@@ -318,9 +318,9 @@
 			Addr:              l.address,
 			Handler:           l.handler,
 			ReadHeaderTimeout: headerTimeout,
-			ReadTimeout:       bodyTimeout,
+			ReadTimeout:       requestReadTimeout,
 			IdleTimeout:       idleTimeout,
-			MaxHeaderBytes:    maxHeader,
+			MaxHeaderBytes:    maxHeaderBytes,
 			Protocols:         &protocols,
 			ErrorLog:          slog.NewLogLogger(d.log.Handler(), slog.LevelDebug),
 		}})
@@ -335,15 +335,15 @@
 	return err
 }
 
-// collector works out expiring rules anew and closes lanes to targets that
+// housekeeper works out expiring rules anew and closes lanes to targets that
 // are gone.
-type collector struct {
+type housekeeper struct {
 	view  *view.View
 	lanes *lane.Set
 }
 
 // Serve looks after both until the context ends.
-func (h *collector) Serve(ctx context.Context) error {
+func (h *housekeeper) Serve(ctx context.Context) error {
 	tick := time.NewTicker(refreshInterval)
 	defer tick.Stop()
 	for {
@@ -358,7 +358,7 @@
 					known[id] = true
 				}
 			}
-			h.lanes.Keep(known)
+			h.lanes.Retain(known)
 		}
 	}
 }
--- a/gateway/entry/attempt.go
+++ b/gateway/entry/attempt.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	// minAttempt is the least time given to one attempt of a repeatable
+	// minAttemptTime is the least time given to one attempt of a repeatable
 	// request.
-	minAttempt = 100 * time.Millisecond
-	// overdueAfter and overdueFactor say when an answer is overdue: after
+	minAttemptTime = 100 * time.Millisecond
+	// minOverdueDelay and overdueFactor say when an answer is overdue: after
 	// the longer of a fixed time and a multiple of the usual.
-	overdueAfter  = 250 * time.Millisecond
-	overdueFactor = 10
+	minOverdueDelay = 250 * time.Millisecond
+	overdueFactor   = 10
 )
 
 // route is where one attempt goes.
 type route struct {
-	lane   *lane.Lane
-	target *assignment.Target
-	epoch  uint64
-	seen   *view.Snapshot
+	lane     *lane.Lane
+	target   *assignment.Target
+	epoch    uint64
+	snapshot *view.Snapshot
 }
 
 // attempt sends the request once.
@@ -41,7 +41,7 @@
 	seen := f.View.Load()
 	r, fail := f.route(seen, c)
 	if fail != nil {
-		fail.seen = seen
+		fail.snapshot = seen
 		return fail
 	}
 	release, err := r.lane.Slots.Acquire(ctx, *c.kind.Rules.Priority)
@@ -50,7 +50,7 @@
 	}
 	out := f.send(ctx, c, r, release)
 	if last, ok := out.(*failed); ok {
-		last.seen = seen
+		last.snapshot = seen
 	}
 	return out
 }
@@ -70,57 +70,57 @@
 func (f *Front) route(s *view.Snapshot, c *call) (*route, *failed) {
 	service := s.Services[c.service]
 	if service == nil {
-		return nil, waitForOwner(refusal.NoOwner, "the service has no assignment yet")
+		return nil, newOwnerFailure(refusal.NoOwner, "the service has no assignment yet")
 	}
-	if service.Map == nil {
-		return f.choose(s, service)
+	if service.ShardMap == nil {
+		return f.chooseTarget(s, service)
 	}
-	sh, _ := service.Map.Find(c.hash)
+	sh, _ := service.ShardMap.Find(c.keyHash)
 	f.Heat.Add(c.service, c.key, sh.First, *c.kind.Rules.Weight)
 	target := service.Targets[sh.Owner]
 	if target == nil || target.State == assignment.Lost {
-		return nil, waitForOwner(refusal.NoOwner, "the key has no owner at present")
+		return nil, newOwnerFailure(refusal.NoOwner, "the key has no owner at present")
 	}
 	if sh.MovingTo != "" && !target.Fenced {
 		// It would not refuse what comes late, and this gateway cannot know
 		// when the next owner begins. Every gateway stops now, and the planner
 		// waits until all have.
-		return nil, waitForOwner(refusal.OwnerMoving, "the key is moving to another target")
+		return nil, newOwnerFailure(refusal.OwnerMoving, "the key is moving to another target")
 	}
-	return &route{lane: f.Lanes.To(target), target: target, epoch: sh.Epoch, seen: s}, nil
+	return &route{lane: f.Lanes.Get(target), target: target, epoch: sh.Epoch, snapshot: s}, nil
 }
 
-func waitForOwner(cause refusal.Cause, detail string) *failed {
+func newOwnerFailure(cause refusal.Cause, detail string) *failed {
 	e := refusal.New(cause, detail)
 	e.RetryAfter = time.Second
-	return &failed{refusal: e, wait: forOwner}
+	return &failed{refusal: e, retryWhen: retryOnNewOwner}
 }
 
 // send writes the request to the target and reads the answer's head.
 func (f *Front) send(ctx context.Context, c *call, r *route, release func(slot.Result)) outcome {
-	overdue := overdue(r.lane)
+	overdue := overdueDelay(r.lane)
 	attemptCtx, cancel := f.attemptContext(ctx, c, overdue)
-	body, length := c.reader()
-	c.sent = c.sent || !c.buffered
+	body, length := c.newBodyReader()
+	c.streamSent = c.streamSent || !c.buffered
 	req := &pool.Request{
-		Method:   c.method,
-		Target:   c.uri,
-		Host:     c.host,
-		Header:   c.header,
-		Body:     body,
-		Length:   length,
-		Proved:   !c.kind.Idempotent,
-		Patience: overdue,
-		Before:   func(now time.Time) error { return f.mayRoute(now, r) },
+		Method:        c.method,
+		RequestURI:    c.uri,
+		Host:          c.host,
+		Header:        c.header,
+		Body:          body,
+		ContentLength: length,
+		RequireFresh:  !c.kind.Idempotent,
+		OverdueAfter:  overdue,
+		BeforeSend:    func(now time.Time) error { return f.checkAuthority(now, r) },
 	}
-	f.address(req.Header, ctx, c, r)
+	f.setTargetHeaders(req.Header, ctx, c, r)
 	res, err := r.lane.Pool.Do(attemptCtx, req)
 	if err != nil {
 		cancel()
 		return f.sendFailure(ctx, c, r, err, release)
 	}
-	if reason := grant.Refused(res.Header.Get(grant.RefusedHeader)); reason != "" {
-		_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, bufferLimit))
+	if reason := grant.RefusalReason(res.Header.Get(grant.RefusedHeader)); reason != "" {
+		_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxBufferedBody))
 		_ = res.Body.Close()
 		cancel()
 		return refusedByTarget(reason, res, release)
@@ -129,13 +129,13 @@
 		_ = res.Body.Close()
 		cancel()
 		if whole {
-			r.lane.Succeeded()
+			r.lane.RecordSuccess()
 			release(slot.Answered)
 			return
 		}
 		release(slot.Failed)
 	}}
-	return f.buffer(c, r, out)
+	return f.bufferResponse(c, r, out)
 }
 
 // attemptContext leaves time for another attempt where one is allowed: a
@@ -144,23 +144,23 @@
 func (f *Front) attemptContext(ctx context.Context, c *call, overdue time.Duration) (context.Context, context.CancelFunc) {
 	deadline, _ := ctx.Deadline()
 	left := time.Until(deadline)
-	if !c.kind.Idempotent || !c.buffered || left < 2*minAttempt {
+	if !c.kind.Idempotent || !c.buffered || left < 2*minAttemptTime {
 		return context.WithCancel(ctx)
 	}
 	return context.WithTimeout(ctx, min(left/2, 2*overdue))
 }
 
-// overdue is when a target's answer is later than its usual time explains.
-func overdue(l *lane.Lane) time.Duration {
+// overdueDelay is when a target's answer is later than its usual time explains.
+func overdueDelay(l *lane.Lane) time.Duration {
 	usual := time.Duration(l.Slots.State().Latency * float64(time.Second))
-	return max(overdueAfter, overdueFactor*usual)
+	return max(minOverdueDelay, overdueFactor*usual)
 }
 
-// address tells the target what the request is meant for.
-func (f *Front) address(h http.Header, ctx context.Context, c *call, r *route) {
+// setTargetHeaders tells the target what the request is meant for.
+func (f *Front) setTargetHeaders(h http.Header, ctx context.Context, c *call, r *route) {
 	if r.epoch != 0 {
 		h.Set(grant.EpochHeader, strconv.FormatUint(r.epoch, 10))
-		h.Set(grant.HashHeader, strconv.FormatUint(c.hash, 16))
+		h.Set(grant.HashHeader, strconv.FormatUint(c.keyHash, 16))
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		left := max(1, time.Until(deadline).Milliseconds())
@@ -171,39 +171,39 @@
 // errNoAuthority stops a request to a target that does not check.
 var errNoAuthority = errors.New("this instance has no authority to route to the target")
 
-// mayRoute is asked immediately before the first byte leaves. A target that
+// checkAuthority is asked immediately before the first byte leaves. A target that
 // checks is safe by its own lease; for others this instance's authority is all
 // that keeps a request from a former owner.
-func (f *Front) mayRoute(now time.Time, r *route) error {
+func (f *Front) checkAuthority(now time.Time, r *route) error {
 	if r.epoch == 0 || r.target.Fenced || f.Authority.Lease().Valid(now) {
 		return nil
 	}
 	return errNoAuthority
 }
 
-// buffer reads a short answer to its end, so that one cut short is found out
+// bufferResponse reads a short answer to its end, so that one cut short is found out
 // before the caller has seen a byte of it.
-func (f *Front) buffer(c *call, r *route, out *answered) outcome {
+func (f *Front) bufferResponse(c *call, r *route, out *answered) outcome {
 	res := out.response
-	if res.ContentLength < 0 || res.ContentLength > bufferLimit || c.method == http.MethodHead {
+	if res.ContentLength < 0 || res.ContentLength > maxBufferedBody || c.method == http.MethodHead {
 		return out
 	}
 	body, err := io.ReadAll(res.Body)
 	out.done(err == nil)
 	if err != nil {
 		event.AnswerCut.Log(f.Log, "target", r.target.ID, "error", err)
-		r.lane.Failed(time.Now())
-		return &failed{refusal: refusal.NewUnknown(refusal.AnswerCut, "the target's answer ended early"), wait: c.ifRepeatable()}
+		r.lane.RecordFailure(time.Now())
+		return &failed{refusal: refusal.NewUnknown(refusal.AnswerCut, "the target's answer ended early"), retryWhen: c.retryIfBuffered()}
 	}
 	out.body, out.buffered = body, true
 	return out
 }
 
-func (c *call) ifRepeatable() waitFor {
+func (c *call) retryIfBuffered() retryCondition {
 	if c.buffered {
-		return atOnce
+		return retryNow
 	}
-	return notAgain
+	return noRetry
 }
 
 // sendFailure says what a request without an answer proves.
@@ -214,63 +214,63 @@
 		return &failed{refusal: refusal.NewUnknown(refusal.TargetSilent, err.Error())}
 	}
 	if errors.Is(err, errNoAuthority) {
-		return waitForOwner(refusal.NoAuthority, errNoAuthority.Error())
+		return newOwnerFailure(refusal.NoAuthority, errNoAuthority.Error())
 	}
 	callerGone := errors.Is(ctx.Err(), context.Canceled)
 	if !callerGone {
-		f.noteFailure(r, pe)
+		f.recordFailure(r, pe)
 	}
 	switch {
 	case pe.Stage == pool.Dialing:
 		e := refusal.New(refusal.ConnectFailed, "no connection to the target")
 		e.RetryAfter = time.Second
-		return &failed{refusal: e, wait: c.afterDial(r)}
+		return &failed{refusal: e, retryWhen: c.retryAfterDialFailure(r)}
 	case !pe.Wrote:
-		return &failed{refusal: refusal.New(refusal.ConnectFailed, "the connection broke before anything was sent"), wait: c.ifRepeatable()}
-	case isDeadline(pe.Cause):
-		return &failed{refusal: refusal.NewUnknown(refusal.TargetSilent, "the target gave no answer in time"), wait: c.ifRepeatable()}
+		return &failed{refusal: refusal.New(refusal.ConnectFailed, "the connection broke before anything was sent"), retryWhen: c.retryIfBuffered()}
+	case isDeadlineExceeded(pe.Cause):
+		return &failed{refusal: refusal.NewUnknown(refusal.TargetSilent, "the target gave no answer in time"), retryWhen: c.retryIfBuffered()}
 	default:
-		return &failed{refusal: refusal.NewUnknown(refusal.AnswerCut, "the connection broke before the answer"), wait: c.ifRepeatable()}
+		return &failed{refusal: refusal.NewUnknown(refusal.AnswerCut, "the connection broke before the answer"), retryWhen: c.retryIfBuffered()}
 	}
 }
 
-// afterDial waits for another owner where there is only one, and tries
+// retryAfterDialFailure waits for another owner where there is only one, and tries
 // another target otherwise.
-func (c *call) afterDial(r *route) waitFor {
+func (c *call) retryAfterDialFailure(r *route) retryCondition {
 	if r.epoch != 0 {
-		return forOwner
+		return retryOnNewOwner
 	}
-	return c.ifRepeatable()
+	return c.retryIfBuffered()
 }
 
-func (f *Front) noteFailure(r *route, pe *pool.Error) {
+func (f *Front) recordFailure(r *route, pe *pool.Error) {
 	now := time.Now()
-	if pe.Stage == pool.Waiting && isDeadline(pe.Cause) {
+	if pe.Stage == pool.Waiting && isDeadlineExceeded(pe.Cause) {
 		event.TargetSilent.Log(f.Log, "target", r.target.ID)
-		r.lane.Pool.Suspect(now)
+		r.lane.Pool.Invalidate(now)
 	}
-	if r.lane.Failed(now) {
+	if r.lane.RecordFailure(now) {
 		event.TargetEjected.Log(f.Log, "target", r.target.ID)
 	}
 }
 
 // refusedByTarget handles a target's own word that the request did not run.
-func refusedByTarget(reason grant.Refused, res *http.Response, release func(slot.Result)) *failed {
+func refusedByTarget(reason grant.RefusalReason, res *http.Response, release func(slot.Result)) *failed {
 	switch reason {
 	case grant.Shed:
 		release(slot.Shed)
 		e := refusal.New(refusal.TargetShed, "the target has no free slot")
 		e.RetryAfter = max(time.Second, retryAfter(res))
-		return &failed{refusal: e, wait: forSlot}
+		return &failed{refusal: e, retryWhen: retryOnFreeSlot}
 	case grant.Leaving:
 		release(slot.Failed)
-		return &failed{refusal: refusal.New(refusal.NotOwner, "the target is leaving"), wait: forOwner}
+		return &failed{refusal: refusal.New(refusal.NotOwner, "the target is leaving"), retryWhen: retryOnNewOwner}
 	case grant.Moved:
 		release(slot.Failed)
-		return waitForOwner(refusal.OwnerMoving, "the key is moving to another target")
+		return newOwnerFailure(refusal.OwnerMoving, "the key is moving to another target")
 	default:
 		release(slot.Failed)
-		return waitForOwner(refusal.NotOwner, "the target does not own the key: "+string(reason))
+		return newOwnerFailure(refusal.NotOwner, "the target does not own the key: "+string(reason))
 	}
 }
 
--- a/gateway/entry/call.go
+++ b/gateway/entry/call.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// bufferLimit is the largest body held in memory, which makes a request
+	// maxBufferedBody is the largest body held in memory, which makes a request
 	// repeatable and an answer complete before its first byte is passed on.
-	bufferLimit = 64 << 10
-	// ownerWait bounds the time that a request waits for its key's next owner.
-	ownerWait = 1500 * time.Millisecond
-	// ownerPoll is the longest wait before the present owner is asked again:
+	maxBufferedBody = 64 << 10
+	// maxOwnerWait bounds the time that a request waits for its key's next owner.
+	maxOwnerWait = 1500 * time.Millisecond
+	// ownerPollInterval is the longest wait before the present owner is asked again:
 	// its lease may have come back without a new assignment.
-	ownerPoll = 50 * time.Millisecond
-	shedPause = 20 * time.Millisecond
+	ownerPollInterval = 50 * time.Millisecond
+	shedBackoff       = 20 * time.Millisecond
 )
 
 // call is one caller's request.
@@ -35,12 +35,12 @@
 	service  string
 	kindName string
 	key      string
-	hash     uint64
+	keyHash  uint64
 	kind     view.Kind
 	deadline time.Duration
-	// ownerUntil is when waiting for an owner ends.
-	ownerUntil time.Time
-	sheds      int
+	// ownerWaitEnd is when waiting for an owner ends.
+	ownerWaitEnd time.Time
+	shedCount    int
 
 	method string
 	uri    string
@@ -48,27 +48,27 @@
 	header http.Header
 	// body is complete if buffered; else the caller's body is streamed, and
 	// the request can be sent once only.
-	body     []byte
-	buffered bool
-	stream   io.Reader
-	length   int64
-	sent     bool
+	body          []byte
+	buffered      bool
+	bodyStream    io.Reader
+	contentLength int64
+	streamSent    bool
 	// cancel ends what the call still holds, after its answer was passed on.
 	cancel context.CancelFunc
 }
 
-// accept reads what there is to know of a request before it is sent anywhere.
+// readCall reads what there is to know of a request before it is sent anywhere.
 // The call is usable for metrics also with a refusal.
-func (f *Front) accept(r *http.Request) (*call, *refusal.Error) {
+func (f *Front) readCall(r *http.Request) (*call, *refusal.Error) {
 	c := &call{
-		service:  r.PathValue("service"),
-		kindName: r.PathValue("kind"),
-		key:      r.PathValue("key"),
-		method:   r.Method,
-		uri:      r.URL.RequestURI(),
-		host:     r.Host,
-		length:   r.ContentLength,
-		cancel:   func() {},
+		service:       r.PathValue("service"),
+		kindName:      r.PathValue("kind"),
+		key:           r.PathValue("key"),
+		method:        r.Method,
+		uri:           r.URL.RequestURI(),
+		host:          r.Host,
+		contentLength: r.ContentLength,
+		cancel:        func() {},
 	}
 	s := f.View.Load()
 	if s.Config == nil {
@@ -86,8 +86,8 @@
 	if c.key == "" {
 		return c, refusal.New(refusal.BadRequest, "the path has no key: want /service/kind/key")
 	}
-	c.hash = shard.Hash(c.service, c.key)
-	c.header = forwarded(r)
+	c.keyHash = shard.Hash(c.service, c.key)
+	c.header = forwardedHeader(r)
 	return c, c.readBody(r)
 }
 
@@ -118,7 +118,7 @@
 		c.deadline = min(c.deadline, time.Duration(ms)*time.Millisecond)
 	}
 	// Given up with time left, the refusal can name the owner as its cause.
-	c.ownerUntil = time.Now().Add(min(ownerWait, c.deadline*3/4))
+	c.ownerWaitEnd = time.Now().Add(min(maxOwnerWait, c.deadline*3/4))
 	return nil
 }
 
@@ -132,19 +132,19 @@
 		return nil
 	}
 	limited := http.MaxBytesReader(nil, r.Body, limit)
-	head, err := io.ReadAll(io.LimitReader(limited, bufferLimit+1))
+	head, err := io.ReadAll(io.LimitReader(limited, maxBufferedBody+1))
 	if err != nil {
-		return bodyRefusal(err)
+		return bodyReadRefusal(err)
 	}
-	if len(head) <= bufferLimit {
-		c.body, c.buffered, c.length = head, true, int64(len(head))
+	if len(head) <= maxBufferedBody {
+		c.body, c.buffered, c.contentLength = head, true, int64(len(head))
 		return nil
 	}
-	c.stream = io.MultiReader(bytes.NewReader(head), limited)
+	c.bodyStream = io.MultiReader(bytes.NewReader(head), limited)
 	return nil
 }
 
-func bodyRefusal(err error) *refusal.Error {
+func bodyReadRefusal(err error) *refusal.Error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return refusal.New(refusal.BodyTooLarge, "the body is larger than its kind allows")
@@ -152,10 +152,10 @@
 	return refusal.New(refusal.BadRequest, "the body could not be read: "+err.Error())
 }
 
-// reader returns the body for one sending, and the length to announce.
-func (c *call) reader() (io.Reader, int64) {
+// newBodyReader returns the body for one sending, and the length to announce.
+func (c *call) newBodyReader() (io.Reader, int64) {
 	if !c.buffered {
-		return c.stream, c.length
+		return c.bodyStream, c.contentLength
 	}
 	if len(c.body) == 0 {
 		return nil, 0
@@ -163,10 +163,10 @@
 	return bytes.NewReader(c.body), int64(len(c.body))
 }
 
-// shedWait pauses after a target had no slot; longer each time.
-func (c *call) shedWait(ctx context.Context) bool {
-	c.sheds++
-	pause := shedPause * time.Duration(c.sheds)
+// backOffAfterShed pauses after a target had no slot; longer each time.
+func (c *call) backOffAfterShed(ctx context.Context) bool {
+	c.shedCount++
+	pause := shedBackoff * time.Duration(c.shedCount)
 	timer := time.NewTimer(pause/2 + rand.N(pause))
 	defer timer.Stop()
 	select {
@@ -177,9 +177,9 @@
 	}
 }
 
-// forwarded returns the headers to pass on. Headers by which targets know what
+// forwardedHeader returns the headers to pass on. Headers by which targets know what
 // a gateway says are never taken from callers.
-func forwarded(r *http.Request) http.Header {
+func forwardedHeader(r *http.Request) http.Header {
 	h := r.Header.Clone()
 	hop.Remove(h)
 	for _, name := range []string{"Expect", "Content-Length", grant.EpochHeader, grant.HashHeader, grant.DeadlineHeader} {
--- a/gateway/entry/choose.go
+++ b/gateway/entry/choose.go
@@ -10,13 +10,13 @@
 	"basilcross.example/gateway/view"
 )
 
-// choose picks a target of an undivided service: in this zone if one has room,
+// chooseTarget picks a target of an undivided service: in this zone if one has room,
 // else in this region, else across the link.
-func (f *Front) choose(s *view.Snapshot, service *view.Service) (*route, *failed) {
+func (f *Front) chooseTarget(s *view.Snapshot, service *view.Service) (*route, *failed) {
 	now := time.Now()
 	var best *route
-	for _, tier := range f.tiers(service.Active) {
-		r, room := f.lighter(now, s, tier)
+	for _, tier := range f.groupByDistance(service.Active) {
+		r, room := f.pickLessLoaded(now, s, tier)
 		if r == nil {
 			continue
 		}
@@ -33,18 +33,18 @@
 	if len(service.Active) == 0 {
 		e := refusal.New(refusal.NoTarget, "no target of the service is in use")
 		e.RetryAfter = time.Second
-		return nil, &failed{refusal: e, wait: forOwner}
+		return nil, &failed{refusal: e, retryWhen: retryOnNewOwner}
 	}
 	// Every target is ejected: trying one is better than refusing all.
 	return f.routeTo(s, service.Active[rand.IntN(len(service.Active))]), nil
 }
 
 func (f *Front) routeTo(s *view.Snapshot, t *assignment.Target) *route {
-	return &route{lane: f.Lanes.To(t), target: t, seen: s}
+	return &route{lane: f.Lanes.Get(t), target: t, snapshot: s}
 }
 
-// tiers groups targets by nearness.
-func (f *Front) tiers(targets []*assignment.Target) [3][]*assignment.Target {
+// groupByDistance groups targets by nearness.
+func (f *Front) groupByDistance(targets []*assignment.Target) [3][]*assignment.Target {
 	var tiers [3][]*assignment.Target
 	for _, t := range targets {
 		switch {
@@ -59,19 +59,19 @@
 	return tiers
 }
 
-// lighter returns the less loaded of two random targets that are not ejected,
+// pickLessLoaded returns the less loaded of two random targets that are not ejected,
 // and whether it has room now.
-func (f *Front) lighter(now time.Time, s *view.Snapshot, tier []*assignment.Target) (r *route, room bool) {
+func (f *Front) pickLessLoaded(now time.Time, s *view.Snapshot, tier []*assignment.Target) (r *route, room bool) {
 	least := 0.0
 	for range 2 {
-		t, l := f.sample(now, tier)
+		t, l := f.randomAvailable(now, tier)
 		if t == nil {
 			return r, room
 		}
 		state := l.Slots.State()
 		load := float64(state.InFlight+state.Waiting+1) / max(state.Limit, 0.01)
 		if r == nil || load < least {
-			r = &route{lane: l, target: t, seen: s}
+			r = &route{lane: l, target: t, snapshot: s}
 			room = load <= 1 || state.InFlight == 0
 			least = load
 		}
@@ -79,14 +79,14 @@
 	return r, room
 }
 
-func (f *Front) sample(now time.Time, tier []*assignment.Target) (*assignment.Target, *lane.Lane) {
+func (f *Front) randomAvailable(now time.Time, tier []*assignment.Target) (*assignment.Target, *lane.Lane) {
 	if len(tier) == 0 {
 		return nil, nil
 	}
 	start := rand.IntN(len(tier))
 	for i := range tier {
 		t := tier[(start+i)%len(tier)]
-		if l := f.Lanes.To(t); !l.Ejected(now) {
+		if l := f.Lanes.Get(t); !l.Ejected(now) {
 			return t, l
 		}
 	}
--- a/gateway/entry/entry.go
+++ b/gateway/entry/entry.go
@@ -23,9 +23,9 @@
 	Zone      string
 	Region    string
 	View      *view.View
-	Authority *authority.Cell
+	Authority *authority.Authority
 	Lanes     *lane.Set
-	Heat      *heat.Sum
+	Heat      *heat.Collector
 	Metrics   *Metrics
 	Log       *slog.Logger
 }
@@ -34,15 +34,15 @@
 type Front struct {
 	Options
 
-	mux     *http.ServeMux
-	mu      sync.Mutex
-	budgets map[string]*retry.Budget
-	running map[string]*shared
+	mux      *http.ServeMux
+	mu       sync.Mutex
+	budgets  map[string]*retry.Budget
+	inFlight map[string]*sharedRun
 }
 
 // New returns a handler.
 func New(o Options) *Front {
-	f := &Front{Options: o, mux: http.NewServeMux(), budgets: map[string]*retry.Budget{}, running: map[string]*shared{}}
+	f := &Front{Options: o, mux: http.NewServeMux(), budgets: map[string]*retry.Budget{}, inFlight: map[string]*sharedRun{}}
 	f.mux.HandleFunc("/{service}/{kind}/{key...}", f.serve)
 	return f
 }
@@ -54,30 +54,30 @@
 
 func (f *Front) serve(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
-	c, refused := f.accept(r)
+	c, refused := f.readCall(r)
 	if refused != nil {
-		f.refuse(w, c, refused, began)
+		f.writeRefusal(w, c, refused, began)
 		return
 	}
-	switch out := f.once(r, c).(type) {
+	switch out := f.runDeduplicated(r, c).(type) {
 	case *answered:
-		f.pass(w, c, out, began)
+		f.writeResponse(w, c, out, began)
 	case *failed:
-		f.refuse(w, c, f.final(r, out), began)
+		f.writeRefusal(w, c, f.finalRefusal(r, out), began)
 	}
 	c.cancel()
 }
 
-// final turns the last failure into the caller's refusal. A caller that has
+// finalRefusal turns the last failure into the caller's refusal. A caller that has
 // gone away gets a cause of its own, for the metrics.
-func (f *Front) final(r *http.Request, out *failed) *refusal.Error {
+func (f *Front) finalRefusal(r *http.Request, out *failed) *refusal.Error {
 	if r.Context().Err() != nil {
 		return &refusal.Error{Cause: refusal.CallerGone, Outcome: out.refusal.Outcome, Detail: "the caller has gone away"}
 	}
 	return out.refusal
 }
 
-func (f *Front) refuse(w http.ResponseWriter, c *call, refused *refusal.Error, began time.Time) {
+func (f *Front) writeRefusal(w http.ResponseWriter, c *call, refused *refusal.Error, began time.Time) {
 	f.Metrics.refused(c, refused, began)
 	refused.Write(w)
 }
@@ -94,11 +94,11 @@
 	return b
 }
 
-// run sends the request until it is answered or given up.
+// sendWithRetries sends the request until it is answered or given up.
 //
 // An attempt that may have run makes the whole request one that may have run,
 // whatever later attempts prove about themselves.
-func (f *Front) run(ctx context.Context, c *call) outcome {
+func (f *Front) sendWithRetries(ctx context.Context, c *call) outcome {
 	doubt := false
 	for attempt := 0; ; attempt++ {
 		out := f.attempt(ctx, c)
@@ -111,45 +111,45 @@
 		if doubt {
 			last.refusal.Outcome = refusal.Unknown
 		}
-		if !f.again(ctx, c, last, attempt) {
+		if !f.prepareRetry(ctx, c, last, attempt) {
 			return last
 		}
 		f.Metrics.retried(c, last.refusal.Cause)
 	}
 }
 
-// again decides whether a failed request is sent once more, and waits until
+// prepareRetry decides whether a failed request is sent once more, and waits until
 // that is worth while.
-func (f *Front) again(ctx context.Context, c *call, last *failed, attempt int) bool {
+func (f *Front) prepareRetry(ctx context.Context, c *call, last *failed, attempt int) bool {
 	if ctx.Err() != nil {
 		return false
 	}
 	if last.refusal.Outcome != refusal.DidNotRun && !c.kind.Idempotent {
 		return false
 	}
-	switch last.wait {
-	case notAgain:
+	switch last.retryWhen {
+	case noRetry:
 		return false
-	case forOwner:
+	case retryOnNewOwner:
 		// Costs the targets nothing, so it is bounded by time and not by
 		// the budget.
-		return f.awaitOwner(ctx, c, last.seen)
-	case forSlot:
-		if !c.shedWait(ctx) {
+		return f.awaitOwner(ctx, c, last.snapshot)
+	case retryOnFreeSlot:
+		if !c.backOffAfterShed(ctx) {
 			return false
 		}
-	case atOnce:
+	case retryNow:
 	}
 	return attempt < *c.kind.Rules.Retries && f.budget(c.service).TryWithdraw()
 }
 
 // awaitOwner waits for a newer assignment than the one that misled.
 func (f *Front) awaitOwner(ctx context.Context, c *call, seen *view.Snapshot) bool {
-	left := time.Until(c.ownerUntil)
+	left := time.Until(c.ownerWaitEnd)
 	if left <= 0 {
 		return false
 	}
-	timer := time.NewTimer(min(left, ownerPoll))
+	timer := time.NewTimer(min(left, ownerPollInterval))
 	defer timer.Stop()
 	select {
 	case <-seen.Changed:
@@ -174,22 +174,22 @@
 
 // failed is an attempt without an answer for the caller.
 type failed struct {
-	refusal *refusal.Error
-	wait    waitFor
-	seen    *view.Snapshot
+	refusal   *refusal.Error
+	retryWhen retryCondition
+	snapshot  *view.Snapshot
 }
 
 func (*answered) isOutcome() {}
 func (*failed) isOutcome()   {}
 
-// waitFor says what has to happen before another attempt makes sense.
-type waitFor int
+// retryCondition says what has to happen before another attempt makes sense.
+type retryCondition int
 
 const (
-	notAgain waitFor = iota
-	atOnce
-	forOwner
-	forSlot
+	noRetry retryCondition = iota
+	retryNow
+	retryOnNewOwner
+	retryOnFreeSlot
 )
 
-func isDeadline(err error) bool { return errors.Is(err, context.DeadlineExceeded) }
+func isDeadlineExceeded(err error) bool { return errors.Is(err, context.DeadlineExceeded) }
--- a/gateway/entry/entry_benchmark_test.go
+++ b/gateway/entry/entry_benchmark_test.go
@@ -11,9 +11,9 @@
 	"basilcross.example/basilcross/shard"
 )
 
-// naive forwards through an ordinary client, as a first attempt would. It is
+// naiveProxy forwards through an ordinary client, as a first attempt would. It is
 // the baseline.
-func naive(target string) http.Handler {
+func naiveProxy(target string) http.Handler {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		content, err := io.ReadAll(r.Body)
@@ -21,7 +21,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		req, _ := http.NewRequestWithContext(r.Context(), r.Method, target+r.URL.RequestURI(), newReader(content))
+		req, _ := http.NewRequestWithContext(r.Context(), r.Method, target+r.URL.RequestURI(), newByteReader(content))
 		req.Header = r.Header.Clone()
 		res, err := client.Do(req)
 		if err != nil {
@@ -37,13 +37,13 @@
 	})
 }
 
-type reader struct {
+type byteReader struct {
 	content []byte
 }
 
-func newReader(content []byte) io.Reader { return &reader{content} }
+func newByteReader(content []byte) io.Reader { return &byteReader{content} }
 
-func (r *reader) Read(p []byte) (int, error) {
+func (r *byteReader) Read(p []byte) (int, error) {
 	if len(r.content) == 0 {
 		return 0, io.EOF
 	}
@@ -57,9 +57,9 @@
 func BenchmarkForward(b *testing.B) {
 	target := httptest.NewServer(http.HandlerFunc(echo))
 	defer target.Close()
-	middle := httptest.NewServer(naive(target.URL))
+	middle := httptest.NewServer(naiveProxy(target.URL))
 	defer middle.Close()
-	bench := newBench(b)
+	bench := newFixture(b)
 	bench.configure()
 	bench.assign(echo, true)
 	for _, way := range []struct{ name, url string }{
--- a/gateway/entry/entry_test.go
+++ b/gateway/entry/entry_test.go
@@ -28,19 +28,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// bench is one gateway's front with targets that a test writes itself.
-type bench struct {
-	t    testing.TB
-	view view.View
-	cell authority.Cell
-	url  string
+// fixture is one gateway's front with targets that a test writes itself.
+type fixture struct {
+	t         testing.TB
+	view      view.View
+	authority authority.Authority
+	url       string
 }
 
-func newBench(t testing.TB) *bench {
+func newFixture(t testing.TB) *fixture {
 	t.Helper()
-	b := &bench{t: t, view: view.View{Zone: "graz"}}
+	b := &fixture{t: t, view: view.View{Zone: "graz"}}
 	front := entry.New(entry.Options{
-		Zone: "graz", Region: "ost", View: &b.view, Authority: &b.cell, Lanes: &lane.Set{}, Heat: &heat.Sum{},
+		Zone: "graz", Region: "ost", View: &b.view, Authority: &b.authority, Lanes: &lane.Set{}, Heat: &heat.Collector{},
 		Metrics: entry.NewMetrics(prometheus.NewRegistry()), Log: slog.New(slog.DiscardHandler),
 	})
 	s := httptest.NewServer(front)
@@ -50,7 +50,7 @@
 }
 
 // configure puts a configuration in force: lists may be repeated, entries not.
-func (b *bench) configure() {
+func (b *fixture) configure() {
 	b.t.Helper()
 	kind := func(name string, idempotent bool) config.Kind {
 		return config.Kind{Name: name, Service: "menus", Idempotent: idempotent, Rules: config.Rules{
@@ -59,13 +59,13 @@
 	}
 	assert.NilError(b.t, b.view.SetConfig(&config.Document{
 		Version:  1,
-		Services: []config.Service{{Name: "menus", Divided: true}},
+		Services: []config.Service{{Name: "menus", Sharded: true}},
 		Kinds:    []config.Kind{kind("lists", true), kind("entry", false)},
 	}))
 }
 
 // assign makes a target the owner of everything in the next version.
-func (b *bench) assign(h http.HandlerFunc, fenced bool) {
+func (b *fixture) assign(h http.HandlerFunc, fenced bool) {
 	b.t.Helper()
 	s := httptest.NewServer(h)
 	b.t.Cleanup(s.Close)
@@ -81,7 +81,7 @@
 	}))
 }
 
-func (b *bench) do(method, path, body string, header ...string) (*http.Response, string) {
+func (b *fixture) do(method, path, body string, header ...string) (*http.Response, string) {
 	b.t.Helper()
 	req, err := http.NewRequest(method, b.url+path, strings.NewReader(body))
 	assert.NilError(b.t, err)
@@ -96,7 +96,7 @@
 	return res, string(content)
 }
 
-func (b *bench) wantRefusal(res *http.Response, content string, cause refusal.Cause, outcome refusal.Outcome) {
+func (b *fixture) wantRefusal(res *http.Response, content string, cause refusal.Cause, outcome refusal.Outcome) {
 	b.t.Helper()
 	var body refusal.Body
 	assert.NilError(b.t, json.Unmarshal([]byte(content), &body), content)
@@ -112,16 +112,16 @@
 	fmt.Fprintf(w, "%s %s %s", r.Method, r.URL.RequestURI(), content)
 }
 
-// drop breaks the connection off without an answer.
-func drop(w http.ResponseWriter) {
+// dropConnection breaks the connection off without an answer.
+func dropConnection(w http.ResponseWriter) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
 		_ = c.Close()
 	}
 }
 
-func TestWholeAnswerIsPassedOn(t *testing.T) {
-	b := newBench(t)
+func TestResponseIsForwarded(t *testing.T) {
+	b := newFixture(t)
 	b.configure()
 	b.assign(echo, true)
 	res, content := b.do("POST", "/menus/entry/graz-7?day=2", "torte")
@@ -130,7 +130,7 @@
 }
 
 func TestBadRequestsAreRefused(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	res, content := b.do("GET", "/menus/lists/k", "")
 	b.wantRefusal(res, content, refusal.NoConfig, refusal.DidNotRun)
 	b.configure()
@@ -155,7 +155,7 @@
 
 // Callers must not be able to speak as a gateway towards a target.
 func TestCallersCannotForgeEpochs(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.configure()
 	b.assign(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, r.Header.Get(grant.EpochHeader), r.Header.Get(grant.HashHeader))
@@ -166,13 +166,13 @@
 
 // The target takes the request and breaks the connection off. An entry is sent
 // once and its caller told that it may have run; a list is sent again.
-func TestOnlyRepeatableRequestsAreSentAgain(t *testing.T) {
-	b := newBench(t)
+func TestOnlyIdempotentRequestsAreRetriedAfterLostResponse(t *testing.T) {
+	b := newFixture(t)
 	b.configure()
 	var sent atomic.Int32
 	b.assign(func(w http.ResponseWriter, r *http.Request) {
 		if sent.Add(1) == 1 {
-			drop(w)
+			dropConnection(w)
 			return
 		}
 		echo(w, r)
@@ -188,13 +188,13 @@
 
 // A list's first attempt is cut off and may have run; the second is provably
 // refused by the target. The caller must not be told that it did not run.
-func TestDoubtOutlivesALaterRefusal(t *testing.T) {
-	b := newBench(t)
+func TestUnknownOutcomeIsKeptAfterLaterRefusal(t *testing.T) {
+	b := newFixture(t)
 	b.configure()
 	var sent atomic.Int32
 	b.assign(func(w http.ResponseWriter, _ *http.Request) {
 		if sent.Add(1) == 1 {
-			drop(w)
+			dropConnection(w)
 			return
 		}
 		w.Header().Set(grant.RefusedHeader, string(grant.NotOwner))
@@ -206,8 +206,8 @@
 
 // A shard moves while an entry is on its way: the old owner says that it did
 // not run it. The gateway waits for the next assignment and sends it there.
-func TestMovedRequestGoesToTheNextOwner(t *testing.T) {
-	b := newBench(t)
+func TestRequestFollowsMovedShardToNextOwner(t *testing.T) {
+	b := newFixture(t)
 	b.configure()
 	refused := make(chan struct{})
 	var once sync.Once
@@ -229,8 +229,8 @@
 // A target does not check epochs, and the gateway has no authority from its
 // zone's leader. The key may belong to another target by now, so nothing is
 // sent; with authority the same request is served.
-func TestNoAuthorityNoRequestToUncheckingTargets(t *testing.T) {
-	b := newBench(t)
+func TestNoRequestToUnfencedTargetWithoutAuthority(t *testing.T) {
+	b := newFixture(t)
 	b.configure()
 	var sent atomic.Int32
 	b.assign(func(w http.ResponseWriter, r *http.Request) {
@@ -240,7 +240,7 @@
 	res, content := b.do("POST", "/menus/entry/k", "torte")
 	b.wantRefusal(res, content, refusal.NoAuthority, refusal.DidNotRun)
 	assert.Equal(t, sent.Load(), int32(0))
-	b.cell.Extend(time.Now(), time.Minute, time.Now())
+	b.authority.Extend(time.Now(), time.Minute, time.Now())
 	res, _ = b.do("POST", "/menus/entry/k", "torte")
 	assert.Equal(t, res.StatusCode, http.StatusOK)
 }
@@ -248,11 +248,11 @@
 // A shard moves away from a target that does not check. That target would run
 // what comes late beside the next owner, so the gateway sends it nothing from
 // the moment at which the move is announced.
-func TestNothingIsSentToAnUncheckingTargetOnTheMove(t *testing.T) {
-	b := newBench(t)
+func TestNoRequestToUnfencedTargetWhileShardMoves(t *testing.T) {
+	b := newFixture(t)
 	b.configure()
 	b.assign(func(http.ResponseWriter, *http.Request) { t.Error("nothing may reach the target") }, false)
-	b.cell.Extend(time.Now(), time.Minute, time.Now())
+	b.authority.Extend(time.Now(), time.Minute, time.Now())
 	now := b.view.Load().Services["menus"].Assignment
 	moving := now.Shards[0]
 	moving.MovingTo = "t9"
@@ -263,8 +263,8 @@
 
 // A couple clicks twice. The second request arrives while the first one runs,
 // shares its run, and both get the same answer.
-func TestSameKeySharesOneRun(t *testing.T) {
-	b := newBench(t)
+func TestRequestsWithSameIdempotencyKeyShareOneRun(t *testing.T) {
+	b := newFixture(t)
 	b.configure()
 	var runs atomic.Int32
 	arrived, goOn := make(chan struct{}), make(chan struct{})
@@ -276,7 +276,7 @@
 	}, true)
 	answers := make(chan string, 2)
 	click := func() {
-		_, content := b.do("POST", "/menus/entry/k", "torte", entry.KeyHeader, "click")
+		_, content := b.do("POST", "/menus/entry/k", "torte", entry.IdempotencyKeyHeader, "click")
 		answers <- content
 	}
 	var group sync.WaitGroup
@@ -296,8 +296,8 @@
 // A long answer breaks off in the middle. Its beginning is with the caller
 // already, so the caller's connection is broken off too: the part must not
 // look whole.
-func TestCutStreamIsNotPassedOnAsWhole(t *testing.T) {
-	b := newBench(t)
+func TestTruncatedStreamAbortsCallerConnection(t *testing.T) {
+	b := newFixture(t)
 	b.configure()
 	b.assign(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "200000")
@@ -314,8 +314,8 @@
 // Requests whose length is stated in two ways may be read differently by the
 // gateway and a target, and one caller could smuggle a request into another's
 // connection. They are refused before anything is sent.
-func TestSmugglingInputsAreRefused(t *testing.T) {
-	b := newBench(t)
+func TestRequestSmugglingIsRefused(t *testing.T) {
+	b := newFixture(t)
 	b.configure()
 	b.assign(func(http.ResponseWriter, *http.Request) { t.Error("nothing may reach the target") }, true)
 	for name, head := range map[string]string{
--- a/gateway/entry/pass.go
+++ b/gateway/entry/pass.go
@@ -11,11 +11,11 @@
 	"basilcross.example/gateway/hop"
 )
 
-// streamBuffer is the size of the pieces in which long answers are passed on.
-const streamBuffer = 32 << 10
+// streamBufferSize is the size of the pieces in which long answers are passed on.
+const streamBufferSize = 32 << 10
 
-// pass gives the target's answer to the caller.
-func (f *Front) pass(w http.ResponseWriter, c *call, out *answered, began time.Time) {
+// writeResponse gives the target's answer to the caller.
+func (f *Front) writeResponse(w http.ResponseWriter, c *call, out *answered, began time.Time) {
 	res := out.response
 	h := w.Header()
 	for name, values := range res.Header {
@@ -30,13 +30,13 @@
 		f.Metrics.answered(c, res.StatusCode, began)
 		return
 	}
-	f.stream(w, c, out)
+	f.streamResponse(w, c, out)
 	f.Metrics.answered(c, res.StatusCode, began)
 }
 
-// stream passes on a long answer as it comes. If it is cut short, the caller's
+// streamResponse passes on a long answer as it comes. If it is cut short, the caller's
 // connection is broken off: ended properly, the part would look whole.
-func (f *Front) stream(w http.ResponseWriter, c *call, out *answered) {
+func (f *Front) streamResponse(w http.ResponseWriter, c *call, out *answered) {
 	res := out.response
 	if res.ContentLength >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(res.ContentLength, 10))
@@ -64,7 +64,7 @@
 // unknown, since such an answer may be a slow stream of events.
 func copyFlushing(w http.ResponseWriter, res *http.Response) error {
 	controller := http.NewResponseController(w)
-	buffer := make([]byte, streamBuffer)
+	buffer := make([]byte, streamBufferSize)
 	for {
 		n, err := res.Body.Read(buffer)
 		if n > 0 {
--- a/gateway/evictor/evictor.go
+++ b/gateway/evictor/evictor.go
@@ -18,14 +18,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Suspect is the silence of a row after which its holder's eviction may begin.
+// SuspectAfter is the silence of a row after which its holder's eviction may begin.
 // Attempts against holders that are well would leave refusals behind that
 // spoil the next outage.
-const Suspect = 700 * time.Millisecond
+const SuspectAfter = 700 * time.Millisecond
 
 const (
-	tableTimeout = 800 * time.Millisecond
-	askTimeout   = 300 * time.Millisecond
+	tableTimeout   = 800 * time.Millisecond
+	refrainTimeout = 300 * time.Millisecond
 )
 
 // Evictor works on evictions. All fields must be set.
@@ -33,7 +33,7 @@
 	Instance string
 	Table    table.Client
 	Peers    *peer.Caller
-	Token    func() string
+	NewToken func() string
 	Log      *slog.Logger
 
 	mu       sync.Mutex
@@ -45,23 +45,23 @@
 func (e *Evictor) Step(ctx context.Context, lock sync.Locker, s *seat.Seat, others []seat.Record) bool {
 	lock.Lock()
 	record, version := s.Record()
-	tableEnd := s.TableEnd()
-	limit := s.LimitPassed(time.Now())
+	tableEnd := s.TableLeaseEnd()
+	limit := s.OutageLimitPassed(time.Now())
 	lock.Unlock()
 	if limit {
 		return true
 	}
 	if record.Intent == "" {
-		e.intend(ctx, lock, s)
+		e.writeIntent(ctx, lock, s)
 		return false
 	}
-	attempt := e.attempt(s.Name)
+	attempt := e.attemptFor(s.Name)
 	attempt.Begin(version, tableEnd)
-	e.ask(ctx, attempt, s.Name, others)
+	e.requestRefrain(ctx, attempt, s.Name, others)
 	return attempt.Complete(time.Now(), promise.EvictQuorum(len(others)+1))
 }
 
-func (e *Evictor) attempt(name string) *eviction.Eviction {
+func (e *Evictor) attemptFor(name string) *eviction.Eviction {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.attempts == nil {
@@ -75,11 +75,11 @@
 	return a
 }
 
-// intend writes the intent. Whoever reads the row next goes on from there, so
+// writeIntent writes the intent. Whoever reads the row next goes on from there, so
 // a lost answer costs only time.
-func (e *Evictor) intend(ctx context.Context, lock sync.Locker, s *seat.Seat) {
+func (e *Evictor) writeIntent(ctx context.Context, lock sync.Locker, s *seat.Seat) {
 	lock.Lock()
-	tx, err := s.Intend(time.Now(), e.Token(), e.Instance)
+	tx, err := s.DeclareIntent(time.Now(), e.NewToken(), e.Instance)
 	lock.Unlock()
 	if err != nil {
 		e.Log.Error("eviction intent", "seat", s.Name, "error", err)
@@ -106,18 +106,18 @@
 	}
 	record, _ := s.Record()
 	event.EvictionBegan.Log(e.Log, "seat", s.Name, "term", record.Term, "committed", res.Committed, "holder", record.Holder,
-		"unchangedMs", s.Silence(now).Milliseconds(), "told", s.Hinted(), "authorityLeftMs", s.TableEnd().Sub(now).Milliseconds())
+		"unchangedMs", s.UnchangedFor(now).Milliseconds(), "told", s.HasHint(), "authorityLeftMs", s.TableLeaseEnd().Sub(now).Milliseconds())
 }
 
-// ask asks every leader that has not confirmed yet.
-func (e *Evictor) ask(ctx context.Context, attempt *eviction.Eviction, zone string, others []seat.Record) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// requestRefrain asks every leader that has not confirmed yet.
+func (e *Evictor) requestRefrain(ctx context.Context, attempt *eviction.Eviction, zone string, others []seat.Record) {
+	ctx, cancel := context.WithTimeout(ctx, refrainTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var group errgroup.Group
 	version := attempt.Version()
 	for _, r := range others {
-		if r.Address == "" || attempt.Has(r.Zone) {
+		if r.Address == "" || attempt.HasConfirmed(r.Zone) {
 			continue
 		}
 		group.Go(func() error {
@@ -128,7 +128,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			attempt.Confirmed(time.Now(), r.Zone, version, time.Duration(res.GetLeftMs())*time.Millisecond)
+			attempt.Confirm(time.Now(), r.Zone, version, time.Duration(res.GetLeftMs())*time.Millisecond)
 			return nil
 		})
 	}
--- a/gateway/follower/follower.go
+++ b/gateway/follower/follower.go
@@ -26,15 +26,15 @@
 )
 
 const (
-	// wait is how long the leader may hold a poll back. It is taken off the
+	// pollWait is how long the leader may hold a poll back. It is taken off the
 	// authority that the answer brings.
-	wait = 450 * time.Millisecond
+	pollWait = 450 * time.Millisecond
 	// pollTimeout bounds one poll.
-	pollTimeout = wait + 150*time.Millisecond
-	// retryPause lies between two polls that failed.
-	retryPause = 60 * time.Millisecond
-	// lapsedAfter is the time without an answer after which it is logged.
-	lapsedAfter = 1500 * time.Millisecond
+	pollTimeout = pollWait + 150*time.Millisecond
+	// retryDelay lies between two polls that failed.
+	retryDelay = 60 * time.Millisecond
+	// authorityLossDelay is the time without an answer after which it is logged.
+	authorityLossDelay = 1500 * time.Millisecond
 )
 
 // Loads gives the loads since the last call, for the report.
@@ -42,33 +42,33 @@
 	Take(now time.Time) (shards []*control.ShardLoad, hot []*control.HotKey)
 }
 
-// Duty polls the leader. All fields up to Log are set by the owner.
-type Duty struct {
-	Instance    string
-	Incarnation string
-	Address     string
-	Zone        string
-	Peers       []string
-	View        *view.View
-	Authority   *authority.Cell
-	Renewer     *renewer.Duty
-	Loads       Loads
-	// Hint is told of the leader's renewals and of what it had left.
-	Hint  func(now time.Time, term, renewals uint64, left time.Duration)
-	Calls *peer.Caller
-	Log   *slog.Logger
+// Follower polls the leader. All fields up to Log are set by the owner.
+type Follower struct {
+	Instance      string
+	Incarnation   string
+	Address       string
+	Zone          string
+	PeerAddresses []string
+	View          *view.View
+	Authority     *authority.Authority
+	Renewer       *renewer.Renewer
+	Loads         Loads
+	// OnRenewal is told of the leader's renewals and of what it had left.
+	OnRenewal func(now time.Time, term, renewals uint64, left time.Duration)
+	Caller    *peer.Caller
+	Log       *slog.Logger
 
-	mu       sync.Mutex
-	leader   string
-	members  []string
-	term     uint64
-	renewals uint64
-	peer     int
-	lapsed   bool
+	mu            sync.Mutex
+	leader        string
+	members       []string
+	term          uint64
+	renewals      uint64
+	nextPeer      int
+	authorityLost bool
 }
 
 // SetLeader tells where the leader is, as read from the seat's row.
-func (d *Duty) SetLeader(address string) {
+func (d *Follower) SetLeader(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.leader = address
@@ -76,88 +76,88 @@
 
 // Members returns the zone's instances in the order in which they may take the
 // leader's seat, as last heard.
-func (d *Duty) Members() []string {
+func (d *Follower) Members() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.members
 }
 
 // Leader returns the leader's address as far as known.
-func (d *Duty) Leader() string {
+func (d *Follower) Leader() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.leader
 }
 
 // Serve polls until the context ends.
-func (d *Duty) Serve(ctx context.Context) error {
+func (d *Follower) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if d.poll(ctx) {
 			continue
 		}
-		d.noteLapse()
+		d.logAuthorityLoss()
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryPause):
+		case <-time.After(retryDelay):
 		}
 	}
 	return ctx.Err()
 }
 
-func (d *Duty) noteLapse() {
-	if d.lapsed || time.Since(d.Authority.Contact()) < lapsedAfter {
+func (d *Follower) logAuthorityLoss() {
+	if d.authorityLost || time.Since(d.Authority.LastContact()) < authorityLossDelay {
 		return
 	}
-	d.lapsed = true
+	d.authorityLost = true
 	event.AuthorityLapsed.Log(d.Log, "leader", d.Leader())
 }
 
-// next returns the address to poll: the leader, or a peer that may know it.
-func (d *Duty) next() string {
+// pollAddress returns the address to poll: the leader, or a peer that may know it.
+func (d *Follower) pollAddress() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.leader != "" {
 		return d.leader
 	}
-	if len(d.Peers) == 0 {
+	if len(d.PeerAddresses) == 0 {
 		return ""
 	}
-	d.peer++
-	return d.Peers[d.peer%len(d.Peers)]
+	d.nextPeer++
+	return d.PeerAddresses[d.nextPeer%len(d.PeerAddresses)]
 }
 
 // poll carries out one poll and tells whether the leader answered it.
-func (d *Duty) poll(ctx context.Context) bool {
-	address := d.next()
+func (d *Follower) poll(ctx context.Context) bool {
+	address := d.pollAddress()
 	if address == "" {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	stop := d.cutShort(ctx, cancel)
+	stop := d.cancelWhenReportDue(ctx, cancel)
 	defer stop()
-	req := d.request()
+	req := d.buildRequest()
 	sent := time.Now()
-	res, err := d.Calls.Zone(address).Poll(ctx, req)
+	res, err := d.Caller.Zone(address).Poll(ctx, req)
 	if err != nil {
-		d.forget(address, err)
+		d.dropLeader(address, err)
 		return false
 	}
 	if !res.GetLeading() {
 		d.SetLeader(res.GetLeaderAddress())
 		return false
 	}
-	d.take(sent, address, res)
+	d.applyResponse(sent, address, res)
 	return true
 }
 
-// cutShort ends a poll that waits at the leader when there is news to report.
-func (d *Duty) cutShort(ctx context.Context, cancel func()) (stop func()) {
+// cancelWhenReportDue ends a poll that waits at the leader when there is news to report.
+func (d *Follower) cancelWhenReportDue(ctx context.Context, cancel func()) (stop func()) {
 	done := make(chan struct{})
 	var group sync.WaitGroup
 	group.Go(func() {
 		select {
-		case <-d.Renewer.News():
+		case <-d.Renewer.ReportDue():
 			cancel()
 		case <-done:
 		case <-ctx.Done():
@@ -169,20 +169,20 @@
 	}
 }
 
-// forget drops a leader that cannot be reached, so that its address is asked
+// dropLeader drops a leader that cannot be reached, so that its address is asked
 // for again. A poll that was cut short says nothing about it.
-func (d *Duty) forget(address string, err error) {
+func (d *Follower) dropLeader(address string, err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.leader == address && time.Since(d.Authority.Contact()) > pollTimeout {
+	if d.leader == address && time.Since(d.Authority.LastContact()) > pollTimeout {
 		d.leader = ""
 	}
 }
 
-func (d *Duty) request() *control.PollRequest {
+func (d *Follower) buildRequest() *control.PollRequest {
 	now := time.Now()
 	directive, reports := d.Renewer.Reports(now)
 	req := &control.PollRequest{
@@ -193,7 +193,7 @@
 		Term:        d.term,
 		Directive:   directive,
 		Renewals:    d.renewals,
-		WaitMs:      uint32(wait.Milliseconds()),
+		WaitMs:      uint32(pollWait.Milliseconds()),
 	}
 	for _, r := range reports {
 		req.Targets = append(req.Targets, encodeReport(r))
@@ -220,11 +220,11 @@
 	return out
 }
 
-// take puts an answer in force. The directive goes before the authority: under
+// applyResponse puts an answer in force. The directive goes before the authority: under
 // the new authority the old directive may no longer hold.
-func (d *Duty) take(sent time.Time, address string, res *control.PollResponse) {
+func (d *Follower) applyResponse(sent time.Time, address string, res *control.PollResponse) {
 	for _, u := range res.GetUpdates() {
-		if err := d.update(u); err != nil {
+		if err := d.applyUpdate(u); err != nil {
 			d.Log.Warn("update refused", "name", u.GetName(), "error", err)
 		}
 	}
@@ -234,7 +234,7 @@
 	now := time.Now()
 	left := time.Duration(res.GetAuthorityUs()) * time.Microsecond
 	d.Authority.Extend(sent, left, now)
-	d.Hint(now, res.GetTerm(), res.GetRenewals(), time.Duration(res.GetTableLeftUs())*time.Microsecond)
+	d.OnRenewal(now, res.GetTerm(), res.GetRenewals(), time.Duration(res.GetTableLeftUs())*time.Microsecond)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.leader = address
@@ -243,8 +243,8 @@
 	if res.GetRenews() {
 		d.members = res.GetMembers()
 	}
-	if d.lapsed {
-		d.lapsed = false
+	if d.authorityLost {
+		d.authorityLost = false
 		event.AuthorityBack.Log(d.Log, "leader", address)
 	}
 }
@@ -259,8 +259,8 @@
 	return directive
 }
 
-func (d *Duty) update(u *control.Update) error {
-	content, err := unzip(u.GetBody())
+func (d *Follower) applyUpdate(u *control.Update) error {
+	content, err := gunzip(u.GetBody())
 	if err != nil {
 		return err
 	}
@@ -278,10 +278,10 @@
 	return d.View.ApplyDelta(delta)
 }
 
-func (d *Duty) setConfig(doc *config.Document) error {
+func (d *Follower) setConfig(doc *config.Document) error {
 	if err := d.View.SetConfig(doc); err != nil {
 		var stale *view.StaleError
-		if errors.As(err, &stale) && stale.Offer == stale.InForce {
+		if errors.As(err, &stale) && stale.Offered == stale.InForce {
 			return nil
 		}
 		return err
@@ -290,15 +290,15 @@
 	return nil
 }
 
-// maxUpdate bounds an unpacked update, whatever its sender claims.
-const maxUpdate = 64 << 20
+// maxUpdateBytes bounds an unpacked update, whatever its sender claims.
+const maxUpdateBytes = 64 << 20
 
-func unzip(content []byte) ([]byte, error) {
+func gunzip(content []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(content))
 	if err != nil {
 		return nil, fmt.Errorf("unzip update: %w", err)
 	}
-	plain, err := io.ReadAll(io.LimitReader(r, maxUpdate))
+	plain, err := io.ReadAll(io.LimitReader(r, maxUpdateBytes))
 	if err != nil {
 		return nil, fmt.Errorf("unzip update: %w", err)
 	}
--- a/gateway/front/attempt.go
+++ b/gateway/front/attempt.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// drainUse is how long the owner of keys is used after it said that it is
+	// drainingOwnerTTL is how long the owner of keys is used after it said that it is
 	// leaving, while its keys go to others. The users allow 2 s.
-	drainUse = 700 * time.Millisecond
+	drainingOwnerTTL = 700 * time.Millisecond
 	// bufferLimit is the answer held in memory, so that one cut short is found
 	// out before the caller has seen a byte of it.
 	bufferLimit = 256 << 10
 )
 
-// answer is a target's own.
-type answer struct {
-	response *http.Response
-	body     []byte
+// targetResponse is a target's own.
+type targetResponse struct {
+	head *http.Response
+	body []byte
 	// rest is what comes after body, for long answers.
 	rest   io.Reader
 	finish func(whole bool)
 }
 
 // attempt sends the request once.
-func (f *Front) attempt(ctx context.Context, c *call) (*answer, *refusal) {
+func (f *Front) attempt(ctx context.Context, c *call) (*targetResponse, *refusal) {
 	request := schedule.Request{Service: c.service, Kind: c.kind(), Excluded: c.excluded, Priority: c.route.Priority}
 	request.Objective = c.arrived.Add(c.route.Objective)
 	request.Deadline = c.deadline
@@ -47,82 +47,82 @@
 	}
 	began := time.Now()
 	reservation, err := f.Broker.Acquire(ctx, request)
-	c.queued += time.Since(began)
+	c.queueTime += time.Since(began)
 	if err != nil {
-		return nil, f.notReserved(c, err)
+		return nil, f.reservationRefused(c, err)
 	}
-	if c.sharded && c.ran == reservation.Target.ID && f.Moved(c.service, c.key, c.ranAt) {
+	if c.sharded && c.lastRunTarget == reservation.Target.ID && f.OwnerChangedSince(c.service, c.key, c.lastRunAt) {
 		// A second run there would look like one with the first, and the key like one
 		// that was given on while it was worked on.
 		reservation.Release(schedule.Abandoned)
 		return nil, &refusal{status: http.StatusBadGateway, cause: "ranBefore", mayHaveRun: true, final: true}
 	}
 	c.sends++
-	c.target = reservation.Target.ID
+	c.lastTarget = reservation.Target.ID
 	return f.send(ctx, c, reservation)
 }
 
-// noteRun notes that a target may have run the request.
-func (c *call) noteRun(target string) {
+// recordRun notes that a target may have run the request.
+func (c *call) recordRun(target string) {
 	c.runs++
-	c.ran, c.ranAt = target, time.Now()
+	c.lastRunTarget, c.lastRunAt = target, time.Now()
 }
 
 // owner returns the target that has the request's key.
 func (f *Front) owner(c *call) (string, *refusal) {
-	a, newer := f.Owners(c.service)
-	c.newer = newer
+	a, newer := f.CurrentAssignment(c.service)
+	c.assignmentChanged = newer
 	if a == nil {
-		return "", &refusal{status: http.StatusServiceUnavailable, cause: "noOwner", retryAfter: retryOwner, forOwner: true}
+		return "", &refusal{status: http.StatusServiceUnavailable, cause: "noOwner", retryAfter: retryAfterNoTarget, awaitOwner: true}
 	}
 	p := a.Find(c.key)
 	t := f.Roster.Load().Targets[p.Owner]
-	if p.Owner == "" || t == nil || t.Draining && time.Since(t.LeavingSince) > drainUse {
-		return "", &refusal{status: http.StatusServiceUnavailable, cause: "noOwner", retryAfter: retryOwner, forOwner: true}
+	if p.Owner == "" || t == nil || t.Draining && time.Since(t.LeavingSince) > drainingOwnerTTL {
+		return "", &refusal{status: http.StatusServiceUnavailable, cause: "noOwner", retryAfter: retryAfterNoTarget, awaitOwner: true}
 	}
 	return p.Owner, nil
 }
 
-func (f *Front) notReserved(c *call, err error) *refusal {
+func (f *Front) reservationRefused(c *call, err error) *refusal {
 	var busy *schedule.BusyError
 	var none *schedule.NoTargetError
 	switch {
 	case errors.As(err, &busy):
-		r := notRun("busy", busy.Wait)
+		r := newNotRun("busy", busy.Wait)
 		r.final = true
-		r.queued = busy.Queued
+		r.queueLength = busy.Queued
 		return r
 	case errors.As(err, &none):
-		r := notRun("noTarget", retryOwner)
-		r.forOwner = c.sharded
+		r := newNotRun("noTarget", retryAfterNoTarget)
+		r.awaitOwner = c.sharded
 		r.final = !c.sharded
 		return r
 	default:
-		r := notRun("deadlinePassed", retryOwner)
+		r := newNotRun("deadlinePassed", retryAfterNoTarget)
 		r.final = true
 		return r
 	}
 }
 
 // send writes the request to the target and reads the answer.
-func (f *Front) send(ctx context.Context, c *call, reservation *broker.Reservation) (*answer, *refusal) {
+func (f *Front) send(ctx context.Context, c *call, reservation *broker.Reservation) (*targetResponse, *refusal) {
 	t := reservation.Target
 	began := time.Now()
-	connections := f.Pools.To(t)
+	connections := f.Pools.Get(t)
 	req := &pool.Request{
-		Method: c.method, Target: c.uri, Host: c.host, Header: c.header,
-		Proved: !c.route.Idempotent,
-		Mine: func(h http.Header) bool {
-			id := h.Get(f.Wire.RequestID)
+		Method: c.method, RequestURI: c.uri, Host: c.host, Header: c.header,
+		RequireFresh: !c.route.Idempotent,
+		Matches: func(h http.Header) bool {
+			id := h.Get(f.Headers.RequestID)
 			return id == c.id || id == ""
 		},
-		Head: func(now time.Time, h http.Header) {
-			h.Set(f.Wire.TimeLeft, strconv.FormatInt(max(1, c.deadline.Sub(now).Milliseconds()), 10))
-			h.Set(f.Wire.ExpectedTarget, t.ID)
+		SetHeaders: func(now time.Time, h http.Header) {
+			h.Set(f.Headers.TimeLeft, strconv.FormatInt(max(1, c.deadline.Sub(now).Milliseconds()), 10))
+			h.Set(f.Headers.ExpectedTarget, t.ID)
 		},
 	}
 	if len(c.body) > 0 {
-		req.Body, req.Length = bytes.NewReader(c.body), int64(len(c.body))
+		req.Body, req.ContentLength = bytes.NewReader(c.body), int64(len(c.body))
 	} else if c.method == http.MethodPost || c.method == http.MethodPut {
 		req.Body = bytes.NewReader(nil)
 	}
@@ -130,9 +130,9 @@
 	if err != nil {
 		return nil, f.sendFailed(ctx, c, reservation, err)
 	}
-	a, failed := f.read(ctx, c, reservation, res)
+	a, failed := f.readResponse(ctx, c, reservation, res)
 	if a != nil {
-		f.learn(c.route.Name, time.Since(began))
+		f.recordLatency(c.route.Name, time.Since(began))
 	}
 	return a, failed
 }
@@ -141,10 +141,10 @@
 func (f *Front) sendFailed(ctx context.Context, c *call, reservation *broker.Reservation, err error) *refusal {
 	var pe *pool.Error
 	wrote := !errors.As(err, &pe) || pe.Wrote
-	r := notRun("connectFailed", retryTarget)
+	r := newNotRun("connectFailed", retryAfterFailure)
 	if wrote {
-		r = &refusal{status: http.StatusBadGateway, cause: "answerLost", mayHaveRun: true, arrived: true}
-		c.noteRun(reservation.Target.ID)
+		r = &refusal{status: http.StatusBadGateway, cause: "answerLost", mayHaveRun: true, reachedTarget: true}
+		c.recordRun(reservation.Target.ID)
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -158,7 +158,7 @@
 	default:
 		reservation.Release(schedule.Failed)
 	}
-	r.forOwner = c.sharded && !wrote
+	r.awaitOwner = c.sharded && !wrote
 	f.exclude(c, reservation.Target.ID)
 	f.logAttempt(c, r, err)
 	return r
@@ -171,22 +171,22 @@
 	c.excluded[id] = true
 }
 
-// read takes the answer's body and tells whether it is one to pass on.
-func (f *Front) read(ctx context.Context, c *call, reservation *broker.Reservation, res *http.Response) (*answer, *refusal) {
-	if res.Header.Get(f.Wire.NotRun) != "" || res.StatusCode == http.StatusMisdirectedRequest {
+// readResponse takes the answer's body and tells whether it is one to pass on.
+func (f *Front) readResponse(ctx context.Context, c *call, reservation *broker.Reservation, res *http.Response) (*targetResponse, *refusal) {
+	if res.Header.Get(f.Headers.NotRun) != "" || res.StatusCode == http.StatusMisdirectedRequest {
 		return nil, f.notExecuted(c, reservation, res)
 	}
 	body, err := io.ReadAll(io.LimitReader(res.Body, bufferLimit))
 	if err == nil && int64(len(body)) == bufferLimit {
-		return &answer{response: res, body: body, rest: res.Body, finish: func(whole bool) {
+		return &targetResponse{head: res, body: body, rest: res.Body, finish: func(whole bool) {
 			_ = res.Body.Close()
 			reservation.Release(resultOf(whole))
 		}}, nil
 	}
 	_ = res.Body.Close()
-	c.noteRun(reservation.Target.ID)
+	c.recordRun(reservation.Target.ID)
 	if err != nil {
-		r := &refusal{status: http.StatusBadGateway, cause: "answerCut", mayHaveRun: true, arrived: true}
+		r := &refusal{status: http.StatusBadGateway, cause: "answerCut", mayHaveRun: true, reachedTarget: true}
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			r.status = http.StatusGatewayTimeout
 		}
@@ -195,10 +195,10 @@
 		f.logAttempt(c, r, err)
 		return nil, r
 	}
-	a := &answer{response: res, body: body}
-	refused := f.unusable(res)
-	if refused == nil && f.mayBeReplaced(c, res) {
-		refused = targetFailed(res)
+	a := &targetResponse{head: res, body: body}
+	refused := f.checkResponse(res)
+	if refused == nil && f.mayRetryFailure(c, res) {
+		refused = newTargetFailed(res)
 		c.failure = a
 	}
 	if refused != nil {
@@ -218,32 +218,32 @@
 	return schedule.Failed
 }
 
-// unusable tells of answers that are never passed on: successes without the
+// checkResponse tells of answers that are never passed on: successes without the
 // target's signature, and statuses that promise more than is known.
-func (f *Front) unusable(res *http.Response) *refusal {
-	signed := res.Header.Get(f.Wire.Signature) != ""
+func (f *Front) checkResponse(res *http.Response) *refusal {
+	signed := res.Header.Get(f.Headers.Signature) != ""
 	switch {
 	case !signed && res.StatusCode < http.StatusMultipleChoices:
-		return &refusal{status: http.StatusBadGateway, cause: "unsigned", mayHaveRun: true, arrived: true}
+		return &refusal{status: http.StatusBadGateway, cause: "unsigned", mayHaveRun: true, reachedTarget: true}
 	case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests ||
 		res.StatusCode == http.StatusRequestTimeout:
 		// Only the target's explicit word says that it did not run; without it
 		// this status would promise more than is known.
-		return targetFailed(res)
+		return newTargetFailed(res)
 	}
 	return nil
 }
 
-// mayBeReplaced tells of failures of repeatable requests that another target may
+// mayRetryFailure tells of failures of repeatable requests that another target may
 // answer better.
-func (f *Front) mayBeReplaced(c *call, res *http.Response) bool {
+func (f *Front) mayRetryFailure(c *call, res *http.Response) bool {
 	return res.StatusCode >= http.StatusInternalServerError && c.route.Idempotent && c.runs < c.route.MaxAttempts &&
 		time.Until(c.deadline) > f.latency(c.route.Name)
 }
 
-func targetFailed(res *http.Response) *refusal {
+func newTargetFailed(res *http.Response) *refusal {
 	return &refusal{
-		status: http.StatusBadGateway, cause: "targetFailed", mayHaveRun: true, arrived: true, targetStatus: res.StatusCode,
+		status: http.StatusBadGateway, cause: "targetFailed", mayHaveRun: true, reachedTarget: true, targetStatus: res.StatusCode,
 	}
 }
 
@@ -251,14 +251,14 @@
 func (f *Front) notExecuted(c *call, reservation *broker.Reservation, res *http.Response) *refusal {
 	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, bufferLimit))
 	_ = res.Body.Close()
-	r := notRun("shed", f.latency(c.route.Name))
-	r.arrived = true
+	r := newNotRun("shed", f.latency(c.route.Name))
+	r.reachedTarget = true
 	r.targetStatus = res.StatusCode
 	if res.StatusCode == http.StatusMisdirectedRequest {
 		r.cause = "notOwner"
-		r.forOwner = c.sharded
+		r.awaitOwner = c.sharded
 		result := schedule.Abandoned
-		id := res.Header.Get(f.Wire.AnsweringTarget)
+		id := res.Header.Get(f.Headers.AnsweringTarget)
 		if other := id != "" && id != reservation.Target.ID; other || !c.sharded {
 			// Another one lives at the address. Since it answers at once, the one
 			// meant would look free and draw all requests until its entry goes.
@@ -268,7 +268,7 @@
 		reservation.Release(result)
 	} else {
 		reservation.Release(schedule.Shed)
-		r.forOwner = c.sharded
+		r.awaitOwner = c.sharded
 	}
 	f.exclude(c, reservation.Target.ID)
 	f.logAttempt(c, r, nil)
@@ -276,7 +276,7 @@
 }
 
 func (f *Front) logAttempt(c *call, r *refusal, err error) {
-	event.AttemptFailed.Log(f.Log, "request", c.id, "route", c.route.Name, "target", c.target, "cause", r.cause,
+	event.AttemptFailed.Log(f.Log, "request", c.id, "route", c.route.Name, "target", c.lastTarget, "cause", r.cause,
 		"status", r.targetStatus, "mayHaveRun", r.mayHaveRun, "sends", c.sends, "ageMs", time.Since(c.arrived).Milliseconds(),
 		"leftMs", time.Until(c.deadline).Milliseconds(), "error", err)
 }
--- a/gateway/front/call.go
+++ b/gateway/front/call.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// clientMargin is kept for the answer's way back to the caller, so that it
+	// responseMargin is kept for the answer's way back to the caller, so that it
 	// arrives before the caller stops waiting.
-	clientMargin = 12 * time.Millisecond
-	// defaultWait is for callers that do not say how long they wait.
-	defaultWait = 30 * time.Second
-	// defaultBody bounds bodies where the configuration does not.
-	defaultBody = 64 << 20
+	responseMargin = 12 * time.Millisecond
+	// defaultTimeout is for callers that do not say how long they wait.
+	defaultTimeout = 30 * time.Second
+	// defaultBodyLimit bounds bodies where the configuration does not.
+	defaultBodyLimit = 64 << 20
 )
 
 // call is one caller's request.
@@ -44,38 +44,38 @@
 	// runs counts targets that may have run it, sends all it was sent to.
 	runs  int
 	sends int
-	// ran is the target that may have run it last, and ranAt when that was known.
-	ran        string
-	ranAt      time.Time
-	doubt      bool
-	excluded   map[string]bool
-	newer      <-chan struct{}
-	ownerTries int
-	target     string
-	queued     time.Duration
+	// lastRunTarget is the target that may have run it last, and ranAt when that was known.
+	lastRunTarget     string
+	lastRunAt         time.Time
+	mayHaveRun        bool
+	excluded          map[string]bool
+	assignmentChanged <-chan struct{}
+	ownerAttempts     int
+	lastTarget        string
+	queueTime         time.Duration
 	// failure is a target's own, passed on unless a later attempt is answered.
-	failure *answer
+	failure *targetResponse
 }
 
 // kind numbers the requests of the call's route: their work is alike.
 func (c *call) kind() uint32 { return uint32(xxhash.Sum64String(c.route.Name)) }
 
 const (
-	// startWait is how long after its start an instance lets requests wait for
+	// startupWait is how long after its start an instance lets requests wait for
 	// the configuration and the targets: what instances that start together
 	// refuse until then comes back together.
-	startWait = 900 * time.Millisecond
-	// startPoll is how often they are looked for.
-	startPoll = 10 * time.Millisecond
+	startupWait = 900 * time.Millisecond
+	// startupPollInterval is how often they are looked for.
+	startupPollInterval = 10 * time.Millisecond
 )
 
-// awaitStart waits for the first configuration and the first targets.
-func (f *Front) awaitStart(ctx context.Context) {
-	for until := f.started.Add(startWait); f.Table() == nil || len(f.Roster.Load().Targets) == 0; {
+// awaitStartup waits for the first configuration and the first targets.
+func (f *Front) awaitStartup(ctx context.Context) {
+	for until := f.started.Add(startupWait); f.Table() == nil || len(f.Roster.Load().Targets) == 0; {
 		if time.Now().After(until) {
 			return
 		}
-		timer := time.NewTimer(startPoll)
+		timer := time.NewTimer(startupPollInterval)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -85,15 +85,15 @@
 	}
 }
 
-// accept reads what there is to know of a request before it is sent anywhere.
-func (f *Front) accept(w http.ResponseWriter, r *http.Request) (*call, *refusal) {
+// readCall reads what there is to know of a request before it is sent anywhere.
+func (f *Front) readCall(w http.ResponseWriter, r *http.Request) (*call, *refusal) {
 	c := &call{
-		id: r.Header.Get(f.Wire.RequestID), method: r.Method, uri: r.RequestURI, host: r.Host, arrived: time.Now(),
+		id: r.Header.Get(f.Headers.RequestID), method: r.Method, uri: r.RequestURI, host: r.Host, arrived: time.Now(),
 	}
-	f.awaitStart(r.Context())
+	f.awaitStartup(r.Context())
 	table := f.Table()
 	if table == nil {
-		return c, notRun("noConfig", retryConfig)
+		return c, newNotRun("noConfig", retryAfterNoConfig)
 	}
 	path, _, _ := strings.Cut(c.uri, "?")
 	if !strings.HasPrefix(path, "/") {
@@ -114,19 +114,19 @@
 	c.service = f.splitter.Next(c.route)
 	if s := table.Service(c.service); s != nil && s.Sharded {
 		c.sharded = true
-		key, err := strconv.Atoi(r.Header.Get(f.Wire.ShardKey))
+		key, err := strconv.Atoi(r.Header.Get(f.Headers.ShardKey))
 		if err != nil || key < 0 || key >= ownership.KeyCount {
 			return &refusal{status: http.StatusBadRequest, cause: "badKey", final: true}
 		}
 		c.key = key
 	}
-	wait := defaultWait
-	if text := r.Header.Get(f.Wire.TimeLeft); text != "" {
+	wait := defaultTimeout
+	if text := r.Header.Get(f.Headers.TimeLeft); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 32)
 		if err != nil || ms <= 0 {
 			return &refusal{status: http.StatusBadRequest, cause: "badTimeLeft", final: true}
 		}
-		wait = time.Duration(ms)*time.Millisecond - clientMargin
+		wait = time.Duration(ms)*time.Millisecond - responseMargin
 	}
 	if c.route.Timeout > 0 {
 		wait = min(wait, c.route.Timeout)
@@ -134,7 +134,7 @@
 	c.deadline = c.arrived.Add(wait)
 	c.header = r.Header.Clone()
 	hop.Remove(c.header)
-	for _, name := range []string{"Expect", "Content-Length", f.Wire.TimeLeft, f.Wire.ExpectedTarget} {
+	for _, name := range []string{"Expect", "Content-Length", f.Headers.TimeLeft, f.Headers.ExpectedTarget} {
 		c.header.Del(name)
 	}
 	return nil
@@ -146,7 +146,7 @@
 	}
 	limit := limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultBodyLimit
 	}
 	if r.ContentLength > limit {
 		return &refusal{status: http.StatusRequestEntityTooLarge, cause: "bodyTooLarge", final: true}
@@ -165,7 +165,7 @@
 	if errors.As(err, &tooLarge) {
 		return &refusal{status: http.StatusRequestEntityTooLarge, cause: "bodyTooLarge", final: true}
 	}
-	return &refusal{status: http.StatusRequestTimeout, cause: "bodyNotRead", final: true, close: true}
+	return &refusal{status: http.StatusRequestTimeout, cause: "bodyNotRead", final: true, closeConnection: true}
 }
 
 func headerSize(r *http.Request) int64 {
--- a/gateway/front/failure_test.go
+++ b/gateway/front/failure_test.go
@@ -22,14 +22,14 @@
 
 // Guards against a gateway's own 502 in place of the answer that a target gave,
 // where the request is not sent again after all.
-func TestTargetsFailureIsPassedOn(t *testing.T) {
+func TestTargetFailureIsForwarded(t *testing.T) {
 	for name, targets := range map[string][]string{
 		"no other target":          {"a"},
 		"the others fail as well":  {"a", "b", "c"},
 		"one of them sheds always": {"a", "shed"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newStage(t)
+			b := newFixture(t)
 			b.route(5 * time.Second)
 			for _, id := range targets {
 				if id == "shed" {
@@ -53,8 +53,8 @@
 }
 
 // Guards against a failure that is passed on though another target answers.
-func TestFailureIsReplacedByAnotherTargetsAnswer(t *testing.T) {
-	b := newStage(t)
+func TestFailureIsReplacedByAnotherTargetsResponse(t *testing.T) {
+	b := newFixture(t)
 	b.route(5 * time.Second)
 	b.handler("a", failing("a"))
 	b.handler("b", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/gateway/front/front_test.go
+++ b/gateway/front/front_test.go
@@ -28,8 +28,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// stage is a front with the targets of one service.
-type stage struct {
+// fixture is a front with the targets of one service.
+type fixture struct {
 	t       *testing.T
 	front   *front.Front
 	server  *httptest.Server
@@ -39,22 +39,22 @@
 	sent    int
 }
 
-func newStage(t *testing.T) *stage {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	b := &stage{t: t, roster: &roster.Roster{}}
+	b := &fixture{t: t, roster: &roster.Roster{}}
 	log := slog.New(slog.DiscardHandler)
 	p := &peers.Peers{Self: peers.Instance{Name: "one", Zone: "z"}, Log: log}
 	b.front = front.New(front.Options{
-		Wire: platform.Wire(),
+		Headers: platform.HeaderNames(),
 		Broker: broker.New(broker.Options{
 			Self: p.Self, Peers: p, Dispatcher: &dispatch.Dispatcher{Roster: b.roster}, Roster: b.roster, Log: log,
 		}),
 		Roster: b.roster, Pools: &front.Pools{}, Table: b.table.Load,
-		Owners:  func(string) (*ownership.Assignment, <-chan struct{}) { return nil, nil },
-		Moved:   func(string, int, time.Time) bool { return false },
-		Loads:   &front.Loads{},
-		Retries: func() front.Retries { return front.Retries{Ratio: 0.2, Slack: 60, Members: 1} },
-		Metrics: front.NewMetrics(prometheus.NewRegistry()), Log: log,
+		CurrentAssignment: func(string) (*ownership.Assignment, <-chan struct{}) { return nil, nil },
+		OwnerChangedSince: func(string, int, time.Time) bool { return false },
+		Loads:             &front.Loads{},
+		RetryLimits:       func() front.RetryLimits { return front.RetryLimits{Ratio: 0.2, Slack: 60, Instances: 1} },
+		Metrics:           front.NewMetrics(prometheus.NewRegistry()), Log: log,
 	})
 	b.server = httptest.NewServer(b.front)
 	t.Cleanup(b.server.Close)
@@ -62,7 +62,7 @@
 }
 
 // route puts a route in force: /safe/ is idempotent, /book/ is not.
-func (b *stage) route(timeout time.Duration) {
+func (b *fixture) route(timeout time.Duration) {
 	share := []routing.Share{{Service: "s", Weight: 1}}
 	b.table.Store(routing.New(&routing.Config{
 		Version: 1, Services: []routing.Service{{Name: "s"}}, Limits: routing.Limits{BodyBytes: 1000},
@@ -73,19 +73,19 @@
 	}))
 }
 
-func (b *stage) target(id, address string) {
+func (b *fixture) target(id, address string) {
 	b.targets = append(b.targets, &roster.Target{ID: id, Started: 1, Service: "s", Zone: "z", Slots: 3, Address: address})
 	b.roster.Replace(time.Now(), b.targets, 1)
 }
 
-func (b *stage) handler(id string, h http.Handler) {
+func (b *fixture) handler(id string, h http.Handler) {
 	server := httptest.NewServer(h)
 	b.t.Cleanup(server.Close)
 	b.target(id, strings.TrimPrefix(server.URL, "http://"))
 }
 
 // raw is a target that answers each request with fixed bytes.
-func (b *stage) raw(id string, answer func(request string) string) {
+func (b *fixture) raw(id string, answer func(request string) string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b.t, err)
 	b.t.Cleanup(func() { _ = l.Close() })
@@ -108,7 +108,7 @@
 	b.target(id, l.Addr().String())
 }
 
-func (b *stage) call(ctx context.Context, method, path, body string) (*http.Response, string) {
+func (b *fixture) call(ctx context.Context, method, path, body string) (*http.Response, string) {
 	b.sent++
 	req, err := http.NewRequestWithContext(ctx, method, b.server.URL+path, strings.NewReader(body))
 	assert.NilError(b.t, err)
@@ -135,8 +135,8 @@
 
 // A process that knows no configuration cannot know what has no route: a 404
 // would be believed.
-func TestNoConfigurationIsNotARefusalForGood(t *testing.T) {
-	b := newStage(t)
+func TestMissingConfigurationIsTemporary(t *testing.T) {
+	b := newFixture(t)
 	res, _ := b.call(t.Context(), http.MethodGet, "/safe/x", "")
 	assert.Equal(t, res.StatusCode, http.StatusServiceUnavailable)
 	assert.Assert(t, res.Header.Get("Retry-After") != "")
@@ -145,8 +145,8 @@
 	assert.Equal(t, res.StatusCode, http.StatusNotFound)
 }
 
-func TestAnswerIsPassedOnWhole(t *testing.T) {
-	b := newStage(t)
+func TestResponseIsForwardedUnchanged(t *testing.T) {
+	b := newFixture(t)
 	b.route(5 * time.Second)
 	b.handler("t1", &standin.Target{ID: "t1"})
 	res, body := b.call(t.Context(), http.MethodPost, "/book/a%2Fb/../c?x=1", "hello")
@@ -155,8 +155,8 @@
 	assert.Equal(t, res.Header.Get(platform.Signature), "signed-by-t1")
 }
 
-func TestBodyOverTheLimit(t *testing.T) {
-	b := newStage(t)
+func TestBodyOverLimitIsRefused(t *testing.T) {
+	b := newFixture(t)
 	b.route(time.Second)
 	res, _ := b.call(t.Context(), http.MethodPost, "/book/x", strings.Repeat("x", 1001))
 	assert.Equal(t, res.StatusCode, http.StatusRequestEntityTooLarge)
@@ -164,20 +164,20 @@
 
 // The first target says that it did not run the request; the next one runs it.
 func TestShedRequestGoesToAnotherTarget(t *testing.T) {
-	b := newStage(t)
+	b := newFixture(t)
 	b.route(5 * time.Second)
 	b.handler("a", http.HandlerFunc(shed))
 	next := &standin.Target{ID: "b"}
 	b.handler("b", next)
 	res, _ := b.call(t.Context(), http.MethodPost, "/book/x", "")
 	assert.Equal(t, res.StatusCode, http.StatusOK)
-	assert.Equal(t, next.Ran("id1"), 1)
+	assert.Equal(t, next.RunCount("id1"), 1)
 }
 
 // A target takes a booking and breaks the connection off. It may have run, so
 // nobody else may get it, and no status may promise that it did not run.
-func TestBookingInDoubtIsNotSentAgain(t *testing.T) {
-	b := newStage(t)
+func TestNonIdempotentRequestInDoubtIsNotRetried(t *testing.T) {
+	b := newFixture(t)
 	b.route(5 * time.Second)
 	b.handler("a", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	next := &standin.Target{ID: "b"}
@@ -186,15 +186,15 @@
 		res, _ := b.call(t.Context(), http.MethodPost, "/book/x", "")
 		if res.StatusCode != http.StatusOK {
 			assert.Equal(t, res.StatusCode, http.StatusBadGateway)
-			assert.Equal(t, next.Ran(fmt.Sprintf("id%d", b.sent)), 0)
+			assert.Equal(t, next.RunCount(fmt.Sprintf("id%d", b.sent)), 0)
 			return
 		}
 	}
 	t.Fatal("the broken target was never used")
 }
 
-func TestReadsInDoubtAreSentAgain(t *testing.T) {
-	b := newStage(t)
+func TestIdempotentRequestInDoubtIsRetried(t *testing.T) {
+	b := newFixture(t)
 	b.route(5 * time.Second)
 	b.handler("a", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	b.handler("b", &standin.Target{ID: "b"})
@@ -205,8 +205,8 @@
 }
 
 // A plain 503 does not say that the request was not run. Passed on, it would.
-func TestPlain503IsNoPromise(t *testing.T) {
-	b := newStage(t)
+func TestPlain503IsNotForwarded(t *testing.T) {
+	b := newFixture(t)
 	b.route(5 * time.Second)
 	b.raw("a", func(id string) string {
 		return "HTTP/1.1 503 Service Unavailable\r\n" + platform.RequestID + ": " + id + "\r\nContent-Length: 0\r\n\r\n"
@@ -215,7 +215,7 @@
 	assert.Equal(t, res.StatusCode, http.StatusBadGateway)
 }
 
-func TestUnusableAnswers(t *testing.T) {
+func TestUnusableResponsesBecome502(t *testing.T) {
 	for name, answer := range map[string]string{
 		"unsigned":  "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 2\r\n\r\nok",
 		"cut":       "HTTP/1.1 200 OK\r\n%s: %s\r\n" + platform.Signature + ": s\r\nContent-Length: 20\r\n\r\nok",
@@ -223,7 +223,7 @@
 		"cut chunk": "HTTP/1.1 200 OK\r\n%s: %s\r\n" + platform.Signature + ": s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel",
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newStage(t)
+			b := newFixture(t)
 			b.route(5 * time.Second)
 			b.raw("a", func(id string) string { return fmt.Sprintf(answer, platform.RequestID, id) })
 			res, body := b.call(t.Context(), http.MethodPost, "/book/x", "")
@@ -234,8 +234,8 @@
 
 // A target sends a second answer to an earlier request before this one's. The
 // caller must get its own.
-func TestForeignAnswerIsDropped(t *testing.T) {
-	b := newStage(t)
+func TestResponseToAnotherRequestIsDropped(t *testing.T) {
+	b := newFixture(t)
 	b.route(5 * time.Second)
 	b.raw("a", func(id string) string {
 		one := "HTTP/1.1 200 OK\r\n" + platform.RequestID + ": %s\r\n" + platform.Signature + ": s\r\nContent-Length: 4\r\n\r\n%s"
@@ -246,8 +246,8 @@
 	assert.Equal(t, body, "mine")
 }
 
-func TestTimeoutEndsTheWait(t *testing.T) {
-	b := newStage(t)
+func TestRouteTimeoutCancelsRequest(t *testing.T) {
+	b := newFixture(t)
 	b.route(50 * time.Millisecond)
 	left := make(chan struct{})
 	b.handler("a", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -260,8 +260,8 @@
 }
 
 // The caller goes away. The target must learn of it, or it works for nobody.
-func TestCallersEndReachesTheTarget(t *testing.T) {
-	b := newStage(t)
+func TestCallerDisconnectCancelsRequestAtTarget(t *testing.T) {
+	b := newFixture(t)
 	b.route(time.Minute)
 	arrived, left := make(chan struct{}), make(chan struct{})
 	b.handler("a", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -280,8 +280,8 @@
 
 // The process is about to end while a target still works. The caller gets an
 // answer that promises nothing instead of a closed connection.
-func TestEndAnswersWhatIsOpen(t *testing.T) {
-	b := newStage(t)
+func TestAbortAnswersOpenRequests(t *testing.T) {
+	b := newFixture(t)
 	b.route(time.Minute)
 	arrived := make(chan struct{})
 	b.handler("a", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -291,7 +291,7 @@
 	go func() {
 		<-arrived
 		b.front.Close()
-		b.front.End()
+		b.front.Abort()
 	}()
 	res, _ := b.call(t.Context(), http.MethodPost, "/book/x", "")
 	assert.Equal(t, res.StatusCode, http.StatusBadGateway)
@@ -300,8 +300,8 @@
 
 // An address was given to another target. That one says so and the request has
 // not run.
-func TestAnotherTargetAtTheAddress(t *testing.T) {
-	b := newStage(t)
+func TestAddressReusedByAnotherTarget(t *testing.T) {
+	b := newFixture(t)
 	b.route(5 * time.Second)
 	b.handler("old", &standin.Target{ID: "new"})
 	res, _ := b.call(t.Context(), http.MethodPost, "/book/x", "")
@@ -312,10 +312,10 @@
 // said so yet. It answers at once that the request is not for it, so the dead
 // one looked free and, having been fast, the best: every request went there
 // first, until the retries were used up and callers were refused.
-func TestNewcomerAtAnAddressDoesNotDrawRequests(t *testing.T) {
+func TestReplacedTargetDoesNotAttractRequests(t *testing.T) {
 	for name, id := range map[string]string{"it tells its name": "new", "it does not": ""} {
 		t.Run(name, func(t *testing.T) {
-			b := newStage(t)
+			b := newFixture(t)
 			b.route(5 * time.Second)
 			var dead atomic.Bool
 			arrived := 0
@@ -332,8 +332,8 @@
 				w.WriteHeader(http.StatusMisdirectedRequest)
 			}))
 			slow := func(*http.Request) { time.Sleep(20 * time.Millisecond) }
-			b.handler("b", &standin.Target{ID: "b", Run: slow})
-			b.handler("c", &standin.Target{ID: "c", Run: slow})
+			b.handler("b", &standin.Target{ID: "b", OnRun: slow})
+			b.handler("c", &standin.Target{ID: "c", OnRun: slow})
 			for range 30 {
 				res, _ := b.call(t.Context(), http.MethodGet, "/safe/x", "")
 				assert.Equal(t, res.StatusCode, http.StatusOK)
@@ -351,8 +351,8 @@
 // All instances of a zone have just started, and callers are there at once. The
 // configuration and the targets come a moment later: refused until then, each
 // request would come back half a second later, all together.
-func TestRequestsWaitForTheStart(t *testing.T) {
-	b := newStage(t)
+func TestRequestsWaitForConfigurationAtStartup(t *testing.T) {
+	b := newFixture(t)
 	var group sync.WaitGroup
 	group.Go(func() {
 		time.Sleep(60 * time.Millisecond)
--- a/gateway/front/loads.go
+++ b/gateway/front/loads.go
@@ -10,10 +10,10 @@
 // Loads sums up the work on keys between two reports.
 type Loads struct {
 	mu   sync.Mutex
-	keys map[keyOf]time.Duration
+	keys map[serviceKey]time.Duration
 }
 
-type keyOf struct {
+type serviceKey struct {
 	service string
 	key     int
 }
@@ -23,16 +23,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.keys == nil {
-		l.keys = map[keyOf]time.Duration{}
+		l.keys = map[serviceKey]time.Duration{}
 	}
-	l.keys[keyOf{service, key}] += work
+	l.keys[serviceKey{service, key}] += work
 }
 
-// reportKeys bounds the keys in one report, to fit into a datagram.
-const reportKeys = 24
+// maxKeysPerReport bounds the keys in one report, to fit into a datagram.
+const maxKeysPerReport = 24
 
-// Take returns what was noted since the last call, in reports.
-func (l *Loads) Take() []*peers.Report {
+// TakeReports returns what was noted since the last call, in reports.
+func (l *Loads) TakeReports() []*peers.Report {
 	l.mu.Lock()
 	keys := l.keys
 	l.keys = nil
@@ -40,7 +40,7 @@
 	var reports []*peers.Report
 	for k, work := range keys {
 		n := len(reports)
-		if n == 0 || len(reports[n-1].Loads) == reportKeys {
+		if n == 0 || len(reports[n-1].Loads) == maxKeysPerReport {
 			reports = append(reports, &peers.Report{})
 			n++
 		}
--- a/gateway/front/metrics.go
+++ b/gateway/front/metrics.go
@@ -9,10 +9,10 @@
 
 // Metrics counts requests.
 type Metrics struct {
-	requests *prometheus.CounterVec
-	seconds  *prometheus.HistogramVec
-	queued   *prometheus.HistogramVec
-	repeated *prometheus.CounterVec
+	requests   *prometheus.CounterVec
+	durations  *prometheus.HistogramVec
+	queueTimes *prometheus.HistogramVec
+	retries    *prometheus.CounterVec
 }
 
 // NewMetrics registers the metrics.
@@ -21,35 +21,35 @@
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "basilcross_requests_total", Help: "Requests of callers by service, status and cause.",
 		}, []string{"service", "status", "cause"}),
-		seconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		durations: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "basilcross_request_seconds", Help: "Time from a request's arrival to its answer.",
 			Buckets: prometheus.ExponentialBuckets(0.01, 2, 11),
 		}, []string{"service"}),
 	}
-	m.queued = prometheus.NewHistogramVec(prometheus.HistogramOpts{
+	m.queueTimes = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name: "basilcross_queue_seconds", Help: "Time that a request waited for places at targets, all attempts together.",
 		Buckets: prometheus.ExponentialBuckets(0.001, 3, 9),
 	}, []string{"service"})
-	m.repeated = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.retries = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "basilcross_repetitions_total", Help: "Requests that were sent to a target once more, out of the budget.",
 	}, []string{"service"})
-	r.MustRegister(m.requests, m.seconds, m.queued, m.repeated)
+	r.MustRegister(m.requests, m.durations, m.queueTimes, m.retries)
 	return m
 }
 
 func (m *Metrics) answered(c *call, status int) {
 	m.requests.WithLabelValues(c.service, strconv.Itoa(status), "").Inc()
-	m.seconds.WithLabelValues(c.service).Observe(time.Since(c.arrived).Seconds())
-	m.queued.WithLabelValues(c.service).Observe(c.queued.Seconds())
+	m.durations.WithLabelValues(c.service).Observe(time.Since(c.arrived).Seconds())
+	m.queueTimes.WithLabelValues(c.service).Observe(c.queueTime.Seconds())
 }
 
 func (m *Metrics) refused(c *call, r *refusal, status int) {
 	m.requests.WithLabelValues(c.service, strconv.Itoa(status), r.cause).Inc()
 	if c.service != "" {
-		m.queued.WithLabelValues(c.service).Observe(c.queued.Seconds())
+		m.queueTimes.WithLabelValues(c.service).Observe(c.queueTime.Seconds())
 	}
 }
 
-func (m *Metrics) gone(c *call) {
+func (m *Metrics) callerGone(c *call) {
 	m.requests.WithLabelValues(c.service, "", "callerGone").Inc()
 }
--- a/gateway/front/metrics_test.go
+++ b/gateway/front/metrics_test.go
@@ -14,7 +14,7 @@
 func TestMetricsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/METRICS.md")
 	assert.NilError(t, err)
-	registry := &names{}
+	registry := &metricNames{}
 	front.NewMetrics(registry)
 	assert.Equal(t, len(registry.found), 4)
 	for _, name := range registry.found {
@@ -22,10 +22,10 @@
 	}
 }
 
-// names registers nothing and notes what is registered.
-type names struct{ found []string }
+// metricNames registers nothing and notes what is registered.
+type metricNames struct{ found []string }
 
-func (n *names) Register(c prometheus.Collector) error {
+func (n *metricNames) Register(c prometheus.Collector) error {
 	descriptions := make(chan *prometheus.Desc, 10)
 	c.Describe(descriptions)
 	close(descriptions)
@@ -37,10 +37,10 @@
 	return nil
 }
 
-func (n *names) MustRegister(list ...prometheus.Collector) {
+func (n *metricNames) MustRegister(list ...prometheus.Collector) {
 	for _, c := range list {
 		_ = n.Register(c)
 	}
 }
 
-func (n *names) Unregister(prometheus.Collector) bool { return false }
+func (n *metricNames) Unregister(prometheus.Collector) bool { return false }
--- a/gateway/front/owner_test.go
+++ b/gateway/front/owner_test.go
@@ -19,18 +19,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// keyed is a front with a divided service, whose assignment can be changed.
-type keyed struct {
-	*stage
+// shardedFixture is a front with a divided service, whose assignment can be changed.
+type shardedFixture struct {
+	*fixture
 	mu         sync.Mutex
 	assignment *ownership.Assignment
 	newer      chan struct{}
 }
 
-func newKeyed(t *testing.T) *keyed {
+func newShardedFixture(t *testing.T) *shardedFixture {
 	t.Helper()
-	k := &keyed{stage: newStage(t), newer: make(chan struct{})}
-	k.front.Owners = func(string) (*ownership.Assignment, <-chan struct{}) {
+	k := &shardedFixture{fixture: newFixture(t), newer: make(chan struct{})}
+	k.front.CurrentAssignment = func(string) (*ownership.Assignment, <-chan struct{}) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		return k.assignment, k.newer
@@ -47,7 +47,7 @@
 
 // assign puts an assignment in force, in which the first half of the keys has one
 // owner and the second half another.
-func (k *keyed) assign(first, second string) {
+func (k *shardedFixture) assign(first, second string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	half := ownership.KeyCount / 2
@@ -58,7 +58,7 @@
 	k.newer = make(chan struct{})
 }
 
-func (k *keyed) get(t *testing.T, key int) int {
+func (k *shardedFixture) get(t *testing.T, key int) int {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, k.server.URL+"/keyed/x", http.NoBody)
 	assert.NilError(t, err)
@@ -75,9 +75,9 @@
 // Guards against requests for a key on the move that are sent to its former owner
 // with each change of other keys: their tries use up the fleet's budget, and they
 // are refused though the next owner has the key a moment later.
-func TestRequestWaitsForItsOwnKeysNextOwner(t *testing.T) {
-	k := newKeyed(t)
-	k.front.Retries = func() front.Retries { return front.Retries{Ratio: 0.2, Slack: 4, Members: 1} }
+func TestRequestWaitsForNextOwnerOfItsKey(t *testing.T) {
+	k := newShardedFixture(t)
+	k.front.RetryLimits = func() front.RetryLimits { return front.RetryLimits{Ratio: 0.2, Slack: 4, Instances: 1} }
 	var misdirected, served atomic.Int64
 	k.handler("former", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		misdirected.Add(1)
@@ -108,8 +108,8 @@
 
 // Guards against a request that waits for another owner, though the present one
 // gets its grant a moment after it was told.
-func TestOwnerWhoseGrantIsOnItsWayIsAskedAgain(t *testing.T) {
-	k := newKeyed(t)
+func TestRequestIsRetriedAtOwnerAwaitingItsGrant(t *testing.T) {
+	k := newShardedFixture(t)
 	var asked atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(platform.RequestID, r.Header.Get(platform.RequestID))
@@ -132,8 +132,8 @@
 // Guards against a request that runs a second time at a target which gave its key
 // away and got it back after the first run: the two runs look like one, in the
 // midst of which the key was another target's.
-func TestRequestIsNotRunAgainWhereItsKeyCameBack(t *testing.T) {
-	k := newKeyed(t)
+func TestRequestIsNotRetriedAtOwnerThatRegainedItsKey(t *testing.T) {
+	k := newShardedFixture(t)
 	var runs atomic.Int64
 	k.handler("a", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(platform.RequestID, r.Header.Get(platform.RequestID))
@@ -150,7 +150,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	}))
 	k.assign("a", "a")
-	k.front.Moved = func(string, int, time.Time) bool { return true }
+	k.front.OwnerChangedSince = func(string, int, time.Time) bool { return true }
 	assert.Equal(t, k.get(t, 5), http.StatusInternalServerError, "its target's own failure")
 	assert.Equal(t, runs.Load(), int64(1))
 }
--- a/gateway/front/pools.go
+++ b/gateway/front/pools.go
@@ -7,9 +7,9 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// idlePerTarget is how many idle connections to a target are kept: a few more
+// maxIdlePerTarget is how many idle connections to a target are kept: a few more
 // than its slots.
-const idlePerTarget = 6
+const maxIdlePerTarget = 6
 
 // Pools holds the connections to all targets, by lifetime: another lifetime at
 // the same address is another target.
@@ -20,8 +20,8 @@
 	pools map[roster.Incarnation]*pool.Pool
 }
 
-// To returns the connections to a target.
-func (l *Pools) To(t *roster.Target) *pool.Pool {
+// Get returns the connections to a target.
+func (l *Pools) Get(t *roster.Target) *pool.Pool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pools == nil {
@@ -29,7 +29,7 @@
 	}
 	p := l.pools[t.Incarnation()]
 	if p == nil {
-		p = &pool.Pool{Address: t.Address, Dial: l.Dial, IdleLimit: idlePerTarget}
+		p = &pool.Pool{Address: t.Address, Dial: l.Dial, IdleLimit: maxIdlePerTarget}
 		l.pools[t.Incarnation()] = p
 	}
 	return p
@@ -46,8 +46,8 @@
 	}
 }
 
-// Keep closes the connections to targets that are not in the view.
-func (l *Pools) Keep(v *roster.View) {
+// Prune closes the connections to targets that are not in the view.
+func (l *Pools) Prune(v *roster.View) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for life, p := range l.pools {
--- a/gateway/front/reply.go
+++ b/gateway/front/reply.go
@@ -13,9 +13,9 @@
 
 // The times after which callers are told to come back.
 const (
-	retryConfig = 500 * time.Millisecond
-	retryOwner  = 400 * time.Millisecond
-	retryTarget = 200 * time.Millisecond
+	retryAfterNoConfig = 500 * time.Millisecond
+	retryAfterNoTarget = 400 * time.Millisecond
+	retryAfterFailure  = 200 * time.Millisecond
 )
 
 // refusal is why a request, or an attempt, was not answered.
@@ -24,25 +24,25 @@
 	cause  string
 	// mayHaveRun is set unless it is certain that no target ran it or will.
 	mayHaveRun bool
-	// arrived is set if a target got it.
-	arrived bool
-	// forOwner waits for the key's owner before the next attempt.
-	forOwner   bool
-	final      bool
-	close      bool
-	retryAfter time.Duration
+	// reachedTarget is set if a target got it.
+	reachedTarget bool
+	// awaitOwner waits for the key's owner before the next attempt.
+	awaitOwner      bool
+	final           bool
+	closeConnection bool
+	retryAfter      time.Duration
 	// targetStatus and queued are what the decision was made from.
 	targetStatus int
-	queued       int
+	queueLength  int
 }
 
-// notRun is a refusal that promises that the request did not run.
-func notRun(cause string, retryAfter time.Duration) *refusal {
+// newNotRun is a refusal that promises that the request did not run.
+func newNotRun(cause string, retryAfter time.Duration) *refusal {
 	return &refusal{status: http.StatusServiceUnavailable, cause: cause, retryAfter: retryAfter}
 }
 
-// honest returns the status to answer with: none that promises too much.
-func (r *refusal) honest() int {
+// responseStatus returns the status to answer with: none that promises too much.
+func (r *refusal) responseStatus() int {
 	if !r.mayHaveRun {
 		return r.status
 	}
@@ -53,15 +53,15 @@
 	return r.status
 }
 
-// refuse answers with a status of our own.
-func (f *Front) refuse(w http.ResponseWriter, c *call, r *refusal) {
-	status := r.honest()
+// writeRefusal answers with a status of our own.
+func (f *Front) writeRefusal(w http.ResponseWriter, c *call, r *refusal) {
+	status := r.responseStatus()
 	h := w.Header()
-	if f.closing.Load() || r.close {
+	if f.keepAliveDisabled.Load() || r.closeConnection {
 		h.Set("Connection", "close")
 	}
 	if c.id != "" {
-		h.Set(f.Wire.RequestID, c.id)
+		h.Set(f.Headers.RequestID, c.id)
 	}
 	if status == http.StatusServiceUnavailable {
 		h.Set("Retry-After", strconv.FormatFloat(max(0.05, r.retryAfter.Seconds()), 'f', 2, 64))
@@ -83,19 +83,19 @@
 		left = time.Until(c.deadline).Milliseconds()
 	}
 	event.RequestRefused.Log(f.Log, "request", c.id, "route", route, "service", c.service, "key", c.key, "outcome", outcome,
-		"cause", r.cause, "mayHaveRun", r.mayHaveRun, "sends", c.sends, "target", c.target, "queued", r.queued,
-		"waitedMs", c.queued.Milliseconds(), "ageMs", time.Since(c.arrived).Milliseconds(), "leftMs", left,
+		"cause", r.cause, "mayHaveRun", r.mayHaveRun, "sends", c.sends, "target", c.lastTarget, "queued", r.queueLength,
+		"waitedMs", c.queueTime.Milliseconds(), "ageMs", time.Since(c.arrived).Milliseconds(), "leftMs", left,
 		"retryAfterMs", r.retryAfter.Milliseconds())
 }
 
-// pass gives the target's answer to the caller.
-func (f *Front) pass(w http.ResponseWriter, c *call, a *answer) {
+// writeResponse gives the target's answer to the caller.
+func (f *Front) writeResponse(w http.ResponseWriter, c *call, a *targetResponse) {
 	h := w.Header()
-	for name, values := range a.response.Header {
+	for name, values := range a.head.Header {
 		h[name] = values
 	}
 	hop.Remove(h)
-	if f.closing.Load() {
+	if f.keepAliveDisabled.Load() {
 		h.Set("Connection", "close")
 	}
 	if len(h["Content-Type"]) == 0 {
@@ -103,26 +103,26 @@
 		h["Content-Type"] = nil
 	}
 	if a.rest == nil {
-		if c.method != http.MethodHead && a.response.StatusCode != http.StatusNoContent && a.response.StatusCode != http.StatusNotModified {
+		if c.method != http.MethodHead && a.head.StatusCode != http.StatusNoContent && a.head.StatusCode != http.StatusNotModified {
 			h.Set("Content-Length", strconv.Itoa(len(a.body)))
 		}
-		w.WriteHeader(a.response.StatusCode)
+		w.WriteHeader(a.head.StatusCode)
 		_, _ = w.Write(a.body)
 	} else {
 		f.stream(w, c, a)
 	}
-	f.Metrics.answered(c, a.response.StatusCode)
-	event.RequestAnswered.Log(f.Log, "request", c.id, "route", c.route.Name, "service", c.service, "key", c.key, "target", c.target,
-		"status", a.response.StatusCode, "sends", c.sends, "waitedMs", c.queued.Milliseconds(), "tookMs", time.Since(c.arrived).Milliseconds())
+	f.Metrics.answered(c, a.head.StatusCode)
+	event.RequestAnswered.Log(f.Log, "request", c.id, "route", c.route.Name, "service", c.service, "key", c.key, "target", c.lastTarget,
+		"status", a.head.StatusCode, "sends", c.sends, "waitedMs", c.queueTime.Milliseconds(), "tookMs", time.Since(c.arrived).Milliseconds())
 }
 
 // stream passes on a long answer. If it is cut short, the caller's connection
 // is broken off: ended properly, the part would look whole.
-func (f *Front) stream(w http.ResponseWriter, c *call, a *answer) {
-	if n := a.response.ContentLength; n >= 0 {
+func (f *Front) stream(w http.ResponseWriter, c *call, a *targetResponse) {
+	if n := a.head.ContentLength; n >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
 	}
-	w.WriteHeader(a.response.StatusCode)
+	w.WriteHeader(a.head.StatusCode)
 	_, err := w.Write(a.body)
 	if err == nil {
 		_, err = io.Copy(w, a.rest)
@@ -131,6 +131,6 @@
 	if err == nil || errors.Is(err, io.EOF) {
 		return
 	}
-	event.AnswerCut.Log(f.Log, "request", c.id, "target", c.target, "error", err)
+	event.AnswerCut.Log(f.Log, "request", c.id, "target", c.lastTarget, "error", err)
 	panic(http.ErrAbortHandler)
 }
--- a/gateway/instance/forward.go
+++ b/gateway/instance/forward.go
@@ -21,23 +21,23 @@
 	}
 	parts := splitUpdate(table, s.recent.withPrevious(table, u))
 	if parts == nil {
-		parts = []*peers.Rows{{Table: table, From: u.From, To: u.To, Newest: u.NewestChange, Fetch: true}}
+		parts = []*peers.TableUpdate{{Table: table, From: u.From, To: u.To, NewestChange: u.NewestChange, Fetch: true}}
 	}
 	for _, part := range parts {
-		s.sendToZone(&peers.Message{Rows: part})
+		s.sendToZone(&peers.Message{TableUpdate: part})
 	}
 }
 
 // splitUpdate splits changes into parts that fit into a datagram each. It returns
 // nil if a single row does not fit.
-func splitUpdate(table string, u mirror.ForwardedUpdate) []*peers.Rows {
-	var parts []*peers.Rows
-	part := &peers.Rows{Table: table, From: u.From}
+func splitUpdate(table string, u mirror.ForwardedUpdate) []*peers.TableUpdate {
+	var parts []*peers.TableUpdate
+	part := &peers.TableUpdate{Table: table, From: u.From}
 	size := 0
 	flush := func(to, newest uint64) {
-		part.To, part.Newest = to, newest
+		part.To, part.NewestChange = to, newest
 		parts = append(parts, part)
-		part = &peers.Rows{Table: table, From: to}
+		part = &peers.TableUpdate{Table: table, From: to}
 		size = 0
 	}
 	for i, r := range u.Rows {
@@ -49,7 +49,7 @@
 		if size > 0 && size+n > maxUpdateBytes && r.Revision != u.Rows[i-1].Revision {
 			flush(u.Rows[i-1].Revision, u.Rows[i-1].Revision)
 		}
-		part.Rows = append(part.Rows, peers.Row{Key: r.Key, Value: r.Value, Revision: r.Revision, Removed: r.Removed})
+		part.Changes = append(part.Changes, peers.RowChange{Key: r.Key, Value: r.Value, Revision: r.Revision, Removed: r.Removed})
 		size += n
 	}
 	flush(u.To, u.NewestChange)
@@ -96,13 +96,13 @@
 }
 
 // receiveTableUpdate applies changes that another instance forwarded.
-func (s *replicator) receiveTableUpdate(from string, r *peers.Rows) {
+func (s *replicator) receiveTableUpdate(from string, r *peers.TableUpdate) {
 	if r.Fetch {
 		s.requestIfBehind(from, r)
 		return
 	}
-	update := mirror.ForwardedUpdate{From: r.From, To: r.To, NewestChange: r.Newest}
-	for _, row := range r.Rows {
+	update := mirror.ForwardedUpdate{From: r.From, To: r.To, NewestChange: r.NewestChange}
+	for _, row := range r.Changes {
 		update.Rows = append(update.Rows, platform.Row{
 			Table: r.Table, Key: row.Key, Value: row.Value, Revision: row.Revision, Removed: row.Removed,
 		})
@@ -119,7 +119,7 @@
 
 // requestIfBehind requests a feed reader's copy of a table whose rows it did not
 // send, if this instance is passive and its mirror is behind.
-func (s *replicator) requestIfBehind(from string, r *peers.Rows) {
+func (s *replicator) requestIfBehind(from string, r *peers.TableUpdate) {
 	if !s.passive.Load() {
 		return
 	}
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -127,16 +127,16 @@
 	i.peerClient = newHTTPClient(&egress.Dialer{Timeout: storeDialTimeout, UserTimeout: storeUserTimeout, KeepAliveInterval: keepAliveInterval})
 	targetDialer := &egress.Dialer{Timeout: targetDialTimeout, UserTimeout: targetUserTimeout, KeepAliveInterval: keepAliveInterval, ResetOnClose: true}
 	i.peers = &peers.Peers{Log: log, Receive: i.receive, Self: peers.Instance{
-		Name: s.Instance, Life: rand.Text()[:incarnationLength], Zone: s.Zone, Datagram: s.DatagramListen, Control: s.ControlListen,
+		Name: s.Instance, Incarnation: rand.Text()[:incarnationLength], Zone: s.Zone, Datagram: s.DatagramListen, Control: s.ControlListen,
 		Cores: s.Cores,
 	}}
 	i.buildMirrors()
 	i.coordinator = coordinator.New(coordinator.Options{
 		Self: i.peers.Self, Store: i.store,
-		Channels: &channel.Set{Dial: targetDialer.DialContext}, Releases: &platform.Grants{HTTP: newHTTPClient(targetDialer)},
-		Refresh: i.replicator.restartFeeds,
-		Joined:  i.replicator.joined.Load,
-		Leads:   i.recordLeading, Took: i.applyAssignmentUpdate, Missed: i.assignments.Refresh,
+		Channels: &channel.Set{Dial: targetDialer.DialContext}, Releases: &platform.GrantClient{HTTP: newHTTPClient(targetDialer)},
+		RestartFeeds: i.replicator.restartFeeds,
+		Joined:       i.replicator.joined.Load,
+		OnLeading:    i.recordLeading, OnUpdate: i.applyAssignmentUpdate, OnOversizedUpdate: i.assignments.Refresh,
 		Peers: i.peers, Roster: i.state.roster, Table: i.state.routes.Load, Revisions: i.revisions, Log: log,
 		Holds: ownership.Holds{Normal: min(normalHold, s.LongestHold), Long: min(longHold, s.LongestHold-longHoldMargin), RenewInterval: renewalInterval, AddressReuse: s.AddressReuse},
 	})
@@ -146,11 +146,11 @@
 	})
 	i.pools = &front.Pools{Dial: targetDialer.DialContext}
 	i.front = front.New(front.Options{
-		Wire: platform.Wire(), Broker: i.broker, Roster: i.state.roster, Pools: i.pools, Table: i.state.routes.Load,
-		Owners: i.state.currentAssignment, Moved: i.state.ownerChangedSince, Loads: i.loads, Metrics: front.NewMetrics(i.registry), Log: log,
-		Retries: func() front.Retries {
+		Headers: platform.HeaderNames(), Broker: i.broker, Roster: i.state.roster, Pools: i.pools, Table: i.state.routes.Load,
+		CurrentAssignment: i.state.currentAssignment, OwnerChangedSince: i.state.ownerChangedSince, Loads: i.loads, Metrics: front.NewMetrics(i.registry), Log: log,
+		RetryLimits: func() front.RetryLimits {
 			now := i.liveSettings.Load()
-			return front.Retries{Ratio: now.RetryRatio, Slack: now.RetrySlack, Members: i.countMembers()}
+			return front.RetryLimits{Ratio: now.RetryRatio, Slack: now.RetrySlack, Instances: i.countMembers()}
 		},
 	})
 	i.registerMetrics(i.registry)
@@ -202,7 +202,7 @@
 	})
 	i.assignments.AwaitPeerCopy(maxFirstCopyDelay)
 	i.instances = add(&mirror.Mirror{Table: coordinator.InstanceTable, OnDemand: true, OnUpdate: func(u mirror.Update) {
-		i.peers.Know(i.state.applyInstances(u))
+		i.peers.SetInstances(i.state.applyInstances(u))
 	}})
 	if i.settings.Bootstrap {
 		i.instances.InitialWait = registerTimeout
@@ -268,7 +268,7 @@
 			return err
 		})
 	}
-	event.Started.Log(i.log, "life", i.peers.Self.Life, "callers", i.settings.CallersListen, "zone", i.settings.Zone,
+	event.Started.Log(i.log, "life", i.peers.Self.Incarnation, "callers", i.settings.CallersListen, "zone", i.settings.Zone,
 		"store", i.settings.Store, "seeds", i.settings.Seeds)
 	select {
 	case <-ctx.Done():
@@ -325,14 +325,14 @@
 	began := time.Now()
 	i.shuttingDown.Store(true)
 	i.front.Close()
-	i.peers.Broadcast(&peers.Message{Bye: true})
+	i.peers.Broadcast(&peers.Message{Leaving: true})
 	resignCtx, done := context.WithTimeout(ctx, resignTimeout)
 	i.coordinator.Resign(resignCtx)
 	done()
 	timer := time.NewTimer(outOfRotationDelay - time.Since(began))
 	defer timer.Stop()
 	<-timer.C
-	abandon := time.AfterFunc(i.settings.StopTimeout-abandonMargin-time.Since(began), i.front.End)
+	abandon := time.AfterFunc(i.settings.StopTimeout-abandonMargin-time.Since(began), i.front.Abort)
 	defer abandon.Stop()
 	var group errgroup.Group
 	for _, s := range servers {
