--- a/gateway/instance/instance_test.go
+++ b/gateway/instance/instance_test.go
@@ -302,11 +302,11 @@
 	eventually(t, func() bool {
 		return json.Unmarshal(f.store.Row(coordinator.InstanceTable, "one").Value, &i) == nil
 	})
-	f.store.Refuse(http.StatusServiceUnavailable)
+	f.store.SetRefusal(http.StatusServiceUnavailable)
 	two := f.start("two", i.Control)
 	two.awaitReady(t)
 	f.awaitAnswer(two, "/menus/x", 0, "m1")
-	f.store.Refuse(0)
+	f.store.SetRefusal(0)
 }
 
 // Guards against a shutdown that cuts off requests in flight.
@@ -314,7 +314,7 @@
 	t.Parallel()
 	f := newFleet(t)
 	f.startTarget("m1", "menus", false)
-	f.targets["m1"].Run = func(*http.Request) { time.Sleep(300 * time.Millisecond) }
+	f.targets["m1"].OnRun = func(*http.Request) { time.Sleep(300 * time.Millisecond) }
 	one := f.start("one")
 	one.awaitReady(t)
 	f.awaitAnswer(one, "/menus/x", 0, "m1")
@@ -325,7 +325,7 @@
 			got <- status
 		}()
 	}
-	eventually(t, func() bool { return f.store.Calls() > 0 })
+	eventually(t, func() bool { return f.store.CallCount() > 0 })
 	assert.NilError(t, one.stop())
 	for range 3 {
 		assert.Equal(t, <-got, http.StatusOK)
--- a/gateway/instance/members_test.go
+++ b/gateway/instance/members_test.go
@@ -17,7 +17,7 @@
 func TestNewCoordinatorDoesNotRaiseRetryShare(t *testing.T) {
 	sink := logsink.New(io.Discard)
 	i := New(Defaults(), slog.New(slog.NewJSONHandler(sink, nil)), sink)
-	i.peers.Know(map[string]peers.Instance{"a": {Name: "a"}, "b": {Name: "b"}, "c": {Name: "c"}})
+	i.peers.SetInstances(map[string]peers.Instance{"a": {Name: "a"}, "b": {Name: "b"}, "c": {Name: "c"}})
 	i.recordCoordinator("a", 1)
 	assert.Equal(t, i.countMembers(), 3)
 	i.recordCoordinator("a", 5)
--- a/gateway/instance/metrics.go
+++ b/gateway/instance/metrics.go
@@ -52,9 +52,9 @@
 		Name: "basilcross_store_calls_total", Help: "Calls to the platform's store by kind, table and outcome.",
 	}, []string{"call", "table", "outcome"})
 	r.MustRegister(calls)
-	i.store.Called = func(c platform.Call) {
+	i.store.OnCall = func(c platform.Call) {
 		calls.WithLabelValues(c.Kind, c.Table, c.Outcome).Inc()
-		event.StoreCalled.Log(i.log, "call", c.Kind, "table", c.Table, "outcome", c.Outcome, "tookMs", c.Took.Milliseconds())
+		event.StoreCalled.Log(i.log, "call", c.Kind, "table", c.Table, "outcome", c.Outcome, "tookMs", c.Duration.Milliseconds())
 	}
 	r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "basilcross_log_bytes_total", Help: "Bytes of log lines written.",
--- a/gateway/instance/reader_test.go
+++ b/gateway/instance/reader_test.go
@@ -53,15 +53,15 @@
 	one.awaitReady(t)
 	f.awaitAnswer(one, "/lists/x", 5, "l1")
 	eventually(t, func() bool { return f.store.Row(coordinator.InstanceTable, "one").Revision > 0 })
-	configReads, targetReads := f.store.Reads(platform.OperatorTable), f.store.Reads(platform.TargetTable)
+	configReads, targetReads := f.store.RangeCount(platform.OperatorTable), f.store.RangeCount(platform.TargetTable)
 	for _, name := range []string{"two", "three", "four"} {
 		r, _ := f.startBehindGate(name, 0.1)
 		r.awaitReady(t)
 		f.awaitAnswer(r, "/menus/x", 0, "m1")
 		f.awaitAnswer(r, "/lists/x", 5, "l1")
 	}
-	assert.Equal(t, f.store.Reads(platform.OperatorTable), configReads)
-	assert.Equal(t, f.store.Reads(platform.TargetTable), targetReads)
+	assert.Equal(t, f.store.RangeCount(platform.OperatorTable), configReads)
+	assert.Equal(t, f.store.RangeCount(platform.TargetTable), targetReads)
 }
 
 // Guards against a zone that does not receive a configuration because the store no
--- a/gateway/instance/replicator.go
+++ b/gateway/instance/replicator.go
@@ -115,7 +115,7 @@
 		// Without revisions it withdraws this reader, so that passive instances need
 		// not wait for the timeout.
 		s.nextHeartbeat = time.Time{}
-		s.sendToZone(&peers.Message{Reader: &peers.Reader{}})
+		s.sendToZone(&peers.Message{ReaderHeartbeat: &peers.ReaderHeartbeat{}})
 	}
 }
 
@@ -269,12 +269,12 @@
 }
 
 func (s *replicator) sendHeartbeat() {
-	r := &peers.Reader{Reached: map[string]uint64{}, Targets: s.state.roster.Load().Digest}
+	r := &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}, TargetsDigest: s.state.roster.Load().Digest}
 	for _, m := range s.polledMirrors {
-		r.Reached[m.Table] = m.Revision()
+		r.MirrorRevisions[m.Table] = m.Revision()
 	}
-	r.Reached[s.assignments.Table] = s.assignments.NewestChange()
-	s.sendToZone(&peers.Message{Reader: r})
+	r.MirrorRevisions[s.assignments.Table] = s.assignments.NewestChange()
+	s.sendToZone(&peers.Message{ReaderHeartbeat: r})
 }
 
 func (s *replicator) sendToZone(m *peers.Message) {
@@ -351,10 +351,10 @@
 // the message was one.
 func (s *replicator) handleMessage(m *peers.Message) bool {
 	switch {
-	case m.Reader != nil:
-		s.receiveReaderHeartbeat(m.From, m.Reader)
-	case m.Rows != nil:
-		s.receiveTableUpdate(m.From, m.Rows)
+	case m.ReaderHeartbeat != nil:
+		s.receiveReaderHeartbeat(m.From, m.ReaderHeartbeat)
+	case m.TableUpdate != nil:
+		s.receiveTableUpdate(m.From, m.TableUpdate)
 	default:
 		return false
 	}
@@ -363,15 +363,15 @@
 
 // receiveReaderHeartbeat records a feed reader's heartbeat. One without revisions
 // withdraws the reader.
-func (s *replicator) receiveReaderHeartbeat(from string, r *peers.Reader) {
+func (s *replicator) receiveReaderHeartbeat(from string, r *peers.ReaderHeartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r.Reached == nil {
+	if r.MirrorRevisions == nil {
 		delete(s.lastSeen, from)
 		return
 	}
 	s.lastSeen[from] = time.Now()
-	s.readerRevisions[from] = r.Reached
+	s.readerRevisions[from] = r.MirrorRevisions
 	s.compareDigest(r)
 }
 
@@ -383,10 +383,10 @@
 // readers. A reader forwards what is a change to itself, and its feed reports only
 // the last of several changes to a row. A target that left and came back between two
 // answers is no change to one reader, while the other may have forwarded its removal.
-func (s *replicator) compareDigest(r *peers.Reader) {
-	equal := r.Targets == 0 || r.Targets == s.state.roster.Load().Digest
+func (s *replicator) compareDigest(r *peers.ReaderHeartbeat) {
+	equal := r.TargetsDigest == 0 || r.TargetsDigest == s.state.roster.Load().Digest
 	for _, m := range s.polledMirrors {
-		equal = equal || m.Table == platform.TargetTable && m.Revision() < r.Reached[m.Table]
+		equal = equal || m.Table == platform.TargetTable && m.Revision() < r.MirrorRevisions[m.Table]
 	}
 	if equal || !s.passive.Load() {
 		s.digestMismatches = 0
--- a/gateway/instance/replicator_test.go
+++ b/gateway/instance/replicator_test.go
@@ -46,9 +46,9 @@
 	s := i.replicator
 	s.passive.Store(true)
 	now := time.Now()
-	assert.Assert(t, s.handleMessage(&peers.Message{From: "a", Reader: &peers.Reader{Reached: map[string]uint64{}}}))
+	assert.Assert(t, s.handleMessage(&peers.Message{From: "a", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}}}))
 	assert.Assert(t, s.shouldBePassive(now))
-	assert.Assert(t, s.handleMessage(&peers.Message{From: "a", Reader: &peers.Reader{}}))
+	assert.Assert(t, s.handleMessage(&peers.Message{From: "a", ReaderHeartbeat: &peers.ReaderHeartbeat{}}))
 	assert.Assert(t, !s.shouldBePassive(now))
 }
 
@@ -59,7 +59,7 @@
 	s := i.replicator
 	s.passive.Store(true)
 	handle := func(m *peers.Message) { assert.Assert(t, s.handleMessage(m)) }
-	handle(&peers.Message{From: "a", Reader: &peers.Reader{Reached: map[string]uint64{}}})
+	handle(&peers.Message{From: "a", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}}})
 	now := time.Now()
 	assert.Assert(t, s.shouldBePassive(now))
 	i.recordCoordinator(i.settings.Instance, 3)
@@ -73,13 +73,13 @@
 	for _, name := range []string{"d", "e", "f"} {
 		zone[name] = peers.Instance{Name: name, Zone: i.settings.Zone, Cores: 1, Datagram: "127.0.0.1:9"}
 	}
-	i.peers.Know(zone)
+	i.peers.SetInstances(zone)
 	s.noReaderSince = time.Time{}
 	expire()
 	assert.Assert(t, s.shouldBePassive(now), "three rank before it")
 	assert.Assert(t, s.shouldBePassive(now.Add(3*takeoverDelayStep-1)))
 	assert.Assert(t, !s.shouldBePassive(now.Add(3*takeoverDelayStep)))
-	handle(&peers.Message{From: "d", Reader: &peers.Reader{Reached: map[string]uint64{}}})
+	handle(&peers.Message{From: "d", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}}})
 	assert.Assert(t, s.shouldBePassive(now.Add(3*takeoverDelayStep)), "another one reads")
 }
 
@@ -94,7 +94,7 @@
 	assert.Assert(t, s.feedsHealthy())
 	i.recordCoordinator("c", 3)
 	assert.Assert(t, !s.shouldBePassive(time.Now()), "there is no reader")
-	assert.Assert(t, s.handleMessage(&peers.Message{From: "c", Reader: &peers.Reader{Reached: map[string]uint64{}}}))
+	assert.Assert(t, s.handleMessage(&peers.Message{From: "c", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}}}))
 	assert.Assert(t, s.shouldBePassive(time.Now()))
 }
 
@@ -175,14 +175,14 @@
 	digest := i.state.roster.Load().Digest
 	i.replicator.setPassive(true)
 	reached := targets.Revision()
-	assert.Assert(t, i.replicator.handleMessage(&peers.Message{Rows: &peers.Rows{
-		Table: platform.TargetTable, From: reached, To: reached + 1, Newest: reached + 1,
-		Rows: []peers.Row{{Key: "a", Revision: reached + 1, Removed: true}},
+	assert.Assert(t, i.replicator.handleMessage(&peers.Message{TableUpdate: &peers.TableUpdate{
+		Table: platform.TargetTable, From: reached, To: reached + 1, NewestChange: reached + 1,
+		Changes: []peers.RowChange{{Key: "a", Revision: reached + 1, Removed: true}},
 	}}))
 	poll.WaitOn(t, hasTargets(0))
 	for range maxDigestMismatches {
-		heartbeat := &peers.Reader{Targets: digest, Reached: map[string]uint64{platform.TargetTable: reached + 1}}
-		assert.Assert(t, i.replicator.handleMessage(&peers.Message{From: "r", Reader: heartbeat}))
+		heartbeat := &peers.ReaderHeartbeat{TargetsDigest: digest, MirrorRevisions: map[string]uint64{platform.TargetTable: reached + 1}}
+		assert.Assert(t, i.replicator.handleMessage(&peers.Message{From: "r", ReaderHeartbeat: heartbeat}))
 	}
 	fake.Put("other", "x", nil)
 	fake.Put("other", "y", nil)
@@ -197,7 +197,7 @@
 	assert.Assert(t, splitUpdate("op", large) == nil)
 	i := testInstance()
 	s := i.replicator
-	notice := &peers.Message{From: "reader", Rows: &peers.Rows{Table: platform.OperatorTable, From: 3, To: 5, Fetch: true}}
+	notice := &peers.Message{From: "reader", TableUpdate: &peers.TableUpdate{Table: platform.OperatorTable, From: 3, To: 5, Fetch: true}}
 	assert.Assert(t, s.handleMessage(notice))
 	assert.Equal(t, len(s.copyRequests), 0, "it polls the feed itself")
 	s.setPassive(true)
@@ -211,7 +211,7 @@
 	i := testInstance()
 	s := i.replicator
 	s.setPassive(true)
-	s.handleMessage(&peers.Message{From: "reader", Reader: &peers.Reader{Reached: map[string]uint64{platform.TargetTable: 7}}})
+	s.handleMessage(&peers.Message{From: "reader", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{platform.TargetTable: 7}}})
 	now := time.Now()
 	s.checkGaps(now)
 	assert.Equal(t, len(s.copyRequests), 0, "its rows may be in transit")
@@ -240,9 +240,9 @@
 func TestCoordinatorInDoubtConfirmsNothing(t *testing.T) {
 	i := testInstance()
 	s := i.replicator
-	i.receive(&peers.Message{From: "c", Beat: &peers.Beat{Term: 1, Lease: 7, LeaseMs: 2000, Members: 3}})
+	i.receive(&peers.Message{From: "c", Heartbeat: &peers.Heartbeat{Term: 1, LeaseRevision: 7, LeaseMs: 2000, Members: 3}})
 	assert.Assert(t, s.isFresh(time.Now()))
-	i.receive(&peers.Message{From: "c", Beat: &peers.Beat{Term: 1, Lease: 7, LeaseMs: 2000, Members: 3, InDoubt: true}})
+	i.receive(&peers.Message{From: "c", Heartbeat: &peers.Heartbeat{Term: 1, LeaseRevision: 7, LeaseMs: 2000, Members: 3, InDoubt: true}})
 	assert.Assert(t, !s.isFresh(time.Now()))
 }
 
@@ -254,7 +254,7 @@
 	i.recordCoordinator("c", 3)
 	assert.Assert(t, !s.feedsHealthy(), "nothing has been read")
 	assert.Assert(t, !s.shouldBePassive(time.Now()), "there is no reader")
-	s.handleMessage(&peers.Message{From: "reader", Reader: &peers.Reader{Reached: map[string]uint64{}}})
+	s.handleMessage(&peers.Message{From: "reader", ReaderHeartbeat: &peers.ReaderHeartbeat{MirrorRevisions: map[string]uint64{}}})
 	assert.Assert(t, s.shouldBePassive(time.Now()))
 }
 
@@ -272,7 +272,7 @@
 		{"f", "far", ""}, {"n", "near", "10.0.0.3:1"}, {"z", "local", "10.0.0.4:1"},
 	} {
 		known[step.name] = peers.Instance{Name: step.name, Zone: step.zone, Control: step.want, Datagram: "127.0.0.1:9"}
-		i.peers.Know(known)
+		i.peers.SetInstances(known)
 		if step.want != "" {
 			assert.Equal(t, c.choosePeer(), step.want)
 		}
--- a/gateway/instance/state.go
+++ b/gateway/instance/state.go
@@ -31,7 +31,7 @@
 	instances   map[string]peers.Instance
 	// updateParts are the parts received so far, by number, of the assignment update
 	// that was recorded at updatePartsRevision.
-	updateParts         map[int]*peers.News
+	updateParts         map[int]*peers.AssignmentUpdate
 	updatePartsRevision uint64
 }
 
@@ -239,7 +239,7 @@
 // withUpdate returns the assignment that results from an update; nil if the update's
 // base is not the assignment in force. Handled is set if there is nothing more to
 // do: the update is in force already, or parts of it are still missing.
-func (s *state) withUpdate(u *peers.News) (next *ownership.Assignment, handled bool) {
+func (s *state) withUpdate(u *peers.AssignmentUpdate) (next *ownership.Assignment, handled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.assignments[u.Service]
@@ -262,9 +262,9 @@
 
 // collectParts keeps the parts of an update until all have arrived, and then returns
 // the complete update; nil before.
-func (s *state) collectParts(u *peers.News) *peers.News {
+func (s *state) collectParts(u *peers.AssignmentUpdate) *peers.AssignmentUpdate {
 	if s.updateParts == nil || s.updatePartsRevision != u.Revision {
-		s.updateParts, s.updatePartsRevision = map[int]*peers.News{}, u.Revision
+		s.updateParts, s.updatePartsRevision = map[int]*peers.AssignmentUpdate{}, u.Revision
 	}
 	s.updateParts[u.Part] = u
 	if len(s.updateParts) < u.Parts {
--- a/gateway/instance/state_test.go
+++ b/gateway/instance/state_test.go
@@ -37,7 +37,7 @@
 func TestStateIncludesAppliedUpdates(t *testing.T) {
 	i := testInstance()
 	injectAssignment(t, i, evenAssignment(4), 10)
-	i.applyAssignmentUpdate(&peers.News{Service: "s", Term: 2, Base: 10, Revision: 12, Parts: 1, Pieces: []ownership.Piece{{First: 0, Last: 5, Owner: "x"}}})
+	i.applyAssignmentUpdate(&peers.AssignmentUpdate{Service: "s", Term: 2, Base: 10, Revision: 12, Parts: 1, Pieces: []ownership.Piece{{First: 0, Last: 5, Owner: "x"}}})
 	response, err := i.State(t.Context(), &fleet.StateRequest{Tables: []string{coordinator.AssignmentTable}})
 	assert.NilError(t, err)
 	row := response.Tables[0].Rows[0]
@@ -57,7 +57,7 @@
 	start := time.Now()
 	owner := i.state.assignments["s"].assignment.Find(7).Owner
 	for n, next := range []string{"x", owner} {
-		i.applyAssignmentUpdate(&peers.News{
+		i.applyAssignmentUpdate(&peers.AssignmentUpdate{
 			Service: "s", Term: 2, Base: uint64(10 + n), Revision: uint64(11 + n), Parts: 1,
 			Pieces: []ownership.Piece{{First: 5, Last: 9, Owner: next}},
 		})
@@ -79,7 +79,7 @@
 			injectAssignment(b, i, a, 1)
 			revision := uint64(1)
 			for b.Loop() {
-				i.applyAssignmentUpdate(&peers.News{Service: "s", Term: 1, Base: revision, Revision: revision + 1, Parts: 1, Pieces: a.Pieces[:36]})
+				i.applyAssignmentUpdate(&peers.AssignmentUpdate{Service: "s", Term: 1, Base: revision, Revision: revision + 1, Parts: 1, Pieces: a.Pieces[:36]})
 				revision++
 			}
 		})
--- a/gateway/instance/tasks.go
+++ b/gateway/instance/tasks.go
@@ -106,17 +106,17 @@
 	rounds := 0
 	for ctx.Err() == nil {
 		sleep(ctx, reportInterval)
-		reports := r.loads.Take()
+		reports := r.loads.TakeReports()
 		if len(reports) == 0 {
 			reports = []*peers.Report{{}}
 		}
 		if rounds++; rounds%latencyReportEvery == 0 {
-			reports[0].Speeds = r.targetLatencies()
+			reports[0].Latencies = r.targetLatencies()
 		}
 		name := r.coordinatorName.Load()
 		for _, report := range reports {
 			if name == nil || *name == r.settings.Instance {
-				r.coordinator.TakeLoads(report)
+				r.coordinator.ApplyReport(report)
 				continue
 			}
 			r.peers.Send(*name, &peers.Message{Report: report})
@@ -134,17 +134,17 @@
 
 // targetLatencies returns the latencies of a random selection of the targets of
 // sharded services.
-func (r *reporter) targetLatencies() []peers.Speed {
+func (r *reporter) targetLatencies() []peers.TargetLatency {
 	routes := r.state.routes.Load()
 	if routes == nil {
 		return nil
 	}
-	var list []peers.Speed
+	var list []peers.TargetLatency
 	for _, s := range r.dispatcher.TargetLatencies() {
 		if service := routes.Service(s.Service); service == nil || !service.Sharded {
 			continue
 		}
-		list = append(list, peers.Speed{Service: s.Service, Target: s.Target, Ms: int(s.Latency.Milliseconds())})
+		list = append(list, peers.TargetLatency{Service: s.Service, Target: s.Target, Ms: int(s.Latency.Milliseconds())})
 	}
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(len(list), maxReportedLatencies)]
@@ -155,29 +155,29 @@
 	if i.broker.Receive(m) || i.replicator.handleMessage(m) {
 		return
 	}
-	if m.Beat != nil && !m.Beat.Resigned {
+	if m.Heartbeat != nil && !m.Heartbeat.Resigned {
 		i.receiveCoordinatorHeartbeat(m)
 	}
 	switch {
-	case m.News != nil:
-		i.applyAssignmentUpdate(m.News)
+	case m.AssignmentUpdate != nil:
+		i.applyAssignmentUpdate(m.AssignmentUpdate)
 	case m.Hello != nil:
 		i.peers.Add(*m.Hello)
-	case m.Bye:
+	case m.Leaving:
 		i.peers.Remove(m.From)
 	case m.Report != nil && i.peers.Find(m.From).Name == "":
 		i.instances.Refresh()
 	}
 	i.state.recordRevisions(m.From, m.Revisions)
-	i.coordinator.Hear(m)
+	i.coordinator.Receive(m)
 }
 
 // receiveCoordinatorHeartbeat records the coordinator's heartbeat. If it is the
 // first after a gap, a feed reader retries failing tables at once.
 func (i *Instance) receiveCoordinatorHeartbeat(m *peers.Message) {
 	wasAlive := i.replicator.coordinatorAlive()
-	i.recordCoordinator(m.From, m.Beat.Members)
-	if m.Beat.InDoubt {
+	i.recordCoordinator(m.From, m.Heartbeat.Members)
+	if m.Heartbeat.InDoubt {
 		// The coordinator's connection to the store confirms nothing any more.
 		i.lastHeartbeat.Store(nil)
 		return
@@ -214,7 +214,7 @@
 
 // applyAssignmentUpdate applies an update of an assignment that was recorded in the
 // store. If its base is missing here, the assignments are read from the store.
-func (i *Instance) applyAssignmentUpdate(u *peers.News) {
+func (i *Instance) applyAssignmentUpdate(u *peers.AssignmentUpdate) {
 	next, handled := i.state.withUpdate(u)
 	if handled {
 		return
@@ -238,7 +238,7 @@
 func (h *housekeeper) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		sleep(ctx, housekeepingInterval)
-		h.pools.Keep(h.state.roster.Load())
+		h.pools.Prune(h.state.roster.Load())
 		h.dispatcher.Prune()
 	}
 	return ctx.Err()
--- a/gateway/keys/keys.go
+++ b/gateway/keys/keys.go
@@ -21,7 +21,7 @@
 	Authority   string
 
 	mu     sync.Mutex
-	loaded time.Time
+	newest time.Time
 	pair   *tls.Certificate
 	pool   *x509.CertPool
 }
@@ -50,21 +50,21 @@
 			newest = info.ModTime()
 		}
 	}
-	if f.pair != nil && !newest.After(f.loaded) {
+	if f.pair != nil && !newest.After(f.newest) {
 		return f.pair, f.pool, nil
 	}
-	pair, pool, err := f.read()
+	pair, pool, err := f.readFiles()
 	if err != nil && f.pair != nil {
 		return f.pair, f.pool, nil
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	f.pair, f.pool, f.loaded = pair, pool, newest
+	f.pair, f.pool, f.newest = pair, pool, newest
 	return pair, pool, nil
 }
 
-func (f *Files) read() (*tls.Certificate, *x509.CertPool, error) {
+func (f *Files) readFiles() (*tls.Certificate, *x509.CertPool, error) {
 	pair, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
 		return nil, nil, fmt.Errorf("load certificate: %w", err)
--- a/gateway/keys/keys_test.go
+++ b/gateway/keys/keys_test.go
@@ -85,7 +85,7 @@
 	return err
 }
 
-func TestBothEndsMustBelongToTheFleet(t *testing.T) {
+func TestCertificatesOfOtherAuthoritiesAreRejected(t *testing.T) {
 	fleet, strangers := newAuthority(t), newAuthority(t)
 	later := time.Now().Add(time.Hour)
 	url := serve(t, fleet.issue(t.TempDir(), later))
@@ -110,7 +110,7 @@
 	assert.NilError(t, call(url, expired.Client()))
 }
 
-func TestFaultyFilesAreNamed(t *testing.T) {
+func TestCheckReportsUnreadableFiles(t *testing.T) {
 	f := &keys.Files{Certificate: "missing", Key: "missing", Authority: "missing"}
 	assert.ErrorContains(t, f.Check(), "load certificate")
 }
--- a/gateway/lane/lane.go
+++ b/gateway/lane/lane.go
@@ -14,10 +14,10 @@
 const (
 	// ejectAfter is how many failures in a row eject a target.
 	ejectAfter = 5
-	// firstEjection is the first time out; each further one doubles, up to
+	// minEjection is the first time out; each further one doubles, up to
 	// maxEjection.
-	firstEjection = time.Second
-	maxEjection   = 30 * time.Second
+	minEjection = time.Second
+	maxEjection = 30 * time.Second
 	// queueLimit is the queue of a lane until a request brings its own rule.
 	queueLimit = 64
 )
@@ -28,32 +28,32 @@
 	Pool   *pool.Pool
 	Slots  *slot.Limiter
 
-	mu        sync.Mutex
-	failures  int
-	ejections int
-	until     time.Time
+	mu           sync.Mutex
+	failures     int
+	ejections    int
+	ejectedUntil time.Time
 }
 
-// Succeeded notes an answer.
-func (l *Lane) Succeeded() {
+// RecordSuccess notes an answer.
+func (l *Lane) RecordSuccess() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failures, l.ejections = 0, 0
 }
 
-// Failed notes a request without an answer, and tells whether the target was
+// RecordFailure notes a request without an answer, and tells whether the target was
 // ejected for it.
-func (l *Lane) Failed(now time.Time) bool {
+func (l *Lane) RecordFailure(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failures++
-	if l.failures < ejectAfter || now.Before(l.until) {
+	if l.failures < ejectAfter || now.Before(l.ejectedUntil) {
 		return false
 	}
-	out := min(firstEjection<<min(l.ejections, 10), maxEjection)
+	out := min(minEjection<<min(l.ejections, 10), maxEjection)
 	l.ejections++
 	l.failures = 0
-	l.until = now.Add(out)
+	l.ejectedUntil = now.Add(out)
 	return true
 }
 
@@ -61,7 +61,7 @@
 func (l *Lane) Ejected(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return now.Before(l.until)
+	return now.Before(l.ejectedUntil)
 }
 
 // Set holds the lanes to all targets.
@@ -71,23 +71,23 @@
 	mu    sync.RWMutex
 	lanes map[string]*Lane
 
-	overdueMu sync.Mutex
-	overdueID string
-	overdueAt time.Time
+	overdueMu         sync.Mutex
+	lastOverdueTarget string
+	lastOverdueAt     time.Time
 }
 
-// together is how close the overdue answers of two targets lie for a common
+// commonCauseWindow is how close the overdue answers of two targets lie for a common
 // cause.
-const together = time.Second
+const commonCauseWindow = time.Second
 
-// overdue is told that a target's answer is overdue. One alone speaks for that
+// handleOverdue is told that a target's answer is overdue. One alone speaks for that
 // target. With two at a time something on the way to all of them has probably
 // lost track of the open connections, so all are dropped: each target's first
 // request would otherwise find it out by a timeout of its own.
-func (s *Set) overdue(id string, now time.Time) {
+func (s *Set) handleOverdue(id string, now time.Time) {
 	s.overdueMu.Lock()
-	common := s.overdueID != "" && s.overdueID != id && now.Sub(s.overdueAt) < together
-	s.overdueID, s.overdueAt = id, now
+	common := s.lastOverdueTarget != "" && s.lastOverdueTarget != id && now.Sub(s.lastOverdueAt) < commonCauseWindow
+	s.lastOverdueTarget, s.lastOverdueAt = id, now
 	s.overdueMu.Unlock()
 	if !common {
 		return
@@ -95,12 +95,12 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	for _, l := range s.lanes {
-		l.Pool.Suspect(now)
+		l.Pool.Invalidate(now)
 	}
 }
 
-// To returns the lane to a target, opened anew if its address has changed.
-func (s *Set) To(t *assignment.Target) *Lane {
+// Get returns the lane to a target, opened anew if its address has changed.
+func (s *Set) Get(t *assignment.Target) *Lane {
 	s.mu.RLock()
 	l := s.lanes[t.ID]
 	s.mu.RUnlock()
@@ -125,8 +125,8 @@
 	}
 	l := &Lane{
 		Target: t.ID,
-		Pool: &pool.Pool{Address: t.Address, Dial: s.Dial, Overdue: func(now time.Time) {
-			s.overdue(t.ID, now)
+		Pool: &pool.Pool{Address: t.Address, Dial: s.Dial, OnOverdue: func(now time.Time) {
+			s.handleOverdue(t.ID, now)
 		}},
 		Slots: &slot.Limiter{Slots: t.Slots, QueueLimit: queueLimit},
 	}
@@ -134,8 +134,8 @@
 	return l
 }
 
-// Keep closes the lanes to targets that are not in the list.
-func (s *Set) Keep(targets map[string]bool) {
+// Retain closes the lanes to targets that are not in the list.
+func (s *Set) Retain(targets map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range s.lanes {
--- a/gateway/leader/absorb.go
+++ b/gateway/leader/absorb.go
@@ -19,33 +19,33 @@
 	"basilcross.example/gateway/view"
 )
 
-// headPrefix begins the keys of all rows that a leader reads at every turn.
-const headPrefix = "head/"
+// headKeyPrefix begins the keys of all rows that a leader reads at every turn.
+const headKeyPrefix = "head/"
 
-// absorb takes in the rows of one reading.
-func (d *Duty) absorb(ctx context.Context, res table.Result) {
+// applyHeads takes in the rows of one reading.
+func (d *Leader) applyHeads(ctx context.Context, res table.Result) {
 	now := time.Now()
-	d.absorbSeats(now, res)
+	d.applySeats(now, res)
 	caughtUp := true
 	for _, row := range res.Rows {
-		if err := d.absorbHead(ctx, row); err != nil {
+		if err := d.applyHead(ctx, row); err != nil {
 			d.Log.Warn("not caught up", "row", row.Key, "error", err)
 			caughtUp = false
 		}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.zone == nil {
+	if d.zoneState == nil {
 		return
 	}
-	d.assign()
+	d.applyAssignments()
 	if caughtUp && !d.ready {
 		d.ready = true
 	}
 	d.broadcast()
 }
 
-func (d *Duty) absorbSeats(now time.Time, res table.Result) {
+func (d *Leader) applySeats(now time.Time, res table.Result) {
 	if row, ok := res.Row(seat.RowKey(planner.SeatName)); ok {
 		d.Planner.Observe(now, &row)
 	} else {
@@ -54,7 +54,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, row := range res.Rows {
-		d.watchSeat(now, row)
+		d.applyZoneSeat(now, row)
 	}
 	before := d.seat.Holding()
 	var own *table.Row
@@ -67,12 +67,12 @@
 	if row, ok := res.Row(seat.TermKey(d.Zone)); ok {
 		d.seat.ObserveTerm(row.Version)
 	}
-	d.noteHolding(before)
+	d.updateTerm(before)
 }
 
-// watchSeat keeps what was last read of every zone's seat.
-func (d *Duty) watchSeat(now time.Time, row table.Row) {
-	name, ok := seat.NameOf(row.Key)
+// applyZoneSeat keeps what was last read of every zone's seat.
+func (d *Leader) applyZoneSeat(now time.Time, row table.Row) {
+	name, ok := seat.NameFromRowKey(row.Key)
 	if !ok || name == planner.SeatName {
 		return
 	}
@@ -86,37 +86,37 @@
 	}
 }
 
-// noteHolding begins or ends a term. The zone's state never outlives a term.
-func (d *Duty) noteHolding(before bool) {
+// updateTerm begins or ends a term. The zone's state never outlives a term.
+func (d *Leader) updateTerm(before bool) {
 	after := d.seat.Holding()
 	r, _ := d.seat.Record()
 	switch {
-	case after && d.zone == nil:
-		d.zone = &zone.Leader{Zone: d.Zone, UnknownUntil: d.seat.UnknownUntil()}
-		d.book = &promise.Ledger{ConfirmFrom: time.Now().Add(lease.Wait(seat.Hold))}
+	case after && d.zoneState == nil:
+		d.zoneState = &zone.Leader{Zone: d.Zone, PriorLeasesEnd: d.seat.PriorLeasesEnd()}
+		d.ledger = &promise.Ledger{ConfirmFrom: time.Now().Add(lease.Wait(seat.LeaseDuration))}
 		d.ready = false
 		event.SeatGained.Log(d.Log, "seat", d.Zone, "term", r.Term)
 	case before && !after:
-		d.zone, d.book, d.ready = nil, nil, false
+		d.zoneState, d.ledger, d.ready = nil, nil, false
 		d.broadcast()
 		event.SeatLost.Log(d.Log, "seat", d.Zone, "holder", r.Holder, "term", r.Term)
 	}
 }
 
-func (d *Duty) absorbHead(ctx context.Context, row table.Row) error {
+func (d *Leader) applyHead(ctx context.Context, row table.Row) error {
 	if row.Key == config.HeadKey {
-		return d.absorbConfig(ctx, row)
+		return d.applyConfig(ctx, row)
 	}
-	service, ok := deltalog.ServiceOf(row.Key)
+	service, ok := deltalog.ServiceFromHeadKey(row.Key)
 	if !ok {
 		return nil
 	}
-	l, ok := d.logs[service]
+	l, ok := d.deltaLogs[service]
 	if !ok {
-		l = &deltalog.Log{Service: service, Table: d.Table, Objects: d.Objects, Damaged: d.damaged}
-		d.logs[service] = l
+		l = &deltalog.Log{Service: service, Table: d.Table, Objects: d.Objects, OnDamagedSnapshot: d.logDamagedSnapshot}
+		d.deltaLogs[service] = l
 	}
-	if row.Version <= l.HeadVersion() {
+	if row.Version <= l.HeadRowVersion() {
 		return nil
 	}
 	callCtx, cancel := context.WithTimeout(ctx, tableTimeout)
@@ -134,11 +134,11 @@
 	return nil
 }
 
-func (d *Duty) damaged(name string, err error) {
+func (d *Leader) logDamagedSnapshot(name string, err error) {
 	event.SnapshotDamaged.Log(d.Log, "object", name, "error", err)
 }
 
-func (d *Duty) absorbConfig(ctx context.Context, row table.Row) error {
+func (d *Leader) applyConfig(ctx context.Context, row table.Row) error {
 	var head config.Head
 	if err := table.Decode(row, &head); err != nil {
 		return err
@@ -172,20 +172,20 @@
 	return err
 }
 
-// assign tells the zone's state about the targets in force.
-func (d *Duty) assign() {
+// applyAssignments tells the zone's state about the targets in force.
+func (d *Leader) applyAssignments() {
 	for name, s := range d.View.Load().Services {
-		d.zone.Assign(s.Assignment)
-		d.zone.Forget(name, oldestMove(s))
+		d.zoneState.ApplyAssignment(s.Assignment)
+		d.zoneState.DropDrains(name, oldestRelevantVersion(s))
 	}
 }
 
-// oldestMove is the version before which no drain can matter any more.
-func oldestMove(s *view.Service) uint64 {
+// oldestRelevantVersion is the version before which no drain can matter any more.
+func oldestRelevantVersion(s *view.Service) uint64 {
 	oldest := s.Assignment.Version
 	for _, sh := range s.Assignment.Shards {
 		if sh.MovingTo != "" {
-			oldest = min(oldest, sh.Since)
+			oldest = min(oldest, sh.OwnerSince)
 		}
 	}
 	return oldest
--- a/gateway/leader/leader.go
+++ b/gateway/leader/leader.go
@@ -25,25 +25,25 @@
 )
 
 const (
-	// turnInterval lies between two renewals of the seat.
-	turnInterval = 400 * time.Millisecond
-	// readEvery is how many renewals go without reading the heads, unless a
+	// renewInterval lies between two renewals of the seat.
+	renewInterval = 400 * time.Millisecond
+	// renewalsPerRead is how many renewals go without reading the heads, unless a
 	// nudge comes: news spreads by nudges, and the heads are many bytes.
-	readEvery = 3
+	renewalsPerRead = 3
 	// candidateInterval lies between two looks at the seat while the leader
 	// is silent.
 	candidateInterval = 100 * time.Millisecond
-	// silentAfter is the leader's silence after which an instance looks at
+	// leaderTimeout is the leader's silence after which an instance looks at
 	// the seat itself.
-	silentAfter = 650 * time.Millisecond
+	leaderTimeout = 650 * time.Millisecond
 	// rankDelay is what each place in the order of candidates waits longer.
 	rankDelay = 80 * time.Millisecond
 	// maxRank bounds the wait of instances far down the order.
 	maxRank = 5
-	// alarmInterval lies between two turns while the planner is silent, and
+	// fastRenewInterval lies between two turns while the planner is silent, and
 	// plannerSilence is the time without a report taken after which it is.
-	alarmInterval  = 150 * time.Millisecond
-	plannerSilence = 600 * time.Millisecond
+	fastRenewInterval = 150 * time.Millisecond
+	plannerTimeout    = 600 * time.Millisecond
 	// retryInterval lies between a renewal that failed and the next.
 	retryInterval = 50 * time.Millisecond
 	// tableTimeout bounds one transaction; a later answer would bring less
@@ -63,13 +63,13 @@
 	Evictor   *evictor.Evictor
 	Objects   object.Client
 	View      *view.View
-	Follower  *follower.Duty
-	Authority *authority.Cell
+	Follower  *follower.Follower
+	Authority *authority.Authority
 	Planner   Planner
 	Peers     *peer.Caller
 	Log       *slog.Logger
-	// Token returns a new unique token.
-	Token func() string
+	// NewToken returns a new unique token.
+	NewToken func() string
 }
 
 // Planner is the planning duty of the same instance.
@@ -77,46 +77,46 @@
 	control.Planner
 	// Observe takes in the planner seat's row; nil if there is none.
 	Observe(now time.Time, row *table.Row)
-	// Hear takes in a sign of life of a zone's leader.
-	Hear(now time.Time, beat *control.BeatRequest)
+	// ReceiveHeartbeat takes in a sign of life of a zone's leader.
+	ReceiveHeartbeat(now time.Time, beat *control.BeatRequest)
 	// Address returns where the present planner is; empty if unknown.
 	Address() string
 }
 
-// Duty leads the zone while its instance holds the seat, and stands by as a
+// Leader leads the zone while its instance holds the seat, and stands by as a
 // candidate otherwise.
-type Duty struct {
+type Leader struct {
 	Options
 
-	mu      sync.Mutex
-	seat    seat.Seat
-	seats   map[string]*seat.Seat
-	book    *promise.Ledger
-	zone    *zone.Leader
-	ready   bool
-	started time.Time
-	free    time.Time
-	logs    map[string]*deltalog.Log
-	news    chan struct{}
-	nudges  chan struct{}
-	beats   chan *control.BeatRequest
-	// unread counts renewals since the heads were read; Serve's own.
-	unread int
-	// doubt is set after a renewal without an answer; Serve's own.
-	doubt bool
-	// told is when the planner last took a report.
-	told     time.Time
-	loads    loadSum
-	tableBad bool
-	stopping bool
+	mu         sync.Mutex
+	seat       seat.Seat
+	seats      map[string]*seat.Seat
+	ledger     *promise.Ledger
+	zoneState  *zone.Leader
+	ready      bool
+	started    time.Time
+	freeSince  time.Time
+	deltaLogs  map[string]*deltalog.Log
+	changed    chan struct{}
+	nudges     chan struct{}
+	heartbeats chan *control.BeatRequest
+	// renewalsSinceRead counts renewals since the heads were read; Serve's own.
+	renewalsSinceRead int
+	// renewalInDoubt is set after a renewal without an answer; Serve's own.
+	renewalInDoubt bool
+	// reportAcceptedAt is when the planner last took a report.
+	reportAcceptedAt time.Time
+	loads            loadSum
+	tableFailing     bool
+	stopping         bool
 }
 
 // New returns a duty that has not looked at the seat yet.
-func New(o Options) *Duty {
-	d := &Duty{Options: o, logs: map[string]*deltalog.Log{}, seats: map[string]*seat.Seat{}}
-	d.news = make(chan struct{})
+func New(o Options) *Leader {
+	d := &Leader{Options: o, deltaLogs: map[string]*deltalog.Log{}, seats: map[string]*seat.Seat{}}
+	d.changed = make(chan struct{})
 	d.nudges = make(chan struct{}, 1)
-	d.beats = make(chan *control.BeatRequest, beatRoom)
+	d.heartbeats = make(chan *control.BeatRequest, maxQueuedHeartbeats)
 	d.started = time.Now()
 	d.seat = seat.Seat{Name: o.Zone, Self: seat.Record{
 		Holder:      o.Instance,
@@ -127,49 +127,49 @@
 }
 
 // Serve holds or watches the seat until the context ends.
-func (d *Duty) Serve(ctx context.Context) error {
+func (d *Leader) Serve(ctx context.Context) error {
 	for {
-		pause := d.turn(ctx)
+		pause := d.runOnce(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(pause):
 		case <-d.nudges:
-			d.unread = readEvery
+			d.renewalsSinceRead = renewalsPerRead
 		}
 	}
 }
 
-// turn does what is due and returns the pause until the next turn.
-func (d *Duty) turn(ctx context.Context) time.Duration {
+// runOnce does what is due and returns the pause until the next turn.
+func (d *Leader) runOnce(ctx context.Context) time.Duration {
 	if d.Holding() {
-		if d.PlannerSilent() {
+		if d.PlannerUnresponsive() {
 			// Its seat has to be watched closely.
-			d.unread = readEvery
+			d.renewalsSinceRead = renewalsPerRead
 		}
 		if !d.renew(ctx) {
 			return retryInterval
 		}
-		if d.PlannerSilent() {
-			return alarmInterval
+		if d.PlannerUnresponsive() {
+			return fastRenewInterval
 		}
-		return turnInterval
+		return renewInterval
 	}
-	if d.leaderSilent() {
-		d.stand(ctx)
+	if d.leaderUnresponsive() {
+		d.tryTakeOver(ctx)
 	}
 	return candidateInterval
 }
 
-// PlannerSilent tells whether the planner has taken no report lately.
-func (d *Duty) PlannerSilent() bool {
+// PlannerUnresponsive tells whether the planner has taken no report lately.
+func (d *Leader) PlannerUnresponsive() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return time.Since(d.told) > plannerSilence
+	return time.Since(d.reportAcceptedAt) > plannerTimeout
 }
 
 // Holding tells whether this instance holds the seat as far as it knows.
-func (d *Duty) Holding() bool {
+func (d *Leader) Holding() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.seat.Holding()
@@ -177,49 +177,49 @@
 
 // Leading tells whether this instance has the authority of the zone's leader
 // at now.
-func (d *Duty) Leading(now time.Time) bool {
+func (d *Leader) Leading(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.leading(now)
 }
 
-func (d *Duty) leading(now time.Time) bool {
+func (d *Leader) leading(now time.Time) bool {
 	return d.ready && d.seat.Holding() && d.seat.Authority().Valid(now)
 }
 
-func (d *Duty) leaderSilent() bool {
-	last := d.Authority.Contact()
+func (d *Leader) leaderUnresponsive() bool {
+	last := d.Authority.LastContact()
 	if last.Before(d.started) {
-		last = d.started.Add(-silentAfter)
+		last = d.started.Add(-leaderTimeout)
 	}
-	return time.Since(last) >= silentAfter
+	return time.Since(last) >= leaderTimeout
 }
 
 // renew keeps the seat and reads what is new in one round trip. It tells
 // whether the renewal took effect.
-func (d *Duty) renew(ctx context.Context) bool {
-	if d.doubt {
+func (d *Leader) renew(ctx context.Context) bool {
+	if d.renewalInDoubt {
 		// The renewal may have taken effect and only its answer be lost. A
 		// reading shows its token, and the next one needs its row version.
 		d.transact(ctx, table.Transaction{})
-		d.doubt = false
+		d.renewalInDoubt = false
 	}
 	d.mu.Lock()
 	if d.stopping {
 		d.mu.Unlock()
 		return true
 	}
-	token := d.Token()
+	token := d.NewToken()
 	sent := time.Now()
 	tx, err := d.seat.Renew(sent, token)
-	d.announce(sent)
+	d.queueHeartbeat(sent)
 	d.mu.Unlock()
 	if err != nil {
 		d.Log.Error("renew", "error", err)
 		return false
 	}
-	if d.unread++; d.unread >= readEvery {
-		d.unread = 0
+	if d.renewalsSinceRead++; d.renewalsSinceRead >= renewalsPerRead {
+		d.renewalsSinceRead = 0
 		return d.transact(ctx, tx)
 	}
 	return d.renewOnly(ctx, tx)
@@ -227,48 +227,48 @@
 
 // renewOnly renews without reading. A renewal that fails is followed by one
 // that reads, to see why.
-func (d *Duty) renewOnly(ctx context.Context, tx table.Transaction) bool {
+func (d *Leader) renewOnly(ctx context.Context, tx table.Transaction) bool {
 	callCtx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	res, err := d.Table.Transact(callCtx, tx)
-	d.noteTable(err)
+	d.recordTableResult(err)
 	if err != nil || !res.Committed {
-		d.unread = readEvery
-		d.doubt = true
+		d.renewalsSinceRead = renewalsPerRead
+		d.renewalInDoubt = true
 		return false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seat.Committed(time.Now(), tx.Token, res.Revision)
+	d.seat.ConfirmRenewal(time.Now(), tx.Token, res.Revision)
 	d.broadcast()
 	return true
 }
 
 // transact adds the reading of all heads to a write, carries both out, takes
 // in the result, and tells whether it was committed.
-func (d *Duty) transact(ctx context.Context, tx table.Transaction) bool {
-	tx.ReadPrefixes = []string{headPrefix}
+func (d *Leader) transact(ctx context.Context, tx table.Transaction) bool {
+	tx.ReadPrefixes = []string{headKeyPrefix}
 	tx.ReadKeys = []string{seat.TermKey(d.Zone)}
 	callCtx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	res, err := d.Table.Transact(callCtx, tx)
-	d.noteTable(err)
+	d.recordTableResult(err)
 	if err != nil {
-		d.doubt = len(tx.Puts) > 0
+		d.renewalInDoubt = len(tx.Puts) > 0
 		return false
 	}
-	d.absorb(ctx, res)
+	d.applyHeads(ctx, res)
 	return res.Committed
 }
 
-func (d *Duty) noteTable(err error) {
+func (d *Leader) recordTableResult(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	bad := err != nil
-	if bad == d.tableBad {
+	if bad == d.tableFailing {
 		return
 	}
-	d.tableBad = bad
+	d.tableFailing = bad
 	if bad {
 		event.PlatformDown.Log(d.Log, "error", err)
 		return
@@ -276,26 +276,26 @@
 	event.PlatformBack.Log(d.Log)
 }
 
-// stand looks at the seat as a candidate and takes it when it is free.
-func (d *Duty) stand(ctx context.Context) {
+// tryTakeOver looks at the seat as a candidate and takes it when it is free.
+func (d *Leader) tryTakeOver(ctx context.Context) {
 	d.transact(ctx, table.Transaction{})
 	d.mu.Lock()
 	now := time.Now()
-	d.followRecord()
+	d.updateFollower()
 	stopping, free := d.stopping, d.mayClaim(now)
 	d.mu.Unlock()
 	switch {
 	case stopping:
 	case free:
 		d.claim(ctx, (*seat.Seat).Claim)
-	case d.evicted(ctx):
-		d.claim(ctx, (*seat.Seat).Take)
+	case d.advanceEviction(ctx):
+		d.claim(ctx, (*seat.Seat).ClaimAfterEviction)
 	}
 }
 
-func (d *Duty) claim(ctx context.Context, how func(*seat.Seat, time.Time, string) (table.Transaction, error)) {
+func (d *Leader) claim(ctx context.Context, how func(*seat.Seat, time.Time, string) (table.Transaction, error)) {
 	d.mu.Lock()
-	tx, err := how(&d.seat, time.Now(), d.Token())
+	tx, err := how(&d.seat, time.Now(), d.NewToken())
 	d.mu.Unlock()
 	if err != nil {
 		d.Log.Error("claim", "error", err)
@@ -304,19 +304,19 @@
 	d.transact(ctx, tx)
 }
 
-// evicted works on the eviction of a silent holder and tells whether it is
+// advanceEviction works on the eviction of a silent holder and tells whether it is
 // complete. The first candidate begins; the others wait longer.
-func (d *Duty) evicted(ctx context.Context) bool {
+func (d *Leader) advanceEviction(ctx context.Context) bool {
 	d.mu.Lock()
-	silent := d.seat.Silence(time.Now())
-	first := silent > evictor.Suspect+d.rank()*rankDelay
+	silent := d.seat.UnchangedFor(time.Now())
+	first := silent > evictor.SuspectAfter+d.rank()*rankDelay
 	seats := d.otherSeats()
 	d.mu.Unlock()
 	return first && d.Evictor.Step(ctx, &d.mu, &d.seat, seats)
 }
 
 // otherSeats returns the records of the other zones' seats as last read.
-func (d *Duty) otherSeats() []seat.Record {
+func (d *Leader) otherSeats() []seat.Record {
 	var others []seat.Record
 	for name, s := range d.seats {
 		if r, _ := s.Record(); name != d.Zone {
@@ -326,8 +326,8 @@
 	return others
 }
 
-// followRecord points the follower at a holder that may still be there.
-func (d *Duty) followRecord() {
+// updateFollower points the follower at a holder that may still be there.
+func (d *Leader) updateFollower() {
 	r, _ := d.seat.Record()
 	if r.Holder != "" && r.Address != d.Address && !d.seat.Free() {
 		d.Follower.SetLeader(r.Address)
@@ -336,18 +336,18 @@
 
 // mayClaim lets the candidates go one after another, so that a free seat is
 // not fought over by every instance of the zone at once.
-func (d *Duty) mayClaim(now time.Time) bool {
+func (d *Leader) mayClaim(now time.Time) bool {
 	if !d.seat.Free() {
-		d.free = time.Time{}
+		d.freeSince = time.Time{}
 		return false
 	}
-	if d.free.IsZero() {
-		d.free = now
+	if d.freeSince.IsZero() {
+		d.freeSince = now
 	}
-	return now.Sub(d.free) >= d.rank()*rankDelay
+	return now.Sub(d.freeSince) >= d.rank()*rankDelay
 }
 
-func (d *Duty) rank() time.Duration {
+func (d *Leader) rank() time.Duration {
 	for i, m := range d.Follower.Members() {
 		if m == d.Instance {
 			return time.Duration(min(i, maxRank))
@@ -357,28 +357,28 @@
 }
 
 // Hint takes in what the present leader said of its seat.
-func (d *Duty) Hint(now time.Time, term, renewals uint64, left time.Duration) {
+func (d *Leader) Hint(now time.Time, term, renewals uint64, left time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seat.Hint(now, term, renewals, left)
+	d.seat.AddHint(now, term, renewals, left)
 }
 
 // broadcast wakes all who wait for news. It is called with the lock held.
-func (d *Duty) broadcast() {
-	close(d.news)
-	d.news = make(chan struct{})
+func (d *Leader) broadcast() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // Stop hands the seat over before the instance shuts down.
-func (d *Duty) Stop(ctx context.Context) {
+func (d *Leader) Stop(ctx context.Context) {
 	d.mu.Lock()
 	d.stopping = true
 	if !d.seat.Holding() {
 		d.mu.Unlock()
 		return
 	}
-	tx, err := d.seat.HandOver(time.Now(), d.Token())
-	d.zone, d.book, d.ready = nil, nil, false
+	tx, err := d.seat.HandOver(time.Now(), d.NewToken())
+	d.zoneState, d.ledger, d.ready = nil, nil, false
 	d.broadcast()
 	d.mu.Unlock()
 	if err == nil {
@@ -401,13 +401,13 @@
 }
 
 // Status returns the present state.
-func (d *Duty) Status() Status {
+func (d *Leader) Status() Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r, _ := d.seat.Record()
-	s := Status{Zone: d.Zone, Leading: d.leading(time.Now()), Record: r, TableOK: !d.tableBad}
-	if d.zone != nil {
-		s.Members = d.zone.Members()
+	s := Status{Zone: d.Zone, Leading: d.leading(time.Now()), Record: r, TableOK: !d.tableFailing}
+	if d.zoneState != nil {
+		s.Members = d.zoneState.Members()
 	}
 	return s
 }
--- a/gateway/leader/loads.go
+++ b/gateway/leader/loads.go
@@ -10,40 +10,40 @@
 
 // loadSum adds up the loads that instances report, until a planner has them.
 type loadSum struct {
-	shards map[shardName]float32
-	hot    map[keyName]float32
+	shards map[shardID]float32
+	hot    map[keyID]float32
 }
 
-type shardName struct {
+type shardID struct {
 	service string
 	first   uint64
 }
 
-type keyName struct {
+type keyID struct {
 	service string
 	key     string
 }
 
-// maxHot bounds the hot keys kept between two reports.
-const maxHot = 256
+// maxHotKeys bounds the hot keys kept between two reports.
+const maxHotKeys = 256
 
 func (s *loadSum) add(loads []*control.ShardLoad, hot []*control.HotKey) {
 	if s.shards == nil {
-		s.shards = map[shardName]float32{}
-		s.hot = map[keyName]float32{}
+		s.shards = map[shardID]float32{}
+		s.hot = map[keyID]float32{}
 	}
 	for _, l := range loads {
-		s.shards[shardName{l.GetService(), l.GetFirst()}] += l.GetWork()
+		s.shards[shardID{l.GetService(), l.GetFirst()}] += l.GetWork()
 	}
 	for _, h := range hot {
-		name := keyName{h.GetService(), h.GetKey()}
-		if _, known := s.hot[name]; known || len(s.hot) < maxHot {
+		name := keyID{h.GetService(), h.GetKey()}
+		if _, known := s.hot[name]; known || len(s.hot) < maxHotKeys {
 			s.hot[name] += h.GetWork()
 		}
 	}
 }
 
-func (s *loadSum) peek() ([]*control.ShardLoad, []*control.HotKey) {
+func (s *loadSum) totals() ([]*control.ShardLoad, []*control.HotKey) {
 	loads := make([]*control.ShardLoad, 0, len(s.shards))
 	for name, work := range s.shards {
 		loads = append(loads, &control.ShardLoad{Service: name.service, First: name.first, Work: work})
@@ -55,16 +55,16 @@
 	return loads, hot
 }
 
-// clear takes off what a report carried; what came since stays.
-func (s *loadSum) clear(loads []*control.ShardLoad, hot []*control.HotKey) {
+// subtract takes off what a report carried; what came since stays.
+func (s *loadSum) subtract(loads []*control.ShardLoad, hot []*control.HotKey) {
 	for _, l := range loads {
-		name := shardName{l.GetService(), l.GetFirst()}
+		name := shardID{l.GetService(), l.GetFirst()}
 		if s.shards[name] -= l.GetWork(); s.shards[name] <= 0 {
 			delete(s.shards, name)
 		}
 	}
 	for _, h := range hot {
-		name := keyName{h.GetService(), h.GetKey()}
+		name := keyID{h.GetService(), h.GetKey()}
 		if s.hot[name] -= h.GetWork(); s.hot[name] <= 0 {
 			delete(s.hot, name)
 		}
--- a/gateway/leader/outage.go
+++ b/gateway/leader/outage.go
@@ -14,16 +14,16 @@
 const (
 	// extendInterval lies between two rounds of requests for extension.
 	extendInterval = 150 * time.Millisecond
-	// extendBelow is the authority left below which the table is suspect. A
+	// extendThreshold is the authority left below which the table is suspect. A
 	// leader in good health renews long before.
-	extendBelow   = 650 * time.Millisecond
-	extendTimeout = 300 * time.Millisecond
+	extendThreshold = 650 * time.Millisecond
+	extendTimeout   = 300 * time.Millisecond
 )
 
 // Extender is the duty of keeping the leader's authority while the table
 // service is out of reach, on the word of the other zones' leaders.
 type Extender struct {
-	Leader *Duty
+	Leader *Leader
 }
 
 // Serve extends when it is needed until the context ends.
@@ -42,13 +42,13 @@
 
 // extend asks all other leaders at once. Authority counts from before the
 // first request was sent.
-func (d *Duty) extend(ctx context.Context) {
+func (d *Leader) extend(ctx context.Context) {
 	sent := time.Now()
-	req, others, needed := d.extension(sent)
+	req, others, needed := d.extendRequest(sent)
 	if req == nil {
 		return
 	}
-	if d.collect(ctx, req, others) < needed {
+	if d.requestExtensions(ctx, req, others) < needed {
 		return
 	}
 	d.mu.Lock()
@@ -58,11 +58,11 @@
 	}
 }
 
-// extension returns the request to send, nil if none is needed or allowed.
-func (d *Duty) extension(now time.Time) (req *control.ExtendRequest, others []seat.Record, needed int) {
+// extendRequest returns the request to send, nil if none is needed or allowed.
+func (d *Leader) extendRequest(now time.Time) (req *control.ExtendRequest, others []seat.Record, needed int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.ready || d.stopping || !d.seat.Holding() || d.seat.Authority().Left(now) > extendBelow {
+	if !d.ready || d.stopping || !d.seat.Holding() || d.seat.Authority().Left(now) > extendThreshold {
 		return nil, nil, 0
 	}
 	others = d.otherSeats()
@@ -76,8 +76,8 @@
 	}, others, needed
 }
 
-// collect returns how many leaders extend.
-func (d *Duty) collect(ctx context.Context, req *control.ExtendRequest, others []seat.Record) int {
+// requestExtensions returns how many leaders extend.
+func (d *Leader) requestExtensions(ctx context.Context, req *control.ExtendRequest, others []seat.Record) int {
 	ctx, cancel := context.WithTimeout(ctx, extendTimeout)
 	defer cancel()
 	extended := 0
@@ -105,7 +105,7 @@
 }
 
 // Extend promises another zone's leader to take no part in its eviction.
-func (d *Duty) Extend(_ context.Context, req *control.ExtendRequest) (*control.ExtendResponse, error) {
+func (d *Leader) Extend(_ context.Context, req *control.ExtendRequest) (*control.ExtendResponse, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	res := &control.ExtendResponse{Zone: d.Zone}
@@ -118,14 +118,14 @@
 	if s, ok := d.seats[req.GetZone()]; ok {
 		known, version = s.Record()
 	}
-	res.Extended = d.book.Extend(now, promise.ExtendRequest{
+	res.Extended = d.ledger.Extend(now, promise.ExtendRequest{
 		Zone: req.GetZone(), Holder: req.GetHolder(), Incarnation: req.GetIncarnation(), Version: req.GetRowVersion(),
 	}, known, version)
 	return res, nil
 }
 
 // Refrain promises to extend another zone's seat no more.
-func (d *Duty) Refrain(_ context.Context, req *control.RefrainRequest) (*control.RefrainResponse, error) {
+func (d *Leader) Refrain(_ context.Context, req *control.RefrainRequest) (*control.RefrainResponse, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	res := &control.RefrainResponse{Zone: d.Zone}
@@ -133,14 +133,14 @@
 	if !d.leading(now) || req.GetZone() == d.Zone {
 		return res, nil
 	}
-	left := d.book.Refrain(now, req.GetZone(), req.GetRowVersion())
+	left := d.ledger.Refrain(now, req.GetZone(), req.GetRowVersion())
 	res.Confirmed = true
 	res.LeftMs = uint32((left + time.Millisecond - 1).Milliseconds())
 	return res, nil
 }
 
 // OtherLeaders returns the control addresses of other zones' leaders.
-func (d *Duty) OtherLeaders() []string {
+func (d *Leader) OtherLeaders() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var addresses []string
--- a/gateway/leader/poll.go
+++ b/gateway/leader/poll.go
@@ -18,25 +18,25 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// maxWait bounds how long a poll may be held back, whatever it asks for.
-const maxWait = time.Second
+// maxPollWait bounds how long a poll may be held back, whatever it asks for.
+const maxPollWait = time.Second
 
 // Poll answers an instance of the zone. It waits until there is news.
-func (d *Duty) Poll(ctx context.Context, req *control.PollRequest) (*control.PollResponse, error) {
+func (d *Leader) Poll(ctx context.Context, req *control.PollRequest) (*control.PollResponse, error) {
 	if req.GetZone() != d.Zone {
 		return nil, twirp.InvalidArgumentError("zone", "this instance is in zone "+d.Zone)
 	}
 	if req.GetInstance() == "" {
 		return nil, twirp.RequiredArgumentError("instance")
 	}
-	wait := min(time.Duration(req.GetWaitMs())*time.Millisecond, maxWait)
+	wait := min(time.Duration(req.GetWaitMs())*time.Millisecond, maxPollWait)
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
-	if !d.takePoll(req) {
+	if !d.applyPoll(req) {
 		return d.notLeading(), nil
 	}
 	for {
-		res, news := d.answer(req)
+		res, news := d.tryAnswer(req)
 		if res != nil {
 			return res, nil
 		}
@@ -44,24 +44,24 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-timeout.C:
-			return d.finalAnswer(req), nil
+			return d.answerAtTimeout(req), nil
 		case <-news:
 		}
 	}
 }
 
-// takePoll takes in the report; false if this instance does not lead.
-func (d *Duty) takePoll(req *control.PollRequest) bool {
+// applyPoll takes in the report; false if this instance does not lead.
+func (d *Leader) applyPoll(req *control.PollRequest) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
 	if !d.leading(now) {
 		return false
 	}
-	before := d.zone.Version()
-	d.zone.Poll(now, d.decodeReport(req))
+	before := d.zoneState.Version()
+	d.zoneState.ApplyReport(now, d.decodeReport(req))
 	d.loads.add(req.GetLoads(), req.GetHot())
-	if d.zone.Version() != before {
+	if d.zoneState.Version() != before {
 		d.broadcast()
 	}
 	return true
@@ -69,7 +69,7 @@
 
 // decodeReport drops the directive's version if it is of another term: those
 // versions are counted anew in each.
-func (d *Duty) decodeReport(req *control.PollRequest) zone.Report {
+func (d *Leader) decodeReport(req *control.PollRequest) zone.Report {
 	r := zone.Report{
 		Instance:    req.GetInstance(),
 		Incarnation: req.GetIncarnation(),
@@ -105,7 +105,7 @@
 	return versions
 }
 
-func (d *Duty) notLeading() *control.PollResponse {
+func (d *Leader) notLeading() *control.PollResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r, _ := d.seat.Record()
@@ -116,9 +116,9 @@
 	return res
 }
 
-// answer returns the answer if there is news, else the channel that tells of
+// tryAnswer returns the answer if there is news, else the channel that tells of
 // the next.
-func (d *Duty) answer(req *control.PollRequest) (*control.PollResponse, <-chan struct{}) {
+func (d *Leader) tryAnswer(req *control.PollRequest) (*control.PollResponse, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -129,24 +129,24 @@
 	record, _ := d.seat.Record()
 	// A renewal is news too: candidates then know how long the seat is held,
 	// and the authority is fresh.
-	stale := req.GetTerm() != record.Term || req.GetDirective() != d.zone.Version() || req.GetRenewals() != record.Renewals
-	if !stale && !newer(d.View.Load(), req.GetKnown()) {
-		return nil, d.news
+	stale := req.GetTerm() != record.Term || req.GetDirective() != d.zoneState.Version() || req.GetRenewals() != record.Renewals
+	if !stale && !hasNewer(d.View.Load(), req.GetKnown()) {
+		return nil, d.changed
 	}
-	return d.compose(now, req), nil
+	return d.buildResponse(now, req), nil
 }
 
-func (d *Duty) finalAnswer(req *control.PollRequest) *control.PollResponse {
+func (d *Leader) answerAtTimeout(req *control.PollRequest) *control.PollResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
 	if !d.leading(now) {
 		return &control.PollResponse{}
 	}
-	return d.compose(now, req)
+	return d.buildResponse(now, req)
 }
 
-func newer(s *view.Snapshot, known []*control.Known) bool {
+func hasNewer(s *view.Snapshot, known []*control.Known) bool {
 	has := decodeKnown(known)
 	for name, version := range s.Versions() {
 		if version > has[name] {
@@ -156,20 +156,20 @@
 	return false
 }
 
-// compose gives the instance authority and what it lacks.
-func (d *Duty) compose(now time.Time, req *control.PollRequest) *control.PollResponse {
+// buildResponse gives the instance authority and what it lacks.
+func (d *Leader) buildResponse(now time.Time, req *control.PollRequest) *control.PollResponse {
 	record, _ := d.seat.Record()
 	left := d.seat.Authority().Left(now)
-	d.zone.Grant(now, req.GetInstance(), left)
+	d.zoneState.RecordAuthority(now, req.GetInstance(), left)
 	res := &control.PollResponse{
 		Leading:     true,
 		Term:        record.Term,
 		AuthorityUs: uint32(left.Microseconds()),
 		Renewals:    record.Renewals,
 		TableLeftUs: d.tableLeft(now),
-		Updates:     d.updates(req.GetKnown()),
+		Updates:     d.missingUpdates(req.GetKnown()),
 	}
-	directive := d.zone.Directive(now, req.GetInstance())
+	directive := d.zoneState.Directive(now, req.GetInstance())
 	if req.GetTerm() == record.Term && req.GetDirective() == directive.Version {
 		return res
 	}
@@ -179,7 +179,7 @@
 	for _, r := range directive.Renew {
 		res.Renew = append(res.Renew, &control.Renewal{Target: r.Target, Generation: r.Generation, Standby: r.Standby, Urgent: r.Urgent})
 	}
-	for _, m := range d.zone.Members() {
+	for _, m := range d.zoneState.Members() {
 		if m.Instance != d.Instance {
 			res.Members = append(res.Members, m.Instance)
 		}
@@ -188,27 +188,27 @@
 }
 
 // tableLeft is what the leader has left from the table, in microseconds.
-func (d *Duty) tableLeft(now time.Time) uint32 {
-	return uint32(lease.New(d.seat.Renewed(), seat.Hold).Left(now).Microseconds())
+func (d *Leader) tableLeft(now time.Time) uint32 {
+	return uint32(lease.New(d.seat.RenewedAt(), seat.LeaseDuration).Left(now).Microseconds())
 }
 
-// updates returns the configuration and the deltas that the instance lacks.
-func (d *Duty) updates(known []*control.Known) []*control.Update {
+// missingUpdates returns the configuration and the deltas that the instance lacks.
+func (d *Leader) missingUpdates(known []*control.Known) []*control.Update {
 	has := decodeKnown(known)
 	s := d.View.Load()
 	var updates []*control.Update
 	if s.Config != nil && s.Config.Version > has[view.ConfigName] {
-		updates = append(updates, d.pack(view.ConfigName, 0, s.Config.Version, s.Config))
+		updates = append(updates, d.encodeUpdate(view.ConfigName, 0, s.Config.Version, s.Config))
 	}
 	for name := range s.Services {
-		for _, delta := range d.View.Since(name, has[name]) {
-			updates = append(updates, d.pack(name, delta.From, delta.To, delta))
+		for _, delta := range d.View.DeltasSince(name, has[name]) {
+			updates = append(updates, d.encodeUpdate(name, delta.From, delta.To, delta))
 		}
 	}
 	return updates
 }
 
-func (d *Duty) pack(name string, from, to uint64, v any) *control.Update {
+func (d *Leader) encodeUpdate(name string, from, to uint64, v any) *control.Update {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
 	if err := json.NewEncoder(w).Encode(v); err != nil {
@@ -220,7 +220,7 @@
 }
 
 // Nudge makes the next turn come at once.
-func (d *Duty) Nudge(context.Context, *control.NudgeRequest) (*control.NudgeResponse, error) {
+func (d *Leader) Nudge(context.Context, *control.NudgeRequest) (*control.NudgeResponse, error) {
 	select {
 	case d.nudges <- struct{}{}:
 	default:
@@ -230,7 +230,7 @@
 
 // Transact carries out a table transaction for a leader that is cut off from
 // the platform. It adds no authority: the caller counts from its own sending.
-func (d *Duty) Transact(ctx context.Context, req *control.TransactRequest) (*control.TransactResponse, error) {
+func (d *Leader) Transact(ctx context.Context, req *control.TransactRequest) (*control.TransactResponse, error) {
 	var tx table.Transaction
 	if err := json.Unmarshal(req.GetTransaction(), &tx); err != nil {
 		return nil, twirp.InvalidArgumentError("transaction", err.Error())
@@ -251,7 +251,7 @@
 
 // NudgeAll tells the leader of every zone to read the table now. A lost nudge
 // only delays the news until that leader's next turn.
-func (d *Duty) NudgeAll(ctx context.Context) {
+func (d *Leader) NudgeAll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, nudgeTimeout)
 	defer cancel()
 	res, err := d.Table.Transact(ctx, table.Transaction{ReadPrefixes: []string{seat.RowKey("")}})
--- a/gateway/leader/report.go
+++ b/gateway/leader/report.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// reportCheck lies between two looks whether there is news to report.
-	reportCheck = 50 * time.Millisecond
-	// reportInterval is the longest time between two reports.
-	reportInterval = 2 * time.Second
-	// beatInterval is the longest time between two signs of life, which are
+	// reportCheckInterval lies between two looks whether there is news to report.
+	reportCheckInterval = 50 * time.Millisecond
+	// maxReportInterval is the longest time between two reports.
+	maxReportInterval = 2 * time.Second
+	// keepAliveInterval is the longest time between two signs of life, which are
 	// reports without the parts that are sums.
-	beatInterval  = 400 * time.Millisecond
-	reportTimeout = 300 * time.Millisecond
+	keepAliveInterval = 400 * time.Millisecond
+	reportTimeout     = 300 * time.Millisecond
 )
 
 // Reporter is the duty of telling the planner what the zone's leader knows.
 type Reporter struct {
-	Leader *Duty
+	Leader *Leader
 }
 
 // Serve reports until the context ends.
 func (r *Reporter) Serve(ctx context.Context) error {
 	var sent, beat time.Time
 	var last string
-	tick := time.NewTicker(reportCheck)
+	tick := time.NewTicker(reportCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -41,17 +41,17 @@
 		if req == nil {
 			continue
 		}
-		news := newsOf(req)
-		full := news != last || now.Sub(sent) >= reportInterval
-		if !full && now.Sub(beat) < beatInterval {
+		news := urgentPart(req)
+		full := news != last || now.Sub(sent) >= maxReportInterval
+		if !full && now.Sub(beat) < keepAliveInterval {
 			continue
 		}
 		if full {
-			r.Leader.addSums(now, req)
+			r.Leader.addTotals(now, req)
 		} else {
-			req = beatOf(req)
+			req = keepAliveReport(req)
 		}
-		if !r.Leader.send(ctx, req) {
+		if !r.Leader.sendReport(ctx, req) {
 			continue
 		}
 		beat = now
@@ -61,15 +61,15 @@
 	}
 }
 
-// beatOf is a sign of life.
-func beatOf(req *control.ReportRequest) *control.ReportRequest {
+// keepAliveReport is a sign of life.
+func keepAliveReport(req *control.ReportRequest) *control.ReportRequest {
 	return &control.ReportRequest{
 		Zone: req.GetZone(), Instance: req.GetInstance(), Term: req.GetTerm(), Beat: true,
 	}
 }
 
-// newsOf is what a planner should hear of at once.
-func newsOf(req *control.ReportRequest) string {
+// urgentPart is what a planner should hear of at once.
+func urgentPart(req *control.ReportRequest) string {
 	short := &control.ReportRequest{
 		Term:     req.GetTerm(),
 		Released: req.GetReleased(),
@@ -81,7 +81,7 @@
 }
 
 // report composes the report; nil if this instance does not lead.
-func (d *Duty) report(now time.Time) *control.ReportRequest {
+func (d *Leader) report(now time.Time) *control.ReportRequest {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.leading(now) {
@@ -93,30 +93,30 @@
 		Instance:    d.Instance,
 		Term:        record.Term,
 		TermVersion: d.seat.TermVersion(),
-		Released:    encodeReleases(d.zone.Released(now)),
-		Returned:    encodeReleases(d.zone.Returned()),
+		Released:    encodeReleases(d.zoneState.Released(now)),
+		Returned:    encodeReleases(d.zoneState.Returned()),
 	}
-	for _, drained := range d.zone.Drained(now) {
+	for _, drained := range d.zoneState.Drained(now) {
 		req.Drained = append(req.Drained, &control.Drain{
 			Service: drained.Service, First: drained.First, Epoch: drained.Epoch, Version: drained.Version,
 		})
 	}
 	for name := range d.View.Load().Versions() {
-		req.Reached = append(req.Reached, &control.Known{Name: name, Version: d.zone.Reached(now, name)})
+		req.Reached = append(req.Reached, &control.Known{Name: name, Version: d.zoneState.ReachedVersion(now, name)})
 	}
 	sortKnown(req.Reached)
 	return req
 }
 
-// addSums adds what is worth telling only now and then.
-func (d *Duty) addSums(now time.Time, req *control.ReportRequest) {
+// addTotals adds what is worth telling only now and then.
+func (d *Leader) addTotals(now time.Time, req *control.ReportRequest) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.zone == nil {
+	if d.zoneState == nil {
 		return
 	}
-	req.Loads, req.Hot = d.loads.peek()
-	for _, m := range d.zone.Members() {
+	req.Loads, req.Hot = d.loads.totals()
+	for _, m := range d.zoneState.Members() {
 		req.Members = append(req.Members, encodeMember(now, m))
 	}
 }
@@ -142,8 +142,8 @@
 	return out
 }
 
-// send brings the report to the planner, and books the loads as told.
-func (d *Duty) send(ctx context.Context, req *control.ReportRequest) bool {
+// sendReport brings the report to the planner, and books the loads as told.
+func (d *Leader) sendReport(ctx context.Context, req *control.ReportRequest) bool {
 	address := d.Planner.Address()
 	if address == "" {
 		return false
@@ -156,12 +156,12 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.told = time.Now()
-	d.loads.clear(req.GetLoads(), req.GetHot())
+	d.reportAcceptedAt = time.Now()
+	d.loads.subtract(req.GetLoads(), req.GetHot())
 	return true
 }
 
-func (d *Duty) plannerAt(address string) control.Planner {
+func (d *Leader) plannerAt(address string) control.Planner {
 	if address == d.Address {
 		return d.Planner
 	}
--- a/gateway/mirror/mirror_test.go
+++ b/gateway/mirror/mirror_test.go
@@ -80,7 +80,7 @@
 	await(t, c, "a", "1")
 	fake.Put("mine", "a", []byte("2"))
 	await(t, c, "a", "2")
-	fake.Drop("mine", "a")
+	fake.Delete("mine", "a")
 	await(t, c, "a", "")
 }
 
@@ -91,11 +91,11 @@
 	fake.Put("mine", "a", []byte("1"))
 	fake.Put("mine", "b", []byte("1"))
 	await(t, c, "b", "1")
-	fake.Refuse(http.StatusServiceUnavailable)
+	fake.SetRefusal(http.StatusServiceUnavailable)
 	fake.Put("mine", "a", []byte("2"))
-	fake.Drop("mine", "b")
+	fake.Delete("mine", "b")
 	fake.Compact()
-	fake.Refuse(0)
+	fake.SetRefusal(0)
 	await(t, c, "a", "2")
 	await(t, c, "b", "")
 }
@@ -134,23 +134,23 @@
 	fake, c := start(t, false)
 	fake.Put("mine", "a", []byte("1"))
 	await(t, c, "a", "1")
-	fake.Refuse(http.StatusServiceUnavailable)
+	fake.SetRefusal(http.StatusServiceUnavailable)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if c.Failing() {
 			return poll.Success()
 		}
 		return poll.Continue("the mirror is not failing yet")
 	}, poll.WithTimeout(30*time.Second))
-	fake.Silence(true)
-	fake.Refuse(0)
-	calls := fake.Calls()
+	fake.SetUnresponsive(true)
+	fake.SetRefusal(0)
+	calls := fake.CallCount()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if fake.Calls() > calls {
+		if fake.CallCount() > calls {
 			return poll.Success()
 		}
 		return poll.Continue("no call to the unresponsive store yet")
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(5*time.Millisecond))
-	fake.Silence(false)
+	fake.SetUnresponsive(false)
 	fake.Put("mine", "a", []byte("2"))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if c.value("a") == "2" {
@@ -248,11 +248,11 @@
 		assert.Check(t, m.ApplyForwarded(mirror.ForwardedUpdate{From: m.Revision(), To: revision}))
 		fake.Compact()
 		fake.Put("mine", "c", []byte("3"))
-		reads := fake.Reads("mine")
+		reads := fake.RangeCount("mine")
 		m.Refresh()
 		time.Sleep(time.Second)
 		assert.Check(t, has("c"))
-		assert.Check(t, fake.Reads("mine") == reads, "the whole table was read again")
+		assert.Check(t, fake.RangeCount("mine") == reads, "the whole table was read again")
 	})
 }
 
--- a/gateway/peer/peer.go
+++ b/gateway/peer/peer.go
@@ -14,7 +14,7 @@
 	TLS bool
 }
 
-func (c *Caller) url(address string) string {
+func (c *Caller) baseURL(address string) string {
 	if c.TLS {
 		return "https://" + address
 	}
@@ -23,10 +23,10 @@
 
 // Zone returns the calls that every instance serves.
 func (c *Caller) Zone(address string) control.Zone {
-	return control.NewZoneProtobufClient(c.url(address), c.Client)
+	return control.NewZoneProtobufClient(c.baseURL(address), c.Client)
 }
 
 // Planner returns the calls that the planner serves.
 func (c *Caller) Planner(address string) control.Planner {
-	return control.NewPlannerProtobufClient(c.url(address), c.Client)
+	return control.NewPlannerProtobufClient(c.baseURL(address), c.Client)
 }
--- a/gateway/peers/message.go
+++ b/gateway/peers/message.go
@@ -10,51 +10,51 @@
 	_ struct{} `cbor:",toarray"`
 
 	From string
-	// Life is the sender's lifetime: another one under the same name means
+	// Incarnation is the sender's lifetime: another one under the same name means
 	// that the process was started anew.
-	Life      string
-	Revisions map[string]uint64
-	Beat      *Beat
-	Report    *Report
-	News      *News
-	Hello     *Instance
-	Reserve   *Reserve
-	Reserved  *Reserved
-	Release   *Release
-	// Bye is set in the last message of an instance that ends.
-	Bye    bool
-	Reader *Reader
-	Rows   *Rows
+	Incarnation      string
+	Revisions        map[string]uint64
+	Heartbeat        *Heartbeat
+	Report           *Report
+	AssignmentUpdate *AssignmentUpdate
+	Hello            *Instance
+	ReserveRequest   *ReserveRequest
+	ReserveResponse  *ReserveResponse
+	Release          *Release
+	// Leaving is set in the last message of an instance that ends.
+	Leaving         bool
+	ReaderHeartbeat *ReaderHeartbeat
+	TableUpdate     *TableUpdate
 }
 
-// Reader is the sign of life of an instance that follows the store's feeds for
+// ReaderHeartbeat is the sign of life of an instance that follows the store's feeds for
 // its zone.
-type Reader struct {
+type ReaderHeartbeat struct {
 	_ struct{} `cbor:",toarray"`
 
-	// Reached is how far each table's copy is complete. Without it the sender's way to
+	// MirrorRevisions is how far each table's copy is complete. Without it the sender's way to
 	// the store is not proved any more, and others must not rely on it.
-	Reached map[string]uint64
-	// Targets is the digest of the targets that it knows.
-	Targets uint64
+	MirrorRevisions map[string]uint64
+	// TargetsDigest is the digest of the targets that it knows.
+	TargetsDigest uint64
 }
 
-// Rows is what a feed brought: the changes of a table after From up to To that
+// TableUpdate is what a feed brought: the changes of a table after From up to To that
 // others must hear of. Newest is the revision of the newest change, told or not.
-type Rows struct {
+type TableUpdate struct {
 	_ struct{} `cbor:",toarray"`
 
-	Table    string
-	From, To uint64
-	Newest   uint64
-	Rows     []Row
+	Table        string
+	From, To     uint64
+	NewestChange uint64
+	Changes      []RowChange
 	// Fetch is set if the rows do not fit into a datagram: the sender gives
 	// its copy to who asks for it.
 	Fetch bool
 }
 
-// Row is a changed row.
-type Row struct {
+// RowChange is a changed row.
+type RowChange struct {
 	_ struct{} `cbor:",toarray"`
 
 	Key      string
@@ -63,8 +63,8 @@
 	Removed  bool
 }
 
-// Reserve asks for a slot of a target.
-type Reserve struct {
+// ReserveRequest asks for a slot of a target.
+type ReserveRequest struct {
 	_ struct{} `cbor:",toarray"`
 
 	Seq         uint64
@@ -74,22 +74,22 @@
 	Zone        string
 	Excluded    []string
 	Priority    int
-	OnTime      bool
+	RejectLate  bool
 	ObjectiveMs int64
 	DeadlineMs  int64
 }
 
-// Reserved answers it: with a target, with Queued, or with a refusal.
-type Reserved struct {
+// ReserveResponse answers it: with a target, with Queued, or with a refusal.
+type ReserveResponse struct {
 	_ struct{} `cbor:",toarray"`
 
-	Seq      uint64
-	Target   string
-	Born     int64
-	Queued   bool
-	NoTarget bool
-	WaitMs   int64
-	Waiting  int
+	Seq         uint64
+	Target      string
+	Started     int64
+	Queued      bool
+	NoTarget    bool
+	WaitMs      int64
+	QueueLength int
 }
 
 // Release gives a slot back, or withdraws a request for one.
@@ -98,18 +98,18 @@
 
 	Seq    uint64
 	Result int
-	// TookUs is how long the sender had the slot, in microseconds.
-	TookUs int64
+	// HeldUs is how long the sender had the slot, in microseconds.
+	HeldUs int64
 }
 
-// Beat is the coordinator's sign of life.
-type Beat struct {
+// Heartbeat is the coordinator's sign of life.
+type Heartbeat struct {
 	_ struct{} `cbor:",toarray"`
 
 	Term int64
-	// Lease is the revision of the lease's row, and LeaseMs what it is good for.
-	Lease   uint64
-	LeaseMs int64
+	// LeaseRevision is the revision of the lease's row, and LeaseMs what it is good for.
+	LeaseRevision uint64
+	LeaseMs       int64
 	// Members is how many instances report to the coordinator.
 	Members int
 	// Resigned is set in the last beat of a coordinator that gives up.
@@ -118,8 +118,8 @@
 	InDoubt bool
 }
 
-// News is a change of a service's assignment that was recorded in the store.
-type News struct {
+// AssignmentUpdate is a change of a service's assignment that was recorded in the store.
+type AssignmentUpdate struct {
 	_ struct{} `cbor:",toarray"`
 
 	Service string
@@ -138,13 +138,13 @@
 	_ struct{} `cbor:",toarray"`
 
 	Loads []KeyLoad
-	// Speeds are how long targets need for an answer, as far as the sender
+	// Latencies are how long targets need for an answer, as far as the sender
 	// decides for them.
-	Speeds []Speed
+	Latencies []TargetLatency
 }
 
-// Speed is a target's usual time of an answer.
-type Speed struct {
+// TargetLatency is a target's usual time of an answer.
+type TargetLatency struct {
 	_ struct{} `cbor:",toarray"`
 
 	Service string
@@ -166,11 +166,11 @@
 type Instance struct {
 	_ struct{} `cbor:",toarray"`
 
-	Name     string `json:"name"`
-	Life     string `json:"life"`
-	Zone     string `json:"zone"`
-	Datagram string `json:"datagram"`
-	Control  string `json:"control"`
+	Name        string `json:"name"`
+	Incarnation string `json:"life"`
+	Zone        string `json:"zone"`
+	Datagram    string `json:"datagram"`
+	Control     string `json:"control"`
 	// Cores is its share of a processor; 0 if it does not know.
 	Cores float64 `json:"cores,omitempty"`
 }
--- a/gateway/peers/peers.go
+++ b/gateway/peers/peers.go
@@ -22,13 +22,13 @@
 	// Receive is called for each message, from one goroutine.
 	Receive func(m *Message)
 
-	mu    sync.Mutex
-	known map[string]peer
+	mu     sync.Mutex
+	byName map[string]peer
 	// all, zones and others are made from known when they are asked for.
-	all    []Instance
-	zones  map[string][]Instance
-	others []netip.AddrPort
-	conn   *net.UDPConn
+	all            []Instance
+	byZone         map[string][]Instance
+	broadcastAddrs []netip.AddrPort
+	conn           *net.UDPConn
 }
 
 // peer is an instance that can be sent to.
@@ -70,19 +70,19 @@
 	return ctx.Err()
 }
 
-// Know takes in the list of all instances.
-func (p *Peers) Know(list map[string]Instance) {
+// SetInstances takes in the list of all instances.
+func (p *Peers) SetInstances(list map[string]Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := p.known
-	p.known = make(map[string]peer, len(list))
-	p.all, p.zones, p.others = nil, nil, nil
+	old := p.byName
+	p.byName = make(map[string]peer, len(list))
+	p.all, p.byZone, p.broadcastAddrs = nil, nil, nil
 	for name, i := range list {
 		if same, ok := old[name]; ok && same.instance == i {
-			p.known[name] = same
+			p.byName[name] = same
 			continue
 		}
-		p.take(name, i)
+		p.put(name, i)
 	}
 }
 
@@ -90,51 +90,51 @@
 func (p *Peers) Add(i Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old, ok := p.known[i.Name]
+	old, ok := p.byName[i.Name]
 	if ok && old.instance == i {
 		return
 	}
-	if p.known == nil {
-		p.known = map[string]peer{}
+	if p.byName == nil {
+		p.byName = map[string]peer{}
 	}
-	p.take(i.Name, i)
-	p.all, p.others = nil, nil
-	delete(p.zones, i.Zone)
-	delete(p.zones, old.instance.Zone)
+	p.put(i.Name, i)
+	p.all, p.broadcastAddrs = nil, nil
+	delete(p.byZone, i.Zone)
+	delete(p.byZone, old.instance.Zone)
 }
 
-// take notes an instance and its address.
-func (p *Peers) take(name string, i Instance) {
+// put notes an instance and its address.
+func (p *Peers) put(name string, i Instance) {
 	addr, err := net.ResolveUDPAddr("udp4", i.Datagram)
 	if err != nil {
 		event.DatagramFailed.Log(p.Log, "instance", name, "error", err)
 	}
 	// Without an address it counts as known, and nothing is sent to it.
 	at := addr.AddrPort()
-	p.known[name] = peer{instance: i, addr: netip.AddrPortFrom(at.Addr().Unmap(), at.Port())}
+	p.byName[name] = peer{instance: i, addr: netip.AddrPortFrom(at.Addr().Unmap(), at.Port())}
 }
 
 // Remove forgets an instance that ends.
 func (p *Peers) Remove(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.zones, p.known[name].instance.Zone)
-	delete(p.known, name)
-	p.all, p.others = nil, nil
+	delete(p.byZone, p.byName[name].instance.Zone)
+	delete(p.byName, name)
+	p.all, p.broadcastAddrs = nil, nil
 }
 
 // Find returns an instance; its name is empty if it is not known.
 func (p *Peers) Find(name string) Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.known[name].instance
+	return p.byName[name].instance
 }
 
 // Count returns the number of instances known, this one included.
 func (p *Peers) Count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.known)
+	return len(p.byName)
 }
 
 // All returns the instances known, this one included. The list must not be changed.
@@ -142,8 +142,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.all == nil {
-		p.all = make([]Instance, 0, len(p.known))
-		for _, known := range p.known {
+		p.all = make([]Instance, 0, len(p.byName))
+		for _, known := range p.byName {
 			p.all = append(p.all, known.instance)
 		}
 	}
@@ -154,19 +154,19 @@
 func (p *Peers) Zone(zone string) []Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list, ok := p.zones[zone]
+	list, ok := p.byZone[zone]
 	if ok {
 		return list
 	}
-	for _, known := range p.known {
+	for _, known := range p.byName {
 		if known.instance.Zone == zone {
 			list = append(list, known.instance)
 		}
 	}
-	if p.zones == nil {
-		p.zones = map[string][]Instance{}
+	if p.byZone == nil {
+		p.byZone = map[string][]Instance{}
 	}
-	p.zones[zone] = list
+	p.byZone[zone] = list
 	return list
 }
 
@@ -179,7 +179,7 @@
 	addrs := make([]netip.AddrPort, 0, len(to))
 	p.mu.Lock()
 	for _, name := range to {
-		if known := p.known[name]; known.addr.IsValid() {
+		if known := p.byName[name]; known.addr.IsValid() {
 			addrs = append(addrs, known.addr)
 		}
 	}
@@ -190,15 +190,15 @@
 // Broadcast sends a message to all other instances.
 func (p *Peers) Broadcast(m *Message) {
 	p.mu.Lock()
-	if p.others == nil {
-		p.others = make([]netip.AddrPort, 0, len(p.known))
-		for name, known := range p.known {
+	if p.broadcastAddrs == nil {
+		p.broadcastAddrs = make([]netip.AddrPort, 0, len(p.byName))
+		for name, known := range p.byName {
 			if name != p.Self.Name && known.addr.IsValid() {
-				p.others = append(p.others, known.addr)
+				p.broadcastAddrs = append(p.broadcastAddrs, known.addr)
 			}
 		}
 	}
-	others := p.others
+	others := p.broadcastAddrs
 	p.mu.Unlock()
 	p.write(m, others)
 }
@@ -207,7 +207,7 @@
 	if len(addrs) == 0 {
 		return
 	}
-	m.From, m.Life = p.Self.Name, p.Self.Life
+	m.From, m.Incarnation = p.Self.Name, p.Self.Incarnation
 	text, err := cbor.Marshal(m)
 	if err != nil {
 		event.DatagramFailed.Log(p.Log, "error", err)
--- a/gateway/peers/peers_test.go
+++ b/gateway/peers/peers_test.go
@@ -8,25 +8,25 @@
 	"gotest.tools/v3/assert"
 )
 
-func instanceNumber(n int) Instance {
+func testInstance(n int) Instance {
 	return Instance{
-		Name: fmt.Sprintf("gw-%04d", n), Life: "abcdefgh", Zone: fmt.Sprintf("z%d", n%8),
+		Name: fmt.Sprintf("gw-%04d", n), Incarnation: "abcdefgh", Zone: fmt.Sprintf("z%d", n%8),
 		Datagram: fmt.Sprintf("10.0.%d.%d:7660", n/250, n%250), Control: "10.0.0.1:8146", Cores: 0.16,
 	}
 }
 
-func known(n int) *Peers {
-	p := &Peers{Self: instanceNumber(0), Log: slog.New(slog.DiscardHandler)}
+func newPeers(n int) *Peers {
+	p := &Peers{Self: testInstance(0), Log: slog.New(slog.DiscardHandler)}
 	for k := range n {
-		p.Add(instanceNumber(k))
+		p.Add(testInstance(k))
 	}
 	return p
 }
 
 // Guards against lists of instances that are out of date after one comes, moves
 // to another availability zone, or ends.
-func TestListsFollowChanges(t *testing.T) {
-	p := known(16)
+func TestListsAreUpdatedOnChange(t *testing.T) {
+	p := newPeers(16)
 	count := func(all, zone int) {
 		t.Helper()
 		assert.Equal(t, len(p.All()), all)
@@ -34,28 +34,28 @@
 		assert.Equal(t, len(p.Zone("z1")), zone)
 	}
 	count(16, 2)
-	p.Add(instanceNumber(17))
+	p.Add(testInstance(17))
 	count(17, 3)
-	moved := instanceNumber(17)
+	moved := testInstance(17)
 	moved.Zone = "z2"
 	p.Add(moved)
 	count(17, 2)
 	assert.Equal(t, len(p.Zone("z2")), 3)
-	p.Remove(instanceNumber(1).Name)
+	p.Remove(testInstance(1).Name)
 	count(16, 1)
 	p.Remove("nobody")
 	count(16, 1)
 	assert.Equal(t, p.Find(moved.Name), moved)
 	assert.Equal(t, p.Find("nobody").Name, "")
-	p.Know(map[string]Instance{moved.Name: moved})
+	p.SetInstances(map[string]Instance{moved.Name: moved})
 	count(1, 0)
 }
 
 // Guards against an address that cannot be read: its instance counts, and nothing
 // is sent there.
-func TestInstanceWithoutAddressCounts(t *testing.T) {
-	p := known(2)
-	bad := instanceNumber(5)
+func TestInstanceWithUnresolvableAddressIsListed(t *testing.T) {
+	p := newPeers(2)
+	bad := testInstance(5)
 	bad.Datagram = "nowhere"
 	p.Add(bad)
 	assert.Equal(t, p.Count(), 3)
@@ -64,11 +64,11 @@
 
 // Guards against work for a hello, of which a fleet that starts sends several from
 // each instance to each other one, that grows with the fleet.
-func TestHelloOfAKnownInstanceAllocatesNothing(t *testing.T) {
-	p := known(300)
+func TestRepeatedHelloAllocatesNothing(t *testing.T) {
+	p := newPeers(300)
 	p.All()
 	p.Zone("z1")
-	again := instanceNumber(1)
+	again := testInstance(1)
 	assert.Equal(t, testing.AllocsPerRun(100, func() {
 		p.Add(again)
 		p.All()
@@ -77,15 +77,15 @@
 }
 
 // All instances of a fleet become known, each by three hellos.
-func BenchmarkHellos(b *testing.B) {
+func BenchmarkAddInstances(b *testing.B) {
 	for _, n := range []int{100, 300, 1000} {
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				p := known(n)
+				p := newPeers(n)
 				for range 2 {
 					for k := range n {
-						p.Add(instanceNumber(k))
+						p.Add(testInstance(k))
 					}
 				}
 			}
--- a/gateway/planner/decide.go
+++ b/gateway/planner/decide.go
@@ -20,23 +20,23 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// decide plans every service and writes what changes in one transaction.
-func (d *Duty) decide(ctx context.Context) {
+// planServices plans every service and writes what changes in one transaction.
+func (d *Planner) planServices(ctx context.Context) {
 	doc := d.View.Load().Config
-	if doc == nil || d.listed == nil {
+	if doc == nil || d.instances == nil {
 		return
 	}
 	now := time.Now()
-	evicted := d.lostZones(ctx)
-	balance := now.Sub(d.balanced) >= balanceInterval
+	evicted := d.advanceEvictions(ctx)
+	balance := now.Sub(d.balancedAt) >= balanceInterval
 	if balance {
-		d.balanced = now
+		d.balancedAt = now
 	}
-	b := &batch{duty: d, tx: table.Transaction{Token: d.Token()}, splits: map[string][]plan.Split{}, merges: map[string][]plan.Merge{}}
+	b := &batch{planner: d, tx: table.Transaction{Token: d.NewToken()}, splits: map[string][]plan.Split{}, merges: map[string][]plan.Merge{}}
 	for _, service := range doc.Services {
-		in := d.input(now, doc, service, evicted)
+		in := d.planInput(now, doc, service, evicted)
 		in.Balance = balance
-		decision := plan.Next(d.log(service.Name).Current(), in)
+		decision := plan.Next(d.deltaLog(service.Name).Current(), in)
 		if decision.Next == nil {
 			continue
 		}
@@ -46,7 +46,7 @@
 		}
 	}
 	for name := range evicted {
-		if err := b.evict(now, d.zones[name]); err != nil {
+		if err := b.addEviction(now, d.zoneSeats[name]); err != nil {
 			d.Log.Error("evict", "zone", name, "error", err)
 			return
 		}
@@ -56,28 +56,28 @@
 	}
 }
 
-// lostZones works on the eviction of zones whose seat nobody renews or takes
+// advanceEvictions works on the eviction of zones whose seat nobody renews or takes
 // over, and returns those for which it is complete.
-func (d *Duty) lostZones(ctx context.Context) map[string]bool {
+func (d *Planner) advanceEvictions(ctx context.Context) map[string]bool {
 	lost := map[string]bool{}
 	var none sync.Mutex
-	for name, z := range d.zones {
+	for name, z := range d.zoneSeats {
 		r, _ := z.Record()
-		d.hint(name, z)
-		suspect := z.Hinted() || z.Silence(time.Now()) >= evictor.Suspect
-		if r.Holder == "" || !suspect || d.beats(name) {
+		d.applyHints(name, z)
+		suspect := z.HasHint() || z.UnchangedFor(time.Now()) >= evictor.SuspectAfter
+		if r.Holder == "" || !suspect || d.leaderAlive(name) {
 			continue
 		}
 		complete := d.Evictor.Step(ctx, &none, z, d.otherSeats(name))
-		if complete && time.Since(z.TableEnd()) > evictGrace {
+		if complete && time.Since(z.TableLeaseEnd()) > zoneEvictionDelay {
 			lost[name] = true
 		}
 	}
 	return lost
 }
 
-// hint passes on what the zone's leader said of its seat.
-func (d *Duty) hint(zone string, z *seat.Seat) {
+// applyHints passes on what the zone's leader said of its seat.
+func (d *Planner) applyHints(zone string, z *seat.Seat) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if h := d.hints[zone]; h != nil {
@@ -85,16 +85,16 @@
 	}
 }
 
-// beats tells whether the zone's leader has given a sign of life lately.
-func (d *Duty) beats(zone string) bool {
+// leaderAlive tells whether the zone's leader has given a sign of life lately.
+func (d *Planner) leaderAlive(zone string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return time.Since(d.heard(zone)) <= beatAge
+	return time.Since(d.lastHeartbeat(zone)) <= heartbeatTimeout
 }
 
-func (d *Duty) otherSeats(zone string) []seat.Record {
+func (d *Planner) otherSeats(zone string) []seat.Record {
 	var others []seat.Record
-	for name, z := range d.zones {
+	for name, z := range d.zoneSeats {
 		if r, _ := z.Record(); name != zone {
 			others = append(others, r)
 		}
@@ -102,49 +102,49 @@
 	return others
 }
 
-// input gathers what a decision about a service rests on.
-func (d *Duty) input(now time.Time, doc *config.Document, service config.Service, evicted map[string]bool) plan.Input {
+// planInput gathers what a decision about a service rests on.
+func (d *Planner) planInput(now time.Time, doc *config.Document, service config.Service, evicted map[string]bool) plan.Input {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	in := plan.Input{
-		Divided:  service.Divided,
-		Shards:   service.InitialShards(),
-		Complete: true,
-		Draining: map[string]bool{},
-		Evicted:  evicted,
-		Led:      map[string]bool{},
-		Settled:  now.Sub(d.held) > settleAfter,
-		Loads:    d.loads.of(service.Name, now),
-		Window:   loadWindow.Seconds(),
-		Hot:      d.hot.of(service.Name),
+		Sharded:       service.Sharded,
+		InitialShards: service.InitialShards(),
+		ListComplete:  true,
+		Draining:      map[string]bool{},
+		EvictedZones:  evicted,
+		LedZones:      map[string]bool{},
+		StartupDone:   now.Sub(d.planningSince) > startupDelay,
+		Loads:         d.loads.ratesOf(service.Name, now),
+		LoadWindow:    loadWindow.Seconds(),
+		HotKeys:       d.hot.top(service.Name),
 	}
-	for _, i := range d.listed {
+	for _, i := range d.instances {
 		if i.Role != platform.TargetRole || i.Service != service.Name {
 			continue
 		}
-		in.Listed = append(in.Listed, plan.Listing{Target: listedTarget(i), Leaving: i.Leaving})
+		in.Listed = append(in.Listed, plan.ListedTarget{Target: listedTarget(i), Leaving: i.Leaving})
 		rules := doc.Resolve(config.Scope{Service: i.Service, Zone: i.Zone, Target: i.ID}, now)
 		in.Draining[i.ID] = *rules.Drain
 	}
 	reached := ^uint64(0)
 	for name, r := range d.reports {
-		if now.Sub(r.at) > reportAge || evicted[name] {
+		if now.Sub(r.receivedAt) > maxReportAge || evicted[name] {
 			continue
 		}
-		in.Led[name] = true
+		in.LedZones[name] = true
 		in.Released = append(in.Released, decodeReleases(r.req.GetReleased())...)
 		in.Returned = append(in.Returned, decodeReleases(r.req.GetReturned())...)
 		in.Drained = append(in.Drained, decodeDrains(r.req.GetDrained())...)
 		reached = min(reached, knownVersion(r.req.GetReached(), service.Name))
 	}
-	in.Quiet = d.quietOf(now, service.Name, d.reachedEverywhere(in.Led, reached), doc)
+	in.QuietVersion = d.quietVersionOf(now, service.Name, d.reachedByAllZones(in.LedZones, reached), doc)
 	return in
 }
 
-// reachedEverywhere is zero while a zone whose gateways may have authority has
+// reachedByAllZones is zero while a zone whose gateways may have authority has
 // not reported.
-func (d *Duty) reachedEverywhere(led map[string]bool, reached uint64) uint64 {
-	for name, z := range d.zones {
+func (d *Planner) reachedByAllZones(led map[string]bool, reached uint64) uint64 {
+	for name, z := range d.zoneSeats {
 		if r, _ := z.Record(); r.Holder != "" && !led[name] {
 			return 0
 		}
@@ -152,13 +152,13 @@
 	return reached
 }
 
-func (d *Duty) quietOf(now time.Time, service string, reached uint64, doc *config.Document) uint64 {
-	q, ok := d.quiet[service]
+func (d *Planner) quietVersionOf(now time.Time, service string, reached uint64, doc *config.Document) uint64 {
+	q, ok := d.quietVersions[service]
 	if !ok {
 		q = &quietVersion{}
-		d.quiet[service] = q
+		d.quietVersions[service] = q
 	}
-	return q.note(now, reached, longestDeadline(doc, service, now)+pauseMargin)
+	return q.record(now, reached, longestDeadline(doc, service, now)+pauseMargin)
 }
 
 func listedTarget(i platform.Instance) assignment.Target {
@@ -200,7 +200,7 @@
 
 // batch is one transaction with the decisions of all services.
 type batch struct {
-	duty     *Duty
+	planner  *Planner
 	tx       table.Transaction
 	services []string
 	causes   []string
@@ -211,7 +211,7 @@
 
 func (b *batch) add(ctx context.Context, decision plan.Decision, evicted map[string]bool) error {
 	service := decision.Next.Service
-	tx, err := b.duty.log(service).Append(ctx, decision.Next, b.tx.Token)
+	tx, err := b.planner.deltaLog(service).PrepareAppend(ctx, decision.Next, b.tx.Token)
 	if err != nil {
 		return err
 	}
@@ -235,9 +235,9 @@
 // while this write gives its shards away. With the condition one of the two
 // sees the other: the write fails, or the new leader reads the new assignment.
 func (b *batch) requireTerm(zone string) {
-	b.duty.mu.Lock()
-	version := b.duty.reports[zone].req.GetTermVersion()
-	b.duty.mu.Unlock()
+	b.planner.mu.Lock()
+	version := b.planner.reports[zone].req.GetTermVersion()
+	b.planner.mu.Unlock()
 	for _, c := range b.tx.Conditions {
 		if c.Key == seat.TermKey(zone) {
 			return
@@ -246,8 +246,8 @@
 	b.tx.Conditions = append(b.tx.Conditions, table.Condition{Key: seat.TermKey(zone), Version: version})
 }
 
-// evict takes the zone's seat away in the same transaction.
-func (b *batch) evict(now time.Time, z *seat.Seat) error {
+// addEviction takes the zone's seat away in the same transaction.
+func (b *batch) addEviction(now time.Time, z *seat.Seat) error {
 	tx, err := z.Evict(now, b.tx.Token)
 	if err != nil {
 		return err
@@ -263,20 +263,20 @@
 func (b *batch) logEvictions() {
 	now := time.Now()
 	for _, z := range b.evicted {
-		b.duty.mu.Lock()
-		heard := b.duty.heard(z.Name)
-		b.duty.mu.Unlock()
-		event.ZoneEvicted.Log(b.duty.Log, "zone", z.Name, "heardMsAgo", now.Sub(heard).Milliseconds(),
-			"planningMs", now.Sub(b.duty.held).Milliseconds())
+		b.planner.mu.Lock()
+		heard := b.planner.lastHeartbeat(z.Name)
+		b.planner.mu.Unlock()
+		event.ZoneEvicted.Log(b.planner.Log, "zone", z.Name, "heardMsAgo", now.Sub(heard).Milliseconds(),
+			"planningMs", now.Sub(b.planner.planningSince).Milliseconds())
 	}
 }
 
 func (b *batch) write(ctx context.Context) {
-	d := b.duty
+	d := b.planner
 	callCtx, cancel := context.WithTimeout(ctx, 2*tableTimeout)
 	defer cancel()
-	if err := d.chain.Add(&b.tx, audit.Record{
-		At: time.Now(), Who: d.Instance, What: "assignment", Why: strings.Join(b.causes, "; "),
+	if err := d.chain.PrepareAppend(&b.tx, audit.Record{
+		At: time.Now(), Actor: d.Instance, Subject: "assignment", Reason: strings.Join(b.causes, "; "),
 	}); err != nil {
 		d.Log.Error("audit", "error", err)
 		return
@@ -290,45 +290,45 @@
 	}
 	if !res.Committed {
 		event.AssignmentRefused.Log(d.Log, "causes", b.causes)
-		d.absorb(ctx, res)
+		d.applyHeads(ctx, res)
 		return
 	}
-	d.chain.Accept(res.Revision)
-	b.followLoads()
+	d.chain.ConfirmAppend(res.Revision)
+	b.applySplitsAndMerges()
 	for _, service := range b.services {
-		delta := d.log(service).Accept(res.Revision)
+		delta := d.deltaLog(service).ConfirmAppend(res.Revision)
 		if err := d.View.ApplyDelta(delta); err != nil {
 			d.Log.Debug("own delta", "error", err)
 		}
 	}
-	d.absorb(ctx, res)
+	d.applyHeads(ctx, res)
 	event.AssignmentWritten.Log(d.Log, "causes", b.causes)
 	b.logEvictions()
-	d.nudge(ctx)
+	d.nudgeLeaders(ctx)
 }
 
-// followLoads books the loads of divided and joined shards anew.
-func (b *batch) followLoads() {
-	b.duty.mu.Lock()
-	defer b.duty.mu.Unlock()
+// applySplitsAndMerges books the loads of divided and joined shards anew.
+func (b *batch) applySplitsAndMerges() {
+	b.planner.mu.Lock()
+	defer b.planner.mu.Unlock()
 	for service, splits := range b.splits {
 		for _, s := range splits {
-			b.duty.loads.divide(service, s)
+			b.planner.loads.split(service, s)
 		}
 	}
 	for service, merges := range b.merges {
 		for _, m := range merges {
-			b.duty.loads.join(service, m)
+			b.planner.loads.merge(service, m)
 		}
 	}
 }
 
-// nudge tells every zone's leader to read the table now.
-func (d *Duty) nudge(ctx context.Context) {
+// nudgeLeaders tells every zone's leader to read the table now.
+func (d *Planner) nudgeLeaders(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, nudgeTimeout)
 	defer cancel()
 	var group errgroup.Group
-	for _, z := range d.zones {
+	for _, z := range d.zoneSeats {
 		r, _ := z.Record()
 		if r.Address == "" {
 			continue
--- a/gateway/planner/hot.go
+++ b/gateway/planner/hot.go
@@ -13,14 +13,14 @@
 const (
 	// hotWindow is the time after which a key's earlier work counts 1/e.
 	hotWindow = 15 * time.Second
-	// hotConsidered is how many keys of a service the planner looks at.
-	hotConsidered = 64
+	// maxHotKeys is how many keys of a service the planner looks at.
+	maxHotKeys = 64
 )
 
 // hotKeys merges the hot keys of all zones, by service.
 type hotKeys struct {
-	sketches map[string]*hotkey.Sketch
-	decayed  time.Time
+	sketches  map[string]*hotkey.Sketch
+	decayedAt time.Time
 }
 
 func (h *hotKeys) add(now time.Time, keys []*control.HotKey) {
@@ -29,10 +29,10 @@
 	}
 	if h.sketches == nil {
 		h.sketches = map[string]*hotkey.Sketch{}
-		h.decayed = now
+		h.decayedAt = now
 	}
-	factor := math.Exp(-now.Sub(h.decayed).Seconds() / hotWindow.Seconds())
-	h.decayed = now
+	factor := math.Exp(-now.Sub(h.decayedAt).Seconds() / hotWindow.Seconds())
+	h.decayedAt = now
 	for _, s := range h.sketches {
 		s.Decay(factor)
 	}
@@ -46,14 +46,14 @@
 	}
 }
 
-// of returns the hottest keys of a service with their work per second.
-func (h *hotKeys) of(service string) []plan.HotKey {
+// top returns the hottest keys of a service with their work per second.
+func (h *hotKeys) top(service string) []plan.HotKey {
 	s, ok := h.sketches[service]
 	if !ok {
 		return nil
 	}
 	var hot []plan.HotKey
-	for _, c := range s.Top(hotConsidered) {
+	for _, c := range s.Top(maxHotKeys) {
 		hot = append(hot, plan.HotKey{
 			Hash: shard.Hash(service, c.Key),
 			Work: c.Work / hotWindow.Seconds(),
--- a/gateway/planner/load.go
+++ b/gateway/planner/load.go
@@ -11,8 +11,8 @@
 const (
 	// loadWindow is the time constant of the load averages.
 	loadWindow = 20 * time.Second
-	// loadStep is how often the averages take in what was reported.
-	loadStep = time.Second
+	// loadUpdateInterval is how often the averages take in what was reported.
+	loadUpdateInterval = time.Second
 	// pauseMargin is how long a gateway may be paused between its last look
 	// at its authority and the first byte of a request, for targets that do
 	// not check. A longer pause is the residual risk.
@@ -21,16 +21,16 @@
 
 // loadAverage smooths the reported loads, by service and shard.
 type loadAverage struct {
-	pending map[string]map[uint64]float64
-	rates   map[string]map[uint64]float64
-	stepped time.Time
+	pending   map[string]map[uint64]float64
+	rates     map[string]map[uint64]float64
+	updatedAt time.Time
 }
 
 func (l *loadAverage) add(loads []*control.ShardLoad) {
 	if l.pending == nil {
 		l.pending = map[string]map[uint64]float64{}
 		l.rates = map[string]map[uint64]float64{}
-		l.stepped = time.Now()
+		l.updatedAt = time.Now()
 	}
 	for _, s := range loads {
 		byShard, ok := l.pending[s.GetService()]
@@ -42,17 +42,17 @@
 	}
 }
 
-// of returns a service's rates in work per second.
-func (l *loadAverage) of(service string, now time.Time) map[uint64]float64 {
-	if elapsed := now.Sub(l.stepped); l.pending != nil && elapsed >= loadStep {
-		l.step(elapsed)
-		l.stepped = now
+// ratesOf returns a service's rates in work per second.
+func (l *loadAverage) ratesOf(service string, now time.Time) map[uint64]float64 {
+	if elapsed := now.Sub(l.updatedAt); l.pending != nil && elapsed >= loadUpdateInterval {
+		l.update(elapsed)
+		l.updatedAt = now
 	}
 	return l.rates[service]
 }
 
-// divide books a shard's load on its two parts.
-func (l *loadAverage) divide(service string, s plan.Split) {
+// split books a shard's load on its two parts.
+func (l *loadAverage) split(service string, s plan.Split) {
 	if rates := l.rates[service]; rates != nil {
 		load := rates[s.First]
 		rates[s.At] = load * s.Share
@@ -60,15 +60,15 @@
 	}
 }
 
-// join books a shard's load on the one that it was joined to.
-func (l *loadAverage) join(service string, m plan.Merge) {
+// merge books a shard's load on the one that it was joined to.
+func (l *loadAverage) merge(service string, m plan.Merge) {
 	if rates := l.rates[service]; rates != nil {
-		rates[m.First] += rates[m.Gone]
-		delete(rates, m.Gone)
+		rates[m.First] += rates[m.Removed]
+		delete(rates, m.Removed)
 	}
 }
 
-func (l *loadAverage) step(elapsed time.Duration) {
+func (l *loadAverage) update(elapsed time.Duration) {
 	share := min(1, elapsed.Seconds()/loadWindow.Seconds())
 	for service, byShard := range l.pending {
 		rates, ok := l.rates[service]
@@ -90,34 +90,34 @@
 
 // quietVersion tracks since when every gateway has had a version in force.
 type quietVersion struct {
-	marks []mark
-	quiet uint64
+	history []reachedVersion
+	newest  uint64
 }
 
-type mark struct {
+type reachedVersion struct {
 	at      time.Time
 	version uint64
 }
 
-// maxMarks bounds the history.
-const maxMarks = 256
+// maxHistory bounds the history.
+const maxHistory = 256
 
-// note takes in the version that all have reached and returns the newest that
+// record takes in the version that all have reached and returns the newest that
 // all have had for at least wait.
-func (q *quietVersion) note(now time.Time, reached uint64, wait time.Duration) uint64 {
+func (q *quietVersion) record(now time.Time, reached uint64, wait time.Duration) uint64 {
 	if reached == ^uint64(0) {
-		return q.quiet
+		return q.newest
 	}
-	if n := len(q.marks); n == 0 || q.marks[n-1].version < reached {
-		q.marks = append(q.marks, mark{at: now, version: reached})
+	if n := len(q.history); n == 0 || q.history[n-1].version < reached {
+		q.history = append(q.history, reachedVersion{at: now, version: reached})
 	}
-	for len(q.marks) > 0 && (now.Sub(q.marks[0].at) >= wait || len(q.marks) > maxMarks) {
-		if now.Sub(q.marks[0].at) >= wait {
-			q.quiet = max(q.quiet, q.marks[0].version)
+	for len(q.history) > 0 && (now.Sub(q.history[0].at) >= wait || len(q.history) > maxHistory) {
+		if now.Sub(q.history[0].at) >= wait {
+			q.newest = max(q.newest, q.history[0].version)
 		}
-		q.marks = q.marks[1:]
+		q.history = q.history[1:]
 	}
-	return q.quiet
+	return q.newest
 }
 
 // longestDeadline is the longest time that a request to a service may take.
--- a/gateway/planner/planner.go
+++ b/gateway/planner/planner.go
@@ -26,30 +26,30 @@
 const (
 	// SeatName is the name of the planner's seat; no zone may have it.
 	SeatName = "$planner"
-	// interval lies between two looks at what there is to decide.
-	interval = 100 * time.Millisecond
+	// planInterval lies between two looks at what there is to decide.
+	planInterval = 100 * time.Millisecond
 	// renewInterval lies between two renewals of the planner's seat.
 	renewInterval = 400 * time.Millisecond
-	// plannerSilence is how long the planner's row stands still before another
+	// plannerTimeout is how long the planner's row stands still before another
 	// leader takes the seat.
-	plannerSilence = 700 * time.Millisecond
+	plannerTimeout = 700 * time.Millisecond
 	// readInterval lies between two readings of the heads while every zone's
 	// leader gives signs of life, alarmInterval while one does not.
-	readInterval  = 2 * time.Second
-	alarmInterval = 150 * time.Millisecond
-	// beatAge is the silence of a zone's leader that raises the alarm.
-	beatAge = 600 * time.Millisecond
-	// listInterval lies between two readings of the platform's list.
-	listInterval = time.Second
+	readInterval     = 2 * time.Second
+	fastReadInterval = 150 * time.Millisecond
+	// heartbeatTimeout is the silence of a zone's leader that raises the alarm.
+	heartbeatTimeout = 600 * time.Millisecond
+	// instanceListInterval lies between two readings of the platform's list.
+	instanceListInterval = time.Second
 	// balanceInterval lies between two decisions for balance.
 	balanceInterval = time.Second
-	// settleAfter is how long a new planner waits for reports.
-	settleAfter = 2 * time.Second
-	// evictGrace is what a silent zone's own candidates get after its seat
+	// startupDelay is how long a new planner waits for reports.
+	startupDelay = 2 * time.Second
+	// zoneEvictionDelay is what a silent zone's own candidates get after its seat
 	// became free, before the whole zone counts as lost.
-	evictGrace = 250 * time.Millisecond
-	// reportAge is the silence after which a zone counts as not led.
-	reportAge    = 4 * time.Second
+	zoneEvictionDelay = 250 * time.Millisecond
+	// maxReportAge is the silence after which a zone counts as not led.
+	maxReportAge = 4 * time.Second
 	tableTimeout = 800 * time.Millisecond
 	nudgeTimeout = 300 * time.Millisecond
 )
@@ -64,67 +64,67 @@
 	View        *view.View
 	Peers       *peer.Caller
 	Log         *slog.Logger
-	Token       func() string
+	NewToken    func() string
 	// Instances reads the platform's list.
 	Instances func(ctx context.Context) ([]platform.Instance, error)
 	// Leading tells whether this instance leads a zone; only those plan.
 	Leading func(now time.Time) bool
-	// Unheard tells whether the present planner has taken no report lately.
-	Unheard func() bool
-	Evictor *evictor.Evictor
+	// PlannerUnresponsive tells whether the present planner has taken no report lately.
+	PlannerUnresponsive func() bool
+	Evictor             *evictor.Evictor
 }
 
-// Duty plans while its instance holds the planner's seat.
-type Duty struct {
+// Planner plans while its instance holds the planner's seat.
+type Planner struct {
 	Options
 
 	mu       sync.Mutex
 	seat     seat.Seat
 	reports  map[string]zoneReport
 	hints    map[string]*seat.Hints
-	kick     chan struct{}
+	wake     chan struct{}
 	loads    loadAverage
 	hot      hotKeys
 	stopping bool
 
 	// The rest belongs to Serve alone.
-	chain    audit.Chain
-	logs     map[string]*deltalog.Log
-	zones    map[string]*seat.Seat
-	listed   []platform.Instance
-	listedAt time.Time
-	renewed  time.Time
-	readAt   time.Time
-	balanced time.Time
-	held     time.Time
-	quiet    map[string]*quietVersion
+	chain           audit.Chain
+	deltaLogs       map[string]*deltalog.Log
+	zoneSeats       map[string]*seat.Seat
+	instances       []platform.Instance
+	instancesReadAt time.Time
+	renewedAt       time.Time
+	headsReadAt     time.Time
+	balancedAt      time.Time
+	planningSince   time.Time
+	quietVersions   map[string]*quietVersion
 }
 
 // zoneReport is the last report of a zone's leader.
 type zoneReport struct {
-	at  time.Time
-	req *control.ReportRequest
+	receivedAt time.Time
+	req        *control.ReportRequest
 }
 
 // New returns a duty without the seat.
-func New(o Options) *Duty {
-	return &Duty{
+func New(o Options) *Planner {
+	return &Planner{
 		Options: o,
 		seat: seat.Seat{Name: SeatName, Self: seat.Record{
 			Holder: o.Instance, Incarnation: o.Incarnation, Address: o.Address,
 		}},
-		reports: map[string]zoneReport{},
-		hints:   map[string]*seat.Hints{},
-		kick:    make(chan struct{}, 1),
-		chain:   audit.Chain{Stream: audit.System},
-		logs:    map[string]*deltalog.Log{},
-		zones:   map[string]*seat.Seat{},
-		quiet:   map[string]*quietVersion{},
+		reports:       map[string]zoneReport{},
+		hints:         map[string]*seat.Hints{},
+		wake:          make(chan struct{}, 1),
+		chain:         audit.Chain{Stream: audit.System},
+		deltaLogs:     map[string]*deltalog.Log{},
+		zoneSeats:     map[string]*seat.Seat{},
+		quietVersions: map[string]*quietVersion{},
 	}
 }
 
 // Observe takes in the planner seat's row.
-func (d *Duty) Observe(now time.Time, row *table.Row) {
+func (d *Planner) Observe(now time.Time, row *table.Row) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.seat.Observe(now, row); err != nil {
@@ -133,7 +133,7 @@
 }
 
 // Address returns where the planner is, as far as known.
-func (d *Duty) Address() string {
+func (d *Planner) Address() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r, _ := d.seat.Record()
@@ -141,15 +141,15 @@
 }
 
 // Planning tells whether this instance plans at now.
-func (d *Duty) Planning(now time.Time) bool {
+func (d *Planner) Planning(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.seat.Holding() && d.seat.Authority().Valid(now)
 }
 
-// Hear takes in a zone's leader's sign of life, whether this instance plans or
+// ReceiveHeartbeat takes in a zone's leader's sign of life, whether this instance plans or
 // not: it may have to, should the planner be lost together with its zone.
-func (d *Duty) Hear(now time.Time, beat *control.BeatRequest) {
+func (d *Planner) ReceiveHeartbeat(now time.Time, beat *control.BeatRequest) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	h := d.hints[beat.GetZone()]
@@ -160,17 +160,17 @@
 	h.Add(now, beat.GetTerm(), beat.GetRenewals(), time.Duration(beat.GetTableLeftUs())*time.Microsecond)
 }
 
-// heard is when a zone's leader last gave a sign of life. It is called with the
+// lastHeartbeat is when a zone's leader last gave a sign of life. It is called with the
 // lock held.
-func (d *Duty) heard(zone string) time.Time {
+func (d *Planner) lastHeartbeat(zone string) time.Time {
 	if h := d.hints[zone]; h != nil {
-		return h.At()
+		return h.ReceivedAt()
 	}
 	return time.Time{}
 }
 
 // Report takes in what a zone's leader knows.
-func (d *Duty) Report(_ context.Context, req *control.ReportRequest) (*control.ReportResponse, error) {
+func (d *Planner) Report(_ context.Context, req *control.ReportRequest) (*control.ReportResponse, error) {
 	now := time.Now()
 	if !d.Planning(now) {
 		return &control.ReportResponse{}, nil
@@ -178,7 +178,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if last, ok := d.reports[req.GetZone()]; ok && req.GetBeat() && last.req.GetTerm() == req.GetTerm() {
-		last.at = now
+		last.receivedAt = now
 		d.reports[req.GetZone()] = last
 		return &control.ReportResponse{Planning: true}, nil
 	}
@@ -186,68 +186,68 @@
 		// A planner that is new wants the whole report.
 		return &control.ReportResponse{}, nil
 	}
-	d.reports[req.GetZone()] = zoneReport{at: now, req: req}
+	d.reports[req.GetZone()] = zoneReport{receivedAt: now, req: req}
 	d.loads.add(req.GetLoads())
 	d.hot.add(now, req.GetHot())
 	select {
-	case d.kick <- struct{}{}:
+	case d.wake <- struct{}{}:
 	default:
 	}
 	return &control.ReportResponse{Planning: true}, nil
 }
 
 // Serve plans until the context ends.
-func (d *Duty) Serve(ctx context.Context) error {
-	tick := time.NewTicker(interval)
+func (d *Planner) Serve(ctx context.Context) error {
+	tick := time.NewTicker(planInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
-		case <-d.kick:
+		case <-d.wake:
 		}
-		d.turn(ctx)
+		d.runOnce(ctx)
 	}
 }
 
-func (d *Duty) turn(ctx context.Context) {
+func (d *Planner) runOnce(ctx context.Context) {
 	now := time.Now()
 	if !d.Leading(now) {
-		d.held = time.Time{}
+		d.planningSince = time.Time{}
 		return
 	}
-	if now.Sub(d.renewed) >= renewInterval || d.vacant(now) {
-		d.renewed = now
-		d.keepSeat(ctx, now)
+	if now.Sub(d.renewedAt) >= renewInterval || d.shouldClaimSeat(now) {
+		d.renewedAt = now
+		d.renewOrClaimSeat(ctx, now)
 	}
-	d.read(ctx, now)
+	d.readHeads(ctx, now)
 	if !d.Planning(time.Now()) {
-		d.held = time.Time{}
+		d.planningSince = time.Time{}
 		return
 	}
-	if d.held.IsZero() {
-		d.held = now
+	if d.planningSince.IsZero() {
+		d.planningSince = now
 		event.SeatGained.Log(d.Log, "seat", SeatName)
 	}
-	d.list(ctx, now)
-	d.decide(ctx)
+	d.refreshInstances(ctx, now)
+	d.planServices(ctx)
 }
 
-// keepSeat renews the planner's seat, or takes it when it is free, and reads
+// renewOrClaimSeat renews the planner's seat, or takes it when it is free, and reads
 // the heads in the same round trip.
-func (d *Duty) keepSeat(ctx context.Context, now time.Time) {
+func (d *Planner) renewOrClaimSeat(ctx context.Context, now time.Time) {
 	d.mu.Lock()
 	var tx table.Transaction
 	var err error
 	switch {
 	case d.stopping:
 	case d.seat.Holding():
-		tx, err = d.seat.Renew(now, d.Token())
-	case d.seat.Free() || d.seat.Lapsed(now) || d.gone(now):
+		tx, err = d.seat.Renew(now, d.NewToken())
+	case d.seat.Free() || d.seat.Expired(now) || d.plannerLost(now):
 		// Two planners for a moment do no harm, since every decision is one
 		// conditional write; so nobody waits for the old one's authority.
-		tx, err = d.seat.Claim(now, d.Token())
+		tx, err = d.seat.Claim(now, d.NewToken())
 	}
 	d.mu.Unlock()
 	if err != nil || len(tx.Puts) == 0 {
@@ -260,59 +260,59 @@
 	if err != nil {
 		return
 	}
-	d.absorb(ctx, res)
+	d.applyHeads(ctx, res)
 }
 
-// read reads the heads: seldom while all zones' leaders give signs of life, and
+// readHeads reads the heads: seldom while all zones' leaders give signs of life, and
 // often while one is silent, since its seat may have to be taken.
-func (d *Duty) read(ctx context.Context, now time.Time) {
+func (d *Planner) readHeads(ctx context.Context, now time.Time) {
 	interval := readInterval
-	if d.alarmed(now) {
-		interval = alarmInterval
+	if d.anyLeaderUnresponsive(now) {
+		interval = fastReadInterval
 	}
-	if now.Sub(d.readAt) < interval || !d.Planning(now) {
+	if now.Sub(d.headsReadAt) < interval || !d.Planning(now) {
 		return
 	}
-	d.readAt = now
+	d.headsReadAt = now
 	callCtx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	res, err := d.Table.Transact(callCtx, table.Transaction{ReadPrefixes: []string{"head/"}, ReadKeys: []string{audit.HeadKey(audit.System)}})
 	if err != nil {
 		return
 	}
-	d.absorb(ctx, res)
+	d.applyHeads(ctx, res)
 }
 
-// vacant tells whether the planner's seat should be taken now.
-func (d *Duty) vacant(now time.Time) bool {
+// shouldClaimSeat tells whether the planner's seat should be taken now.
+func (d *Planner) shouldClaimSeat(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.seat.Holding() && d.gone(now)
+	return !d.seat.Holding() && d.plannerLost(now)
 }
 
-// gone tells whether the planner takes no reports and its row stands still. One
+// plannerLost tells whether the planner takes no reports and its row stands still. One
 // of the two alone may only mean that the table is slow, or a way is cut.
-func (d *Duty) gone(now time.Time) bool {
-	return d.Unheard() && d.seat.Known() && d.seat.Silence(now) > plannerSilence
+func (d *Planner) plannerLost(now time.Time) bool {
+	return d.PlannerUnresponsive() && d.seat.Observed() && d.seat.UnchangedFor(now) > plannerTimeout
 }
 
-func (d *Duty) alarmed(now time.Time) bool {
+func (d *Planner) anyLeaderUnresponsive(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.zones) == 0 {
+	if len(d.zoneSeats) == 0 {
 		return true
 	}
-	for name, z := range d.zones {
+	for name, z := range d.zoneSeats {
 		r, _ := z.Record()
-		if r.Holder != "" && now.Sub(d.heard(name)) > beatAge {
+		if r.Holder != "" && now.Sub(d.lastHeartbeat(name)) > heartbeatTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// absorb takes in a reading of all heads.
-func (d *Duty) absorb(ctx context.Context, res table.Result) {
+// applyHeads takes in a reading of all heads.
+func (d *Planner) applyHeads(ctx context.Context, res table.Result) {
 	now := time.Now()
 	if row, ok := res.Row(audit.HeadKey(audit.System)); ok {
 		if err := d.chain.Observe(&row); err != nil {
@@ -320,76 +320,76 @@
 		}
 	}
 	for _, row := range res.Rows {
-		if name, ok := seat.NameOf(row.Key); ok {
-			d.absorbSeat(now, name, row)
+		if name, ok := seat.NameFromRowKey(row.Key); ok {
+			d.applySeat(now, name, row)
 			continue
 		}
-		if service, ok := deltalog.ServiceOf(row.Key); ok {
-			d.absorbAssignment(ctx, service, row)
+		if service, ok := deltalog.ServiceFromHeadKey(row.Key); ok {
+			d.applyAssignment(ctx, service, row)
 		}
 	}
 }
 
-func (d *Duty) absorbSeat(now time.Time, name string, row table.Row) {
+func (d *Planner) applySeat(now time.Time, name string, row table.Row) {
 	if name == SeatName {
 		d.Observe(now, &row)
 		return
 	}
-	z, ok := d.zones[name]
+	z, ok := d.zoneSeats[name]
 	if !ok {
 		z = &seat.Seat{Name: name}
-		d.zones[name] = z
+		d.zoneSeats[name] = z
 	}
 	if err := z.Observe(now, &row); err != nil {
 		d.Log.Error("seat row", "seat", name, "error", err)
 	}
 }
 
-func (d *Duty) log(service string) *deltalog.Log {
-	l, ok := d.logs[service]
+func (d *Planner) deltaLog(service string) *deltalog.Log {
+	l, ok := d.deltaLogs[service]
 	if !ok {
 		l = &deltalog.Log{Service: service, Table: d.Table, Objects: d.Objects}
-		l.Damaged = func(name string, err error) {
+		l.OnDamagedSnapshot = func(name string, err error) {
 			event.SnapshotDamaged.Log(d.Log, "object", name, "error", err)
 		}
-		d.logs[service] = l
+		d.deltaLogs[service] = l
 	}
 	return l
 }
 
-func (d *Duty) absorbAssignment(ctx context.Context, service string, row table.Row) {
+func (d *Planner) applyAssignment(ctx context.Context, service string, row table.Row) {
 	callCtx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
-	if _, err := d.log(service).CatchUp(callCtx, row); err != nil {
+	if _, err := d.deltaLog(service).CatchUp(callCtx, row); err != nil {
 		d.Log.Warn("planner not caught up", "service", service, "error", err)
 	}
 }
 
-// list reads the platform's instance list. It lags and may fail; the last one
+// refreshInstances reads the platform's instance list. It lags and may fail; the last one
 // read is used on.
-func (d *Duty) list(ctx context.Context, now time.Time) {
-	if now.Sub(d.listedAt) < listInterval {
+func (d *Planner) refreshInstances(ctx context.Context, now time.Time) {
+	if now.Sub(d.instancesReadAt) < instanceListInterval {
 		return
 	}
-	d.listedAt = now
+	d.instancesReadAt = now
 	callCtx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	listed, err := d.Instances(callCtx)
 	if err != nil {
 		return
 	}
-	d.listed = listed
+	d.instances = listed
 }
 
 // Stop hands the planner's seat over before the instance shuts down.
-func (d *Duty) Stop(ctx context.Context) {
+func (d *Planner) Stop(ctx context.Context) {
 	d.mu.Lock()
 	d.stopping = true
 	if !d.seat.Holding() {
 		d.mu.Unlock()
 		return
 	}
-	tx, err := d.seat.HandOver(time.Now(), d.Token())
+	tx, err := d.seat.HandOver(time.Now(), d.NewToken())
 	d.mu.Unlock()
 	if err == nil {
 		_, err = d.Table.Transact(ctx, tx)
--- a/gateway/renewer/grants.go
+++ b/gateway/renewer/grants.go
@@ -23,7 +23,7 @@
 	byTarget   map[string][]grant.Grant
 }
 
-func (x *grantIndex) of(s *view.Service, target string) []grant.Grant {
+func (x *grantIndex) grantsOf(s *view.Service, target string) []grant.Grant {
 	name := s.Assignment.Service
 	if x.services == nil {
 		x.services = map[string]serviceGrants{}
@@ -52,8 +52,8 @@
 	Client *http.Client
 }
 
-// maxStatus bounds what is read of a target's status.
-const maxStatus = 1 << 20
+// maxStatusBytes bounds what is read of a target's status.
+const maxStatusBytes = 1 << 20
 
 // Order posts the order and returns the target's status.
 func (c *HTTPCaller) Order(ctx context.Context, address string, o grant.Order) (grant.Status, error) {
@@ -76,7 +76,7 @@
 	if res.StatusCode != http.StatusOK {
 		return s, fmt.Errorf("order: target answered %d", res.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(res.Body, maxStatus)).Decode(&s); err != nil {
+	if err := json.NewDecoder(io.LimitReader(res.Body, maxStatusBytes)).Decode(&s); err != nil {
 		return s, fmt.Errorf("order: %w", err)
 	}
 	return s, nil
--- a/gateway/renewer/renewer.go
+++ b/gateway/renewer/renewer.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// interval lies between two renewals of a target.
-	interval = 250 * time.Millisecond
+	// renewInterval lies between two renewals of a target.
+	renewInterval = 250 * time.Millisecond
 	// standbyInterval is that of the instance that only stands by. Should the
 	// other one be lost, the lease may lapse for less than this.
 	standbyInterval = time.Second
@@ -34,8 +34,8 @@
 	// failingAfter is how many renewals in a row go unanswered before the
 	// target is reported as failing.
 	failingAfter = 2
-	// aliveFor is how long an answer counts as a sign of life.
-	aliveFor = time.Second
+	// aliveTimeout is how long an answer counts as a sign of life.
+	aliveTimeout = time.Second
 )
 
 // Caller sends an order to a target.
@@ -47,57 +47,57 @@
 type Options struct {
 	Instance  string
 	View      *view.View
-	Authority *authority.Cell
+	Authority *authority.Authority
 	Caller    Caller
 	Log       *slog.Logger
 }
 
-// Duty renews the targets that its directive names.
-type Duty struct {
+// Renewer renews the targets that its directive names.
+type Renewer struct {
 	Options
 
 	mu        sync.Mutex
 	directive zone.Directive
-	lanes     map[string]*lane
+	targets   map[string]*targetState
 	grants    grantIndex
-	kick      chan struct{}
-	news      chan struct{}
+	wake      chan struct{}
+	reportDue chan struct{}
 }
 
-// lane is what is known of one target.
-type lane struct {
+// targetState is what is known of one target.
+type targetState struct {
 	status grant.Status
-	// stampAt is when the status with its stamp was received.
-	stampAt time.Time
-	// bound is when every lease that this instance gave has ended.
-	bound    time.Time
-	failures int
-	next     time.Time
-	busy     bool
-	again    bool
+	// statusAt is when the status with its stamp was received.
+	statusAt time.Time
+	// leasesEnd is when every lease that this instance gave has ended.
+	leasesEnd time.Time
+	failures  int
+	nextCall  time.Time
+	calling   bool
+	callAgain bool
 }
 
 // New returns a duty without a directive.
-func New(o Options) *Duty {
-	return &Duty{
-		Options: o,
-		lanes:   map[string]*lane{},
-		kick:    make(chan struct{}, 1),
-		news:    make(chan struct{}, 1),
+func New(o Options) *Renewer {
+	return &Renewer{
+		Options:   o,
+		targets:   map[string]*targetState{},
+		wake:      make(chan struct{}, 1),
+		reportDue: make(chan struct{}, 1),
 	}
 }
 
 // SetDirective takes in the leader's order. When it returns, no renewal of a
 // target that the directive leaves out will begin.
-func (d *Duty) SetDirective(next zone.Directive) {
+func (d *Renewer) SetDirective(next zone.Directive) {
 	d.mu.Lock()
 	d.directive = next
 	d.mu.Unlock()
-	signal(d.kick)
+	signal(d.wake)
 }
 
-// News signals that a report is worth sending before its time.
-func (d *Duty) News() <-chan struct{} { return d.news }
+// ReportDue signals that a report is worth sending before its time.
+func (d *Renewer) ReportDue() <-chan struct{} { return d.reportDue }
 
 func signal(c chan struct{}) {
 	select {
@@ -107,7 +107,7 @@
 }
 
 // Serve renews until the context ends.
-func (d *Duty) Serve(ctx context.Context) error {
+func (d *Renewer) Serve(ctx context.Context) error {
 	var group errgroup.Group
 	defer func() { _ = group.Wait() }()
 	tick := time.NewTicker(retryInterval / 2)
@@ -118,52 +118,52 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
-		case <-d.kick:
-			d.hurry()
+		case <-d.wake:
+			d.makeAllDue()
 		case <-changed:
-			d.hurry()
+			d.makeAllDue()
 		}
-		for _, id := range d.due(time.Now()) {
+		for _, id := range d.takeDue(time.Now()) {
 			group.Go(func() error {
-				d.attend(ctx, id)
+				d.callTarget(ctx, id)
 				return nil
 			})
 		}
 	}
 }
 
-// hurry makes every target due at once.
-func (d *Duty) hurry() {
+// makeAllDue makes every target due at once.
+func (d *Renewer) makeAllDue() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, l := range d.lanes {
-		l.next = time.Time{}
-		l.again = l.busy
+	for _, l := range d.targets {
+		l.nextCall = time.Time{}
+		l.callAgain = l.calling
 	}
 }
 
-// due returns the targets whose turn it is, and marks them as busy.
-func (d *Duty) due(now time.Time) []string {
+// takeDue returns the targets whose turn it is, and marks them as busy.
+func (d *Renewer) takeDue(now time.Time) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var ids []string
-	for _, id := range d.named() {
-		l, ok := d.lanes[id]
+	for _, id := range d.directiveTargets() {
+		l, ok := d.targets[id]
 		if !ok {
-			l = &lane{}
-			d.lanes[id] = l
+			l = &targetState{}
+			d.targets[id] = l
 		}
-		if l.busy || now.Before(l.next) {
+		if l.calling || now.Before(l.nextCall) {
 			continue
 		}
-		l.busy = true
+		l.calling = true
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-// named returns the targets to renew and to probe.
-func (d *Duty) named() []string {
+// directiveTargets returns the targets to renew and to probe.
+func (d *Renewer) directiveTargets() []string {
 	ids := slices.Clone(d.directive.Probe)
 	for _, r := range d.directive.Renew {
 		ids = append(ids, r.Target)
@@ -171,11 +171,11 @@
 	return ids
 }
 
-// attend sends one order, or two where the target lacks the grants.
-func (d *Duty) attend(ctx context.Context, id string) {
-	defer d.rest(id)
+// callTarget sends one order, or two where the target lacks the grants.
+func (d *Renewer) callTarget(ctx context.Context, id string) {
+	defer d.scheduleNext(id)
 	for range 2 {
-		target, order, ok := d.prepare(id, time.Now())
+		target, order, ok := d.prepareOrder(id, time.Now())
 		if !ok {
 			return
 		}
@@ -186,40 +186,40 @@
 			return
 		}
 		if err != nil {
-			d.unanswered(id, err)
+			d.recordFailure(id, err)
 			return
 		}
-		if !d.answered(id, order, status, time.Now()) {
+		if !d.recordStatus(id, order, status, time.Now()) {
 			return
 		}
 	}
 }
 
-func (d *Duty) rest(id string) {
+func (d *Renewer) scheduleNext(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := d.lanes[id]
-	l.busy = false
-	l.next = time.Now().Add(interval)
-	if d.standsBy(id) {
-		l.next = time.Now().Add(standbyInterval)
+	l := d.targets[id]
+	l.calling = false
+	l.nextCall = time.Now().Add(renewInterval)
+	if d.isStandby(id) {
+		l.nextCall = time.Now().Add(standbyInterval)
 	}
 	if l.failures > 0 {
-		l.next = time.Now().Add(retryInterval)
+		l.nextCall = time.Now().Add(retryInterval)
 	}
-	if l.again {
-		l.again = false
-		l.next = time.Time{}
+	if l.callAgain {
+		l.callAgain = false
+		l.nextCall = time.Time{}
 	}
 }
 
-func (d *Duty) standsBy(id string) bool {
+func (d *Renewer) isStandby(id string) bool {
 	r, ok := d.renewal(id)
 	return ok && r.Standby
 }
 
-// threshold is how many renewals in a row must go unanswered.
-func (d *Duty) threshold(id string) int {
+// failureThreshold is how many renewals in a row must go unanswered.
+func (d *Renewer) failureThreshold(id string) int {
 	if r, ok := d.renewal(id); ok && r.Urgent {
 		return 1
 	}
@@ -227,7 +227,7 @@
 }
 
 // renewal returns the directive's entry for a target.
-func (d *Duty) renewal(id string) (r zone.Renewal, ok bool) {
+func (d *Renewer) renewal(id string) (r zone.Renewal, ok bool) {
 	i := slices.IndexFunc(d.directive.Renew, func(r zone.Renewal) bool { return r.Target == id })
 	if i < 0 {
 		return zone.Renewal{}, false
@@ -235,43 +235,43 @@
 	return d.directive.Renew[i], true
 }
 
-// prepare works out the order and books its lease before it can be sent.
-func (d *Duty) prepare(id string, now time.Time) (*assignment.Target, grant.Order, bool) {
+// prepareOrder works out the order and books its lease before it can be sent.
+func (d *Renewer) prepareOrder(id string, now time.Time) (*assignment.Target, grant.Order, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	service, target := findTarget(d.View.Load(), id)
 	if target == nil {
 		return nil, grant.Order{}, false
 	}
-	l := d.lanes[id]
+	l := d.targets[id]
 	order := grant.Order{
 		Incarnation: l.status.Incarnation,
 		Stamp:       l.status.Stamp,
-		Version:     target.Grants,
+		Version:     target.GrantsVersion,
 	}
-	order.Lease = d.length(target, l, now)
+	order.Lease = d.leaseLength(target, l, now)
 	if order.Lease > 0 && l.status.Version != order.Version {
 		order.Full = true
-		order.Grants = d.grants.of(service, id)
+		order.Grants = d.grants.grantsOf(service, id)
 	}
 	return target, order, true
 }
 
-// length is the lease that may be given now; zero asks for the status only.
+// leaseLength is the lease that may be given now; zero asks for the status only.
 //
 // The target counts from when it issued the stamp, which is before this
 // instance received it. A lease of what the authority had left at that moment
 // therefore ends within the authority.
-func (d *Duty) length(target *assignment.Target, l *lane, now time.Time) time.Duration {
+func (d *Renewer) leaseLength(target *assignment.Target, l *targetState, now time.Time) time.Duration {
 	r, renewed := d.renewal(target.ID)
 	renewed = renewed && r.Generation == target.Generation
 	left := d.Authority.Lease().Left(now)
-	if !renewed || left == 0 || l.stampAt.IsZero() {
+	if !renewed || left == 0 || l.statusAt.IsZero() {
 		return 0
 	}
-	length := min(TargetLease, left+now.Sub(l.stampAt))
-	if end := l.stampAt.Add(length); end.After(l.bound) {
-		l.bound = end
+	length := min(TargetLease, left+now.Sub(l.statusAt))
+	if end := l.statusAt.Add(length); end.After(l.leasesEnd) {
+		l.leasesEnd = end
 	}
 	return length
 }
@@ -285,59 +285,59 @@
 	return nil, nil
 }
 
-func (d *Duty) unanswered(id string, err error) {
+func (d *Renewer) recordFailure(id string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := d.lanes[id]
+	l := d.targets[id]
 	l.failures++
-	if l.failures == d.threshold(id) {
+	if l.failures == d.failureThreshold(id) {
 		event.TargetFailing.Log(d.Log, "target", id, "error", err)
-		signal(d.news)
+		signal(d.reportDue)
 	}
 }
 
-// answered takes in a status and tells whether another order should follow at
+// recordStatus takes in a status and tells whether another order should follow at
 // once: the target did not take the lease, or has news to be confirmed.
-func (d *Duty) answered(id string, o grant.Order, s grant.Status, now time.Time) bool {
+func (d *Renewer) recordStatus(id string, o grant.Order, s grant.Status, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := d.lanes[id]
+	l := d.targets[id]
 	if l.failures >= failingAfter {
 		event.TargetAnswers.Log(d.Log, "target", id)
-		signal(d.news)
+		signal(d.reportDue)
 	}
 	l.failures = 0
 	if len(s.Drained) > 0 && !slices.Equal(s.Drained, l.status.Drained) {
-		signal(d.news)
+		signal(d.reportDue)
 	}
 	l.status = s
-	l.stampAt = now
+	l.statusAt = now
 	return !s.Renewed && s.Version <= o.Version
 }
 
 // Reports returns what is to be told to the leader, with the directive's
 // version that it goes with. Targets that are renewed and well are left out:
 // they are nearly all, and every poll would carry them.
-func (d *Duty) Reports(now time.Time) (directive uint64, reports []zone.TargetReport) {
+func (d *Renewer) Reports(now time.Time) (directive uint64, reports []zone.TargetReport) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	snapshot := d.View.Load()
-	for id, l := range d.lanes {
+	for id, l := range d.targets {
 		r := zone.TargetReport{
 			ID:        id,
-			Failing:   l.failures >= d.threshold(id),
-			Alive:     l.failures == 0 && now.Sub(l.stampAt) < aliveFor,
-			LeaseLeft: max(0, l.bound.Sub(now)),
-			Drained:   drains(snapshot, id, l.status),
+			Failing:   l.failures >= d.failureThreshold(id),
+			Alive:     l.failures == 0 && now.Sub(l.statusAt) < aliveTimeout,
+			LeaseLeft: max(0, l.leasesEnd.Sub(now)),
+			Drained:   completedDrains(snapshot, id, l.status),
 		}
-		if d.worthTelling(id, r) {
+		if d.shouldReport(id, r) {
 			reports = append(reports, r)
 		}
 	}
 	return d.directive.Version, reports
 }
 
-func (d *Duty) worthTelling(id string, r zone.TargetReport) bool {
+func (d *Renewer) shouldReport(id string, r zone.TargetReport) bool {
 	if slices.Contains(d.directive.Probe, id) {
 		return true
 	}
@@ -347,7 +347,7 @@
 	return r.LeaseLeft > 0
 }
 
-func drains(s *view.Snapshot, id string, status grant.Status) []zone.Drain {
+func completedDrains(s *view.Snapshot, id string, status grant.Status) []zone.Drain {
 	service, target := findTarget(s, id)
 	if target == nil {
 		return nil
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -30,11 +30,11 @@
       --callers-listen 10.0.1.1:8080 --ready-listen 10.0.1.1:8083`
 
 const (
-	// collectAt is the growth of the heap in percent at which it is collected.
-	collectAt = 200
-	// heapShare of the instance's memory is where the collector works harder: the
+	// gcPercent is the growth of the heap in percent at which it is collected.
+	gcPercent = 200
+	// memoryLimitShare of the instance's memory is where the collector works harder: the
 	// rest is for what is not on the heap, and for data that come at once.
-	heapShare = 0.55
+	memoryLimitShare = 0.55
 )
 
 func serveCommand() *cobra.Command {
@@ -83,8 +83,8 @@
 	return s, s.Validate()
 }
 
-// memoryOf returns the bytes of memory that an instance has; 0 if nothing tells.
-func memoryOf(s instance.Settings) int64 {
+// instanceMemory returns the bytes of memory that an instance has; 0 if nothing tells.
+func instanceMemory(s instance.Settings) int64 {
 	if s.MemoryMB > 0 {
 		return int64(s.MemoryMB) << 20
 	}
@@ -100,9 +100,9 @@
 }
 
 func serve(s instance.Settings) error {
-	debug.SetGCPercent(collectAt)
-	if memory := memoryOf(s); memory > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(memory)))
+	debug.SetGCPercent(gcPercent)
+	if memory := instanceMemory(s); memory > 0 {
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(memory)))
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/gateway/serve_test.go
+++ b/gateway/serve_test.go
@@ -9,7 +9,7 @@
 
 // Guards against a limit for the heap that is made for another class of machines:
 // those of 184 MB would be killed before the collector works harder.
-func TestMemoryIsTheInstancesOwn(t *testing.T) {
-	assert.Equal(t, memoryOf(instance.Settings{MemoryMB: 184}), int64(184<<20))
-	assert.Assert(t, memoryOf(instance.Settings{}) > 0, "the machine tells its own")
+func TestConfiguredMemoryTakesPrecedence(t *testing.T) {
+	assert.Equal(t, instanceMemory(instance.Settings{MemoryMB: 184}), int64(184<<20))
+	assert.Assert(t, instanceMemory(instance.Settings{}) > 0, "the machine tells its own")
 }
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -16,7 +16,7 @@
 // Service is one service as it is in force; it never changes.
 type Service struct {
 	Assignment *assignment.Assignment
-	Map        *shard.Map
+	ShardMap   *shard.Map
 	Targets    map[string]*assignment.Target
 	// Active are the targets that may get new requests.
 	Active []*assignment.Target
@@ -29,9 +29,9 @@
 	// Changed is closed when there is a newer snapshot.
 	Changed <-chan struct{}
 
-	changed chan struct{}
-	kinds   map[config.Scope]*Kind
-	keyed   bool
+	changed          chan struct{}
+	kinds            map[config.Scope]*Kind
+	hasKeyExceptions bool
 }
 
 // Kind is a kind's rules within one zone, with every field set.
@@ -40,8 +40,8 @@
 	Rules      config.Rules
 }
 
-// deltasKept is how many deltas per service are kept for others that follow.
-const deltasKept = 64
+// maxKeptDeltas is how many deltas per service are kept for others that follow.
+const maxKeptDeltas = 64
 
 // View holds the present snapshot. Zone is the instance's own. The zero value
 // is empty.
@@ -79,7 +79,7 @@
 func (v *View) copyCurrent() *Snapshot {
 	next := &Snapshot{Services: map[string]*Service{}}
 	if s := v.current.Load(); s != nil {
-		next.Config, next.kinds, next.keyed = s.Config, s.kinds, s.keyed
+		next.Config, next.kinds, next.hasKeyExceptions = s.Config, s.kinds, s.hasKeyExceptions
 		for name, service := range s.Services {
 			next.Services[name] = service
 		}
@@ -89,12 +89,12 @@
 
 // StaleError is an offer of something older than what is in force.
 type StaleError struct {
-	Name           string
-	InForce, Offer uint64
+	Name             string
+	InForce, Offered uint64
 }
 
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("%s: version %d was offered while %d is in force", e.Name, e.Offer, e.InForce)
+	return fmt.Sprintf("%s: version %d was offered while %d is in force", e.Name, e.Offered, e.InForce)
 }
 
 // SetConfig puts a configuration in force. One that is not newer is refused: an
@@ -104,10 +104,10 @@
 	defer v.mu.Unlock()
 	next := v.copyCurrent()
 	if next.Config != nil && d.Version <= next.Config.Version {
-		return &StaleError{Name: "config", InForce: next.Config.Version, Offer: d.Version}
+		return &StaleError{Name: "config", InForce: next.Config.Version, Offered: d.Version}
 	}
 	next.Config = d
-	next.index(v.Zone, time.Now())
+	next.indexKinds(v.Zone, time.Now())
 	v.publish(next)
 	return nil
 }
@@ -120,15 +120,15 @@
 	if next.Config == nil {
 		return
 	}
-	next.index(v.Zone, now)
+	next.indexKinds(v.Zone, now)
 	v.publish(next)
 }
 
-// index works out each kind's rules for this zone once, so that a request
+// indexKinds works out each kind's rules for this zone once, so that a request
 // costs one look-up.
-func (s *Snapshot) index(zone string, now time.Time) {
+func (s *Snapshot) indexKinds(zone string, now time.Time) {
 	s.kinds = map[config.Scope]*Kind{}
-	s.keyed = false
+	s.hasKeyExceptions = false
 	for _, k := range s.Config.Kinds {
 		scope := config.Scope{Service: k.Service, Kind: k.Name}
 		query := scope
@@ -136,7 +136,7 @@
 		s.kinds[scope] = &Kind{Idempotent: k.Idempotent, Rules: s.Config.Resolve(query, now)}
 	}
 	for _, e := range s.Config.Exceptions {
-		s.keyed = s.keyed || e.Scope.Key != "" && e.Live(now)
+		s.hasKeyExceptions = s.hasKeyExceptions || e.Scope.Key != "" && e.ActiveAt(now)
 	}
 }
 
@@ -146,7 +146,7 @@
 	if !ok {
 		return Kind{}, false
 	}
-	if !s.keyed {
+	if !s.hasKeyExceptions {
 		return *found, true
 	}
 	query := config.Scope{Service: service, Kind: kind, Zone: zone, Key: key}
@@ -174,12 +174,12 @@
 		return fmt.Errorf("apply delta of %s: %w", d.Service, err)
 	}
 	next.Services[d.Service] = service
-	v.keep(d)
+	v.keepDelta(d)
 	v.publish(next)
 	return nil
 }
 
-func (v *View) keep(d assignment.Delta) {
+func (v *View) keepDelta(d assignment.Delta) {
 	if v.deltas == nil {
 		v.deltas = map[string][]assignment.Delta{}
 	}
@@ -187,7 +187,7 @@
 	if d.From == 0 {
 		kept = nil
 	}
-	if len(kept) >= deltasKept {
+	if len(kept) >= maxKeptDeltas {
 		kept = kept[1:]
 	}
 	v.deltas[d.Service] = append(kept[:len(kept):len(kept)], d)
@@ -206,13 +206,13 @@
 		return s, nil
 	}
 	m, err := shard.New(a.Shards)
-	s.Map = m
+	s.ShardMap = m
 	return s, err
 }
 
-// Since returns the deltas that lead from a version to the present one, or one
+// DeltasSince returns the deltas that lead from a version to the present one, or one
 // delta that replaces all.
-func (v *View) Since(service string, from uint64) []assignment.Delta {
+func (v *View) DeltasSince(service string, from uint64) []assignment.Delta {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	s := v.current.Load()
--- a/gateway/view/view_test.go
+++ b/gateway/view/view_test.go
@@ -21,7 +21,7 @@
 
 // A stale peer offers an older configuration than the one in force, or the same
 // one again. Neither is taken, and those who wait for news are not woken.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestOlderConfigIsRejected(t *testing.T) {
 	v := view.View{Zone: "graz"}
 	assert.NilError(t, v.SetConfig(&config.Document{Version: 7}))
 	changed := v.Load().Changed
@@ -39,7 +39,7 @@
 
 // A delta was missed. The next one does not fit and changes nothing; a follower
 // that asks from the version it has gets what it lacks, or everything.
-func TestMissedDelta(t *testing.T) {
+func TestFollowerCatchesUpAfterMissedDelta(t *testing.T) {
 	var leader, follower view.View
 	assert.NilError(t, leader.ApplyDelta(delta(0, 1, "t1")))
 	assert.NilError(t, follower.ApplyDelta(delta(0, 1, "t1")))
@@ -47,22 +47,22 @@
 	assert.NilError(t, leader.ApplyDelta(delta(2, 3, "t3")))
 	var wrong *assignment.VersionError
 	assert.Assert(t, errors.As(follower.ApplyDelta(delta(2, 3, "t3")), &wrong))
-	for _, d := range leader.Since("menus", 1) {
+	for _, d := range leader.DeltasSince("menus", 1) {
 		assert.NilError(t, follower.ApplyDelta(d))
 	}
 	assert.DeepEqual(t, follower.Load().Versions(), leader.Load().Versions())
 	var late view.View
 	assert.NilError(t, late.ApplyDelta(assignment.Diff(&assignment.Assignment{Service: "menus"}, leader.Load().Services["menus"].Assignment)))
-	s, _ := late.Load().Services["menus"].Map.Find(5)
+	s, _ := late.Load().Services["menus"].ShardMap.Find(5)
 	assert.Equal(t, s.Owner, "t3")
 }
 
 // An old delta arrives late, after newer ones. It is passed over.
-func TestLateDeltaIsPassedOver(t *testing.T) {
+func TestLateDeltaIsIgnored(t *testing.T) {
 	var v view.View
 	assert.NilError(t, v.ApplyDelta(delta(0, 1, "t1")))
 	assert.NilError(t, v.ApplyDelta(delta(1, 2, "t2")))
 	assert.NilError(t, v.ApplyDelta(delta(0, 1, "t1")))
-	s, _ := v.Load().Services["menus"].Map.Find(5)
+	s, _ := v.Load().Services["menus"].ShardMap.Find(5)
 	assert.Equal(t, s.Owner, "t2")
 }
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -146,7 +146,7 @@
 			continue
 		}
 		if err != nil {
-			c.Outcome, c.Cause = judge.Cut, "connection to the gateway broke"
+			c.Outcome, c.Cause = judge.ConnectionBroken, "connection to the gateway broke"
 		}
 		return
 	}
@@ -157,7 +157,7 @@
 // services, which have none.
 func (gen *Generator) checkedKey(service, key string) string {
 	for _, s := range gen.Deployment.Services {
-		if s.Name == service && s.Divided {
+		if s.Name == service && s.Sharded {
 			return key
 		}
 	}
@@ -225,8 +225,8 @@
 		c.Outcome = judge.Answered
 		var body target.Response
 		err := json.Unmarshal(content, &body)
-		c.Right = err == nil && body.Request == c.Request && body.Complete
-		c.Ran = res.StatusCode == http.StatusOK
+		c.Valid = err == nil && body.Request == c.Request && body.Complete
+		c.Executed = res.StatusCode == http.StatusOK
 		c.Value = body.Value
 		return
 	}
--- a/standin/demo/demo.go
+++ b/standin/demo/demo.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// readyInterval is how often the balancer asks gateways for readiness.
-	readyInterval = 250 * time.Millisecond
-	// settle is the load's time before the first figures count.
-	settle = time.Second
+	// readinessInterval is how often the balancer asks gateways for readiness.
+	readinessInterval = 250 * time.Millisecond
+	// warmup is the load's time before the first figures count.
+	warmup = time.Second
 	// progressInterval lies between two lines of progress.
 	progressInterval = 2 * time.Second
 )
@@ -45,11 +45,11 @@
 	if err := f.start(ctx); err != nil {
 		return nil, err
 	}
-	return f.play(ctx, s, out)
+	return f.runScenario(ctx, s, out)
 }
 
-// play runs load and faults on a fleet that is up.
-func (f *fleet) play(ctx context.Context, s *scenario.Scenario, out io.Writer) (*Report, error) {
+// runScenario runs load and faults on a fleet that is up.
+func (f *fleet) runScenario(ctx context.Context, s *scenario.Scenario, out io.Writer) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	f.load = &caller.Generator{Deployment: f.deployment, History: f.history, Rate: s.Load.RequestsPerSecond, Seed: s.Seed}
@@ -58,7 +58,7 @@
 	}
 	f.load.Init()
 	var watch sync.WaitGroup
-	watch.Go(func() { f.balance(ctx) })
+	watch.Go(func() { f.pollGateways(ctx) })
 	if err := f.await(ctx, "gateways are ready", func() bool { return f.load.Gateways[0].Ready.Load() }); err != nil {
 		return nil, err
 	}
@@ -66,12 +66,12 @@
 	usage := f.usage()
 	loadCtx, stopLoad := context.WithDeadline(ctx, began.Add(time.Duration(s.Seconds)*time.Second))
 	defer stopLoad()
-	watch.Go(func() { f.progress(loadCtx, began, out) })
-	results := f.schedule(ctx, s, began, out)
+	watch.Go(func() { f.printProgress(loadCtx, began, out) })
+	results := f.scheduleFaults(ctx, s, began, out)
 	f.load.Run(loadCtx)
 	faults := results()
 	used := f.usage().since(usage)
-	lagging := f.lagging(ctx)
+	lagging := f.staleGateways(ctx)
 	for _, t := range f.targets {
 		t.Thaw()
 		t.Flush()
@@ -83,9 +83,9 @@
 	return r, nil
 }
 
-// lagging names the gateways that do not have the newest configuration when all
+// staleGateways names the gateways that do not have the newest configuration when all
 // faults are mended.
-func (f *fleet) lagging(ctx context.Context) []string {
+func (f *fleet) staleGateways(ctx context.Context) []string {
 	newest := uint64(0)
 	behind := func() []string {
 		var names []string
@@ -94,7 +94,7 @@
 			newest = max(newest, g.version)
 			late := g.process != nil && g.version < newest
 			g.mu.Unlock()
-			if late && !f.network.IsCut(g.Zone.Name, link.PlatformPlace) {
+			if late && !f.network.IsCut(g.Zone.Name, link.PlatformZone) {
 				names = append(names, g.Name+" lacks the newest configuration at the end")
 			}
 		}
@@ -107,15 +107,15 @@
 	return nil
 }
 
-// schedule starts every fault at its time; the returned function waits for all.
-func (f *fleet) schedule(ctx context.Context, s *scenario.Scenario, began time.Time, out io.Writer) func() []*FaultResult {
+// scheduleFaults starts every fault at its time; the returned function waits for all.
+func (f *fleet) scheduleFaults(ctx context.Context, s *scenario.Scenario, began time.Time, out io.Writer) func() []*FaultResult {
 	results := make([]*FaultResult, len(s.Faults))
 	var group sync.WaitGroup
 	for i, fault := range s.Faults {
 		group.Go(func() {
 			time.Sleep(time.Until(began.Add(fault.At())))
 			fmt.Fprintf(out, "%6.1fs  %s %s\n", time.Since(began).Seconds(), fault.Do, fault.On)
-			results[i] = f.inflict(ctx, fault)
+			results[i] = f.runFault(ctx, fault)
 		})
 	}
 	return func() []*FaultResult {
@@ -124,16 +124,16 @@
 	}
 }
 
-// balance keeps the readiness of every gateway and watches the versions.
-func (f *fleet) balance(ctx context.Context) {
+// pollGateways keeps the readiness of every gateway and watches the versions.
+func (f *fleet) pollGateways(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	for _, g := range f.gateways {
 		group.Go(func() {
-			tick := time.NewTicker(readyInterval)
+			tick := time.NewTicker(readinessInterval)
 			defer tick.Stop()
 			for {
-				f.look(g)
+				f.pollGateway(g)
 				select {
 				case <-ctx.Done():
 					return
@@ -144,22 +144,22 @@
 	}
 }
 
-func (f *fleet) look(g *gateway) {
+func (f *fleet) pollGateway(g *gateway) {
 	g.entry.Ready.Store(g.get("/readyz", nil) == nil)
 	var s status
 	if g.get("/v1/status", &s) != nil {
 		return
 	}
-	version := s.Versions[configName]
+	version := s.Versions[configVersionKey]
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if version < g.version {
-		f.history.AddReverted()
+		f.history.AddConfigReversion()
 	}
 	g.version = version
 }
 
-func (f *fleet) progress(ctx context.Context, began time.Time, out io.Writer) {
+func (f *fleet) printProgress(ctx context.Context, began time.Time, out io.Writer) {
 	tick := time.NewTicker(progressInterval)
 	defer tick.Stop()
 	seen := 0
--- a/standin/demo/fault.go
+++ b/standin/demo/fault.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// slowStore is the delay of storeSlow, slowLinks that of the verb.
-	slowStore = 400 * time.Millisecond
-	slowLinks = 150 * time.Millisecond
-	// probeGap lies between two probes of a lost key, probeFor bounds them.
-	probeGap = 50 * time.Millisecond
-	probeFor = 8 * time.Second
-	// probedParts bounds the parts that are probed, lest probes be the load.
-	probedParts = 12
-	// inForceFor bounds the wait for a configuration.
-	inForceFor = 10 * time.Second
+	// storeDelay is the delay of storeSlow, slowLinks that of the verb.
+	storeDelay = 400 * time.Millisecond
+	linkDelay  = 150 * time.Millisecond
+	// probeInterval lies between two probes of a lost key, probeFor bounds them.
+	probeInterval = 50 * time.Millisecond
+	probeTimeout  = 8 * time.Second
+	// maxProbedRanges bounds the parts that are probed, lest probes be the load.
+	maxProbedRanges = 12
+	// configTimeout bounds the wait for a configuration.
+	configTimeout = 10 * time.Second
 )
 
 // FaultResult is what a fault led to.
@@ -38,24 +38,24 @@
 	// again, -1 if one was not; absent where no key is concerned.
 	ServedAgainMs *int `json:"servedAgainMs,omitempty"`
 	// InForceMs is when a configuration was in force on every gateway.
-	InForceMs *int `json:"inForceMs,omitempty"`
-	Refused   int  `json:"refused"`
+	InForceMs  *int `json:"inForceMs,omitempty"`
+	Unanswered int  `json:"refused"`
 
-	at time.Time
+	started time.Time
 }
 
-// inflict brings a fault about, measures, and mends it after its time.
-func (f *fleet) inflict(ctx context.Context, fault scenario.Fault) *FaultResult {
-	r := &FaultResult{Do: fault.Do, On: fault.On, AtMs: fault.AtMs, at: time.Now()}
-	ranges := f.concerned(fault)
-	mend := f.begin(ctx, fault, r)
+// runFault brings a fault about, measures, and mends it after its time.
+func (f *fleet) runFault(ctx context.Context, fault scenario.Fault) *FaultResult {
+	r := &FaultResult{Do: fault.Do, On: fault.On, AtMs: fault.AtMs, started: time.Now()}
+	ranges := f.lostRanges(fault)
+	mend := f.injectFault(ctx, fault, r)
 	var group sync.WaitGroup
 	if len(ranges) > 0 {
-		group.Go(func() { r.ServedAgainMs = f.probe(ctx, ranges, fault.On, r.at) })
+		group.Go(func() { r.ServedAgainMs = f.probeRanges(ctx, ranges, fault.On, r.started) })
 	}
 	if fault.ForMs > 0 && mend != nil {
 		select {
-		case <-time.After(time.Until(r.at.Add(fault.For()))):
+		case <-time.After(time.Until(r.started.Add(fault.For()))):
 		case <-ctx.Done():
 		}
 		mend()
@@ -64,9 +64,9 @@
 	return r
 }
 
-func (f *fleet) begin(ctx context.Context, fault scenario.Fault, r *FaultResult) (mend func()) {
+func (f *fleet) injectFault(ctx context.Context, fault scenario.Fault, r *FaultResult) (mend func()) {
 	t := f.targets[fault.On]
-	g := f.gateway(fault.On)
+	g := f.gatewayByName(fault.On)
 	switch fault.Do {
 	case "killTarget":
 		t.Kill()
@@ -86,19 +86,19 @@
 		g.signal(syscall.SIGSTOP)
 		return func() { g.signal(syscall.SIGCONT) }
 	case "stopGateway":
-		f.stop(g)
+		f.stopGateway(g)
 		return func() { _ = f.startGateway(g) }
 	case "startGateway":
 		_ = f.startGateway(g)
 	case "changeConfig":
 		r.InForceMs = f.changeConfig(ctx)
 	default:
-		return f.beginNetwork(fault)
+		return f.injectNetworkFault(fault)
 	}
 	return nil
 }
 
-func (f *fleet) beginNetwork(fault scenario.Fault) (mend func()) {
+func (f *fleet) injectNetworkFault(fault scenario.Fault) (mend func()) {
 	both := func(act func(bool)) func() {
 		act(true)
 		return func() { act(false) }
@@ -109,7 +109,7 @@
 	case "cutZoneOneWay":
 		return both(func(cut bool) { f.cutZoneOneWay(fault.On, cut) })
 	case "cutZoneFromPlatform":
-		return both(func(cut bool) { f.network.Cut(fault.On, link.PlatformPlace, cut) })
+		return both(func(cut bool) { f.network.SetCut(fault.On, link.PlatformZone, cut) })
 	case "cutRegions":
 		return both(f.cutRegions)
 	case "storeDown":
@@ -117,20 +117,20 @@
 	case "loseStoreAnswers":
 		return both(f.store.SetLoseResponses)
 	case "storeSlow":
-		f.store.SetDelay(slowStore)
+		f.store.SetDelay(storeDelay)
 		return func() { f.store.SetDelay(0) }
 	case "silenceConnections":
-		f.network.Silence()
+		f.network.BlackholeConnections()
 	case "resetConnections":
-		f.network.Reset()
+		f.network.ResetConnections()
 	case "slowLinks":
-		f.network.Slow(slowLinks)
-		return func() { f.network.Slow(0) }
+		f.network.SetExtraDelay(linkDelay)
+		return func() { f.network.SetExtraDelay(0) }
 	}
 	return nil
 }
 
-func (f *fleet) gateway(name string) *gateway {
+func (f *fleet) gatewayByName(name string) *gateway {
 	for _, g := range f.gateways {
 		if g.Name == name {
 			return g
@@ -140,46 +140,46 @@
 }
 
 func (f *fleet) cutZone(name string, cut bool) {
-	f.network.Cut(name, link.PlatformPlace, cut)
+	f.network.SetCut(name, link.PlatformZone, cut)
 	for _, z := range f.deployment.Zones {
 		if z.Name != name {
-			f.network.Cut(name, z.Name, cut)
+			f.network.SetCut(name, z.Name, cut)
 		}
 	}
 }
 
 // cutZoneOneWay lets the zone hear and not be heard.
 func (f *fleet) cutZoneOneWay(name string, cut bool) {
-	f.network.CutOneWay(name, link.PlatformPlace, cut)
+	f.network.SetOneWayCut(name, link.PlatformZone, cut)
 	for _, z := range f.deployment.Zones {
 		if z.Name != name {
-			f.network.CutOneWay(name, z.Name, cut)
+			f.network.SetOneWayCut(name, z.Name, cut)
 		}
 	}
 }
 
 func (f *fleet) cutRegions(cut bool) {
-	store := f.zone(f.deployment.StoreZone)
+	store := f.zoneByName(f.deployment.StoreZone)
 	for _, a := range f.deployment.Zones {
 		if a.Region != store.Region {
-			f.network.Cut(a.Name, link.PlatformPlace, cut)
+			f.network.SetCut(a.Name, link.PlatformZone, cut)
 		}
 		for _, b := range f.deployment.Zones {
 			if a.Region != b.Region {
-				f.network.Cut(a.Name, b.Name, cut)
+				f.network.SetCut(a.Name, b.Name, cut)
 			}
 		}
 	}
 }
 
-// lost is a part of a service whose owner a fault takes away.
-type lost struct {
+// lostRange is a part of a service whose owner a fault takes away.
+type lostRange struct {
 	service     string
 	first, last uint64
 }
 
-// concerned returns the parts whose keys a fault takes from their owner.
-func (f *fleet) concerned(fault scenario.Fault) []lost {
+// lostRanges returns the parts whose keys a fault takes from their owner.
+func (f *fleet) lostRanges(fault scenario.Fault) []lostRange {
 	var owners []string
 	switch fault.Do {
 	case "killTarget", "freezeTarget", "drainTarget":
@@ -191,7 +191,7 @@
 			}
 		}
 	}
-	var parts []lost
+	var parts []lostRange
 	for _, s := range f.deployment.Services {
 		var a struct {
 			Shards []struct {
@@ -199,20 +199,20 @@
 				Owner       string
 			} `json:"shards"`
 		}
-		if !s.Divided || f.anyGateway(fault.On).get("/v1/assignment?service="+s.Name, &a) != nil {
+		if !s.Sharded || f.readyGateway(fault.On).get("/v1/assignment?service="+s.Name, &a) != nil {
 			continue
 		}
 		for _, sh := range a.Shards {
 			if slices.Contains(owners, sh.Owner) {
-				parts = append(parts, lost{s.Name, sh.First, sh.Last})
+				parts = append(parts, lostRange{s.Name, sh.First, sh.Last})
 			}
 		}
 	}
 	return parts
 }
 
-// anyGateway returns a ready gateway outside of a zone.
-func (f *fleet) anyGateway(zone string) *gateway {
+// readyGateway returns a ready gateway outside of a zone.
+func (f *fleet) readyGateway(zone string) *gateway {
 	for _, g := range f.gateways {
 		if g.Zone.Name != zone && g.entry.Ready.Load() {
 			return g
@@ -221,23 +221,23 @@
 	return f.gateways[0]
 }
 
-// probe asks for a key of each part until it is answered, through gateways
+// probeRanges asks for a key of each part until it is answered, through gateways
 // outside of a lost zone: those inside reach its targets until the leases end.
-func (f *fleet) probe(ctx context.Context, parts []lost, on string, began time.Time) *int {
+func (f *fleet) probeRanges(ctx context.Context, parts []lostRange, on string, began time.Time) *int {
 	var ways []*caller.Gateway
 	for _, g := range f.gateways {
 		if g.Zone.Name != on {
 			ways = append(ways, g.entry)
 		}
 	}
-	ctx, cancel := context.WithDeadline(ctx, began.Add(probeFor))
+	ctx, cancel := context.WithDeadline(ctx, began.Add(probeTimeout))
 	defer cancel()
 	latest := 0
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	for _, part := range spread(parts, probedParts) {
+	for _, part := range sampleEvenly(parts, maxProbedRanges) {
 		group.Go(func() {
-			ms := f.probePart(ctx, ways, part, began)
+			ms := f.probeRange(ctx, ways, part, began)
 			mu.Lock()
 			defer mu.Unlock()
 			if ms < 0 || latest < 0 {
@@ -251,19 +251,19 @@
 	return &latest
 }
 
-// spread picks at most n of the parts, evenly.
-func spread(parts []lost, n int) []lost {
+// sampleEvenly picks at most n of the parts, evenly.
+func sampleEvenly(parts []lostRange, n int) []lostRange {
 	if len(parts) <= n {
 		return parts
 	}
-	picked := make([]lost, n)
+	picked := make([]lostRange, n)
 	for i := range picked {
 		picked[i] = parts[i*len(parts)/n]
 	}
 	return picked
 }
 
-func (f *fleet) probePart(ctx context.Context, ways []*caller.Gateway, part lost, began time.Time) int {
+func (f *fleet) probeRange(ctx context.Context, ways []*caller.Gateway, part lostRange, began time.Time) int {
 	kind := f.probeKind(part.service)
 	key := caller.KeyInRange(part.service, part.first, part.last)
 	if key == "" {
@@ -272,7 +272,7 @@
 	answered := make(chan time.Time, 1)
 	var group sync.WaitGroup
 	defer group.Wait()
-	tick := time.NewTicker(probeGap)
+	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -309,12 +309,12 @@
 func (f *fleet) changeConfig(ctx context.Context) *int {
 	// One operator makes one change after the other; the later of two on the same
 	// version would be refused.
-	f.changing.Lock()
-	defer f.changing.Unlock()
+	f.configMu.Lock()
+	defer f.configMu.Unlock()
 	never := -1
 	var doc config.Document
 	// What is in force is read from the table, which may be down for a while.
-	read := func() bool { return f.anyGateway("").get("/v1/config", &doc) == nil }
+	read := func() bool { return f.readyGateway("").get("/v1/config", &doc) == nil }
 	if f.await(ctx, "configuration read", read) != nil {
 		return &never
 	}
@@ -324,8 +324,8 @@
 	if f.submit(ctx, version, &doc, fmt.Sprint("change-", version)) != nil {
 		return &never
 	}
-	for accepted := time.Now(); time.Since(accepted) < inForceFor; {
-		if f.allHave(version + 1) {
+	for accepted := time.Now(); time.Since(accepted) < configTimeout; {
+		if f.allGatewaysHave(version + 1) {
 			ms := int(time.Since(began).Milliseconds())
 			return &ms
 		}
@@ -334,13 +334,13 @@
 	return &never
 }
 
-func (f *fleet) allHave(version uint64) bool {
+func (f *fleet) allGatewaysHave(version uint64) bool {
 	for _, g := range f.gateways {
-		if !g.entry.Ready.Load() || f.network.IsCut(g.Zone.Name, link.PlatformPlace) {
+		if !g.entry.Ready.Load() || f.network.IsCut(g.Zone.Name, link.PlatformZone) {
 			continue
 		}
 		var s status
-		if g.get("/v1/status", &s) != nil || s.Versions[configName] < version {
+		if g.get("/v1/status", &s) != nil || s.Versions[configVersionKey] < version {
 			return false
 		}
 	}
--- a/standin/demo/fleet.go
+++ b/standin/demo/fleet.go
@@ -35,11 +35,11 @@
 // gateway is one gateway process with what surrounds it.
 type gateway struct {
 	deployment.Instance
-	entry   *caller.Gateway
-	egress  *link.Egress
-	flags   []string
-	admin   string
-	control string
+	entry          *caller.Gateway
+	egress         *link.Egress
+	flags          []string
+	adminAddress   string
+	controlAddress string
 
 	mu      sync.Mutex
 	process *exec.Cmd
@@ -52,7 +52,7 @@
 type fleet struct {
 	deployment deployment.Deployment
 	binary     string
-	logs       string
+	logDir     string
 	unfenced   []string
 	history    *judge.History
 	store      *store.Store
@@ -60,7 +60,7 @@
 	targets    map[string]*target.Target
 	gateways   []*gateway
 	load       *caller.Generator
-	changing   sync.Mutex
+	configMu   sync.Mutex
 	closers    []func()
 	group      sync.WaitGroup
 }
@@ -79,7 +79,7 @@
 	return &fleet{
 		deployment: d,
 		binary:     binary,
-		logs:       logs,
+		logDir:     logs,
 		history:    &judge.History{},
 		store:      &store.Store{},
 		network:    link.New(d),
@@ -87,7 +87,7 @@
 	}
 }
 
-func (f *fleet) zone(name string) deployment.Zone {
+func (f *fleet) zoneByName(name string) deployment.Zone {
 	for _, z := range f.deployment.Zones {
 		if z.Name == name {
 			return z
@@ -115,7 +115,7 @@
 			return err
 		}
 	}
-	return f.setUp(ctx)
+	return f.configure(ctx)
 }
 
 func (f *fleet) startPlatform() (string, error) {
@@ -126,9 +126,9 @@
 	server := &http.Server{Handler: f.store, ReadHeaderTimeout: time.Minute}
 	f.group.Go(func() { _ = server.Serve(l) })
 	f.closers = append(f.closers, func() { _ = server.Close() })
-	place := f.zone(f.deployment.StoreZone)
-	place.Name = link.PlatformPlace
-	f.network.Place(l.Addr().String(), place, true)
+	place := f.zoneByName(f.deployment.StoreZone)
+	place.Name = link.PlatformZone
+	f.network.AddAddress(l.Addr().String(), place, true)
 	return l.Addr().String(), nil
 }
 
@@ -146,7 +146,7 @@
 		}
 		f.targets[i.Name] = t
 		f.closers = append(f.closers, t.Kill)
-		f.network.Place(address, i.Zone, false)
+		f.network.AddAddress(address, i.Zone, false)
 		f.store.AddInstance(platform.Instance{
 			ID: i.Name, Zone: i.Zone.Name, Region: i.Zone.Region, Address: address, Role: platform.TargetRole,
 			Service: i.Service.Name, Slots: i.Service.Slots, Fenced: t.Fenced,
@@ -199,21 +199,21 @@
 	if err != nil {
 		return err
 	}
-	g := &gateway{Instance: i, admin: addresses[2], control: addresses[1]}
+	g := &gateway{Instance: i, adminAddress: addresses[2], controlAddress: addresses[1]}
 	g.entry = &caller.Gateway{Name: i.Name, Address: addresses[0]}
 	g.egress = &link.Egress{Zone: i.Zone}
 	f.group.Go(func() { f.network.Serve(proxy, g.egress) })
 	f.closers = append(f.closers, func() { _ = proxy.Close() })
-	f.network.Place(g.control, i.Zone, true)
-	f.store.AddInstance(platform.Instance{ID: i.Name, Zone: i.Zone.Name, Region: i.Zone.Region, Address: g.control, Role: platform.GatewayRole})
+	f.network.AddAddress(g.controlAddress, i.Zone, true)
+	f.store.AddInstance(platform.Instance{ID: i.Name, Zone: i.Zone.Name, Region: i.Zone.Region, Address: g.controlAddress, Role: platform.GatewayRole})
 	g.flags = []string{
 		"--instance", i.Name, "--zone", i.Zone.Name, "--region", i.Zone.Region,
-		"--callers-listen", addresses[0], "--control-listen", g.control, "--admin-listen", g.admin,
+		"--callers-listen", addresses[0], "--control-listen", g.controlAddress, "--admin-listen", g.adminAddress,
 		"--platform", "http://" + platformAddress, "--egress-proxy", proxy.Addr().String(),
 		"--drain-wait", "1s", "--pprof",
 	}
 	for _, other := range f.gateways {
-		g.flags = append(g.flags, "--peers", other.control)
+		g.flags = append(g.flags, "--peers", other.controlAddress)
 	}
 	f.gateways = append(f.gateways, g)
 	return nil
@@ -225,7 +225,7 @@
 	if g.process != nil {
 		return nil
 	}
-	log, err := os.OpenFile(filepath.Join(f.logs, g.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(f.logDir, g.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -258,9 +258,9 @@
 	}
 }
 
-// stop asks a gateway to shut down and records the span, unless it was killed
+// stopGateway asks a gateway to shut down and records the span, unless it was killed
 // meanwhile, as nothing is promised then.
-func (f *fleet) stop(g *gateway) {
+func (f *fleet) stopGateway(g *gateway) {
 	g.mu.Lock()
 	exited := g.exited
 	g.mu.Unlock()
@@ -271,14 +271,14 @@
 	killed := g.killed
 	g.mu.Unlock()
 	if !killed {
-		f.history.AddStop(judge.Stop{Gateway: g.Name, At: began, Ended: time.Now()})
+		f.history.AddShutdown(judge.Shutdown{Gateway: g.Name, At: began, Ended: time.Now()})
 	}
 }
 
 var adminClient = &http.Client{Timeout: 2 * time.Second}
 
 func (g *gateway) get(path string, v any) error {
-	res, err := adminClient.Get("http://" + g.admin + path)
+	res, err := adminClient.Get("http://" + g.adminAddress + path)
 	if err != nil {
 		return err
 	}
@@ -301,12 +301,12 @@
 	} `json:"leader"`
 }
 
-// configName is the configuration among the versions of a status.
-const configName = "$config"
+// configVersionKey is the configuration among the versions of a status.
+const configVersionKey = "$config"
 
-// setUp submits the first configuration and waits until every key is served.
-func (f *fleet) setUp(ctx context.Context) error {
-	if err := f.submit(ctx, 0, f.deployment.Document(), "first"); err != nil {
+// configure submits the first configuration and waits until every key is served.
+func (f *fleet) configure(ctx context.Context) error {
+	if err := f.submit(ctx, 0, f.deployment.InitialConfig(), "first"); err != nil {
 		return err
 	}
 	return f.await(ctx, "every gateway has every assignment", func() bool {
@@ -316,19 +316,19 @@
 				return false
 			}
 		}
-		return f.allHeld()
+		return f.allShardsOwned()
 	})
 }
 
-// allHeld tells whether every part of every divided service has an owner.
-func (f *fleet) allHeld() bool {
+// allShardsOwned tells whether every part of every divided service has an owner.
+func (f *fleet) allShardsOwned() bool {
 	for _, s := range f.deployment.Services {
 		var a struct {
 			Shards []struct {
 				Owner string `json:"owner"`
 			} `json:"shards"`
 		}
-		if !s.Divided {
+		if !s.Sharded {
 			continue
 		}
 		if f.gateways[0].get("/v1/assignment?service="+s.Name, &a) != nil || len(a.Shards) == 0 {
@@ -343,16 +343,16 @@
 	return true
 }
 
-// setUpTimeout bounds each wait of the beginning.
-const setUpTimeout = 30 * time.Second
+// awaitTimeout bounds each wait of the beginning.
+const awaitTimeout = 30 * time.Second
 
 func (f *fleet) await(ctx context.Context, what string, done func() bool) error {
-	ctx, cancel := context.WithTimeout(ctx, setUpTimeout)
+	ctx, cancel := context.WithTimeout(ctx, awaitTimeout)
 	defer cancel()
 	for !done() {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("not reached: %s; the gateways' logs are in %s", what, f.logs)
+			return fmt.Errorf("not reached: %s; the gateways' logs are in %s", what, f.logDir)
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
@@ -381,7 +381,7 @@
 }
 
 func (g *gateway) post(path string, content []byte) error {
-	res, err := adminClient.Post("http://"+g.admin+path, "application/json", bytes.NewReader(content))
+	res, err := adminClient.Post("http://"+g.adminAddress+path, "application/json", bytes.NewReader(content))
 	if err != nil {
 		return err
 	}
--- a/standin/demo/report.go
+++ b/standin/demo/report.go
@@ -17,19 +17,19 @@
 
 // Report is the outcome of a run.
 type Report struct {
-	Deployment string              `json:"deployment"`
-	Seconds    int                 `json:"seconds"`
-	Requests   Requests            `json:"requests"`
-	Violations judge.Violations    `json:"violations"`
-	LatencyMs  map[string]Latency  `json:"latencyMs"`
-	Causes     map[string]int      `json:"causes"`
-	Faults     []*FaultResult      `json:"faults"`
-	Imbalance  map[string]float64  `json:"imbalanceMaxOverMean"`
-	Moved      map[string]float64  `json:"movedShare"`
-	LeastMoved map[string]float64  `json:"leastMovedShare"`
-	Control    map[string]*Control `json:"control"`
-	Platform   Platform            `json:"platform"`
-	Unmet      []string            `json:"unmet"`
+	Deployment      string                   `json:"deployment"`
+	Seconds         int                      `json:"seconds"`
+	Requests        Requests                 `json:"requests"`
+	Violations      judge.Violations         `json:"violations"`
+	LatencyMs       map[string]Latency       `json:"latencyMs"`
+	Causes          map[string]int           `json:"causes"`
+	Faults          []*FaultResult           `json:"faults"`
+	Imbalance       map[string]float64       `json:"imbalanceMaxOverMean"`
+	MovedShare      map[string]float64       `json:"movedShare"`
+	LeastMovedShare map[string]float64       `json:"leastMovedShare"`
+	Control         map[string]*ControlUsage `json:"control"`
+	Platform        PlatformLoad             `json:"platform"`
+	Unmet           []string                 `json:"unmet"`
 	// Linearizable is yes, no, or unknown if the check took too long.
 	Linearizable string `json:"linearizable"`
 	// EndAnsweredPercent is the share of the last requests that were answered.
@@ -53,16 +53,16 @@
 	P999 float64 `json:"p999"`
 }
 
-// Control is what a gateway used; CPU and memory include the requests' own.
-type Control struct {
+// ControlUsage is what a gateway used; CPU and memory include the requests' own.
+type ControlUsage struct {
 	CPUShare          float64 `json:"cpuShare"`
 	RSSMB             float64 `json:"rssMB"`
 	BytesPerSecond    float64 `json:"bytesPerSecond"`
 	MessagesPerSecond float64 `json:"messagesPerSecond"`
 }
 
-// Platform is the load on the table service.
-type Platform struct {
+// PlatformLoad is the load on the table service.
+type PlatformLoad struct {
 	ReadsPerSecond  float64 `json:"readsPerSecond"`
 	WritesPerSecond float64 `json:"writesPerSecond"`
 }
@@ -76,10 +76,10 @@
 }
 
 type gatewayUsage struct {
-	cpu   time.Duration
-	rss   int64
-	bytes int64
-	calls int64
+	cpu    time.Duration
+	rss    int64
+	bytes  int64
+	chunks int64
 }
 
 func (f *fleet) usage() usage {
@@ -87,7 +87,7 @@
 	u.reads, u.writes = f.store.Table.Counts()
 	for _, g := range f.gateways {
 		g.mu.Lock()
-		one := gatewayUsage{bytes: g.egress.ControlBytes.Load() + f.network.Received(g.control), calls: g.egress.ControlPieces.Load()}
+		one := gatewayUsage{bytes: g.egress.ControlBytes.Load() + f.network.ControlBytes(g.controlAddress), chunks: g.egress.ControlChunks.Load()}
 		if g.process != nil {
 			one.cpu, one.rss = processUsage(g.process.Process.Pid)
 		}
@@ -119,7 +119,7 @@
 	out := usage{at: before.at, reads: u.reads - before.reads, writes: u.writes - before.writes, gateways: map[string]gatewayUsage{}}
 	for name, now := range u.gateways {
 		then := before.gateways[name]
-		out.gateways[name] = gatewayUsage{cpu: max(0, now.cpu-then.cpu), rss: now.rss, bytes: now.bytes - then.bytes, calls: now.calls - then.calls}
+		out.gateways[name] = gatewayUsage{cpu: max(0, now.cpu-then.cpu), rss: now.rss, bytes: now.bytes - then.bytes, chunks: now.chunks - then.chunks}
 	}
 	return out
 }
@@ -128,35 +128,35 @@
 	ended := time.Now()
 	seconds := ended.Sub(began).Seconds()
 	r := &Report{
-		Deployment: s.Deployment, Seconds: s.Seconds, Violations: f.history.Judge(), Faults: faults,
+		Deployment: s.Deployment, Seconds: s.Seconds, Violations: f.history.CountViolations(), Faults: faults,
 		LatencyMs: map[string]Latency{}, Causes: map[string]int{}, Imbalance: map[string]float64{},
-		Moved: map[string]float64{}, LeastMoved: map[string]float64{}, Control: map[string]*Control{},
-		Platform: Platform{ReadsPerSecond: float64(used.reads) / seconds, WritesPerSecond: float64(used.writes) / seconds},
+		MovedShare: map[string]float64{}, LeastMovedShare: map[string]float64{}, Control: map[string]*ControlUsage{},
+		Platform: PlatformLoad{ReadsPerSecond: float64(used.reads) / seconds, WritesPerSecond: float64(used.writes) / seconds},
 	}
-	r.Logs = f.logs
-	r.EndAnsweredPercent = endAnswered(f.history.CallsSince(0), began.Add(time.Duration(s.Seconds)*time.Second))
+	r.Logs = f.logDir
+	r.EndAnsweredPercent = endAnsweredPercent(f.history.CallsSince(0), began.Add(time.Duration(s.Seconds)*time.Second))
 	r.countCalls(f.history.CallsSince(0))
 	for _, fault := range faults {
-		fault.Refused = refusedAfter(f.history.CallsSince(0), fault.at)
+		fault.Unanswered = unansweredAfter(f.history.CallsSince(0), fault.started)
 	}
 	for _, service := range f.deployment.Services {
-		r.Imbalance[service.Name] = f.history.Imbalance(service.Name, began.Add(settle), ended)
-		if service.Divided {
-			r.Moved[service.Name] = f.history.Moved(service.Name, began, ended)
-			r.LeastMoved[service.Name] = f.leastMoved(s)
+		r.Imbalance[service.Name] = f.history.Imbalance(service.Name, began.Add(warmup), ended)
+		if service.Sharded {
+			r.MovedShare[service.Name] = f.history.MovedShare(service.Name, began, ended)
+			r.LeastMovedShare[service.Name] = f.leastMovedShare(s)
 		}
 	}
 	for name, g := range used.gateways {
-		r.Control[name] = &Control{
+		r.Control[name] = &ControlUsage{
 			CPUShare: g.cpu.Seconds() / seconds, RSSMB: float64(g.rss) / (1 << 20),
-			BytesPerSecond: float64(g.bytes) / seconds, MessagesPerSecond: float64(g.calls) / seconds,
+			BytesPerSecond: float64(g.bytes) / seconds, MessagesPerSecond: float64(g.chunks) / seconds,
 		}
 	}
 	r.Linearizable = linearizable(f.history)
 	if r.Linearizable == "no" && len(s.Unfenced) == 0 {
 		r.Unmet = append(r.Unmet, "reads and writes of a key are not linearizable")
 	}
-	r.compare(s.Expect)
+	r.checkExpectations(s.Expect)
 	return r
 }
 
@@ -172,13 +172,13 @@
 	}
 }
 
-// refusedWindow is how long after a fault refusals are put down to it.
-const refusedWindow = 3 * time.Second
+// faultWindow is how long after a fault refusals are put down to it.
+const faultWindow = 3 * time.Second
 
-func refusedAfter(calls []judge.Call, at time.Time) int {
+func unansweredAfter(calls []judge.Call, at time.Time) int {
 	n := 0
 	for _, c := range calls {
-		if !c.Probe && c.Outcome != judge.Answered && c.Due.After(at) && c.Due.Before(at.Add(refusedWindow)) {
+		if !c.Probe && c.Outcome != judge.Answered && c.Due.After(at) && c.Due.Before(at.Add(faultWindow)) {
 			n++
 		}
 	}
@@ -188,7 +188,7 @@
 // endWindow is the last part of a run, when all faults are mended.
 const endWindow = 1500 * time.Millisecond
 
-func endAnswered(calls []judge.Call, end time.Time) float64 {
+func endAnsweredPercent(calls []judge.Call, end time.Time) float64 {
 	sent, answered := 0, 0
 	for _, c := range calls {
 		if c.Probe || c.Due.Before(end.Add(-endWindow)) {
@@ -202,13 +202,13 @@
 	return 100 * float64(answered) / float64(max(1, sent))
 }
 
-// leastMoved is what a planner with perfect knowledge would have moved: the
+// leastMovedShare is what a planner with perfect knowledge would have moved: the
 // share of each target that was lost or drained, once.
-func (f *fleet) leastMoved(s *scenario.Scenario) float64 {
+func (f *fleet) leastMovedShare(s *scenario.Scenario) float64 {
 	divided := map[string]string{}
 	total := 0
 	for _, i := range f.deployment.TargetInstances() {
-		if i.Service.Divided {
+		if i.Service.Sharded {
 			divided[i.Name] = i.Zone.Name
 			total++
 		}
@@ -237,7 +237,7 @@
 			r.Requests.Answered++
 		case judge.DidNotRun:
 			r.Requests.RefusedDidNotRun++
-		case judge.Unknown, judge.Cut:
+		case judge.Unknown, judge.ConnectionBroken:
 			r.Requests.Unknown++
 		}
 		if c.Outcome != judge.Answered {
@@ -257,8 +257,8 @@
 	}
 }
 
-// compare notes every expectation that does not hold.
-func (r *Report) compare(e scenario.Expect) {
+// checkExpectations notes every expectation that does not hold.
+func (r *Report) checkExpectations(e scenario.Expect) {
 	unmet := func(format string, args ...any) { r.Unmet = append(r.Unmet, fmt.Sprintf(format, args...)) }
 	if n := r.Violations.Total(); n > 0 && (e.Violations == nil || n > *e.Violations) {
 		unmet("%d violations", n)
@@ -271,10 +271,10 @@
 			unmet("the changed configuration did not come into force everywhere")
 		}
 	}
-	r.compareShares(e, unmet)
+	r.checkPercentages(e, unmet)
 }
 
-func (r *Report) compareShares(e scenario.Expect, unmet func(format string, args ...any)) {
+func (r *Report) checkPercentages(e scenario.Expect, unmet func(format string, args ...any)) {
 	percent := func(n int) float64 { return 100 * float64(n) / float64(max(1, r.Requests.Sent)) }
 	if e.AnsweredPercent != nil && percent(r.Requests.Answered) < *e.AnsweredPercent {
 		unmet("%.2f%% answered, expected %.2f%%", percent(r.Requests.Answered), *e.AnsweredPercent)
@@ -315,10 +315,10 @@
 		if f.InForceMs != nil {
 			fmt.Fprintf(w, " in force everywhere after %d ms,", *f.InForceMs)
 		}
-		fmt.Fprintf(w, " %d not answered in the 3 s after\n", f.Refused)
+		fmt.Fprintf(w, " %d not answered in the 3 s after\n", f.Unanswered)
 	}
 	for _, name := range sortedKeys(r.Imbalance) {
-		fmt.Fprintf(w, "service %-10s max/mean %.2f, moved %.3f of the keys (least needed %.3f)\n", name, r.Imbalance[name], r.Moved[name], r.LeastMoved[name])
+		fmt.Fprintf(w, "service %-10s max/mean %.2f, moved %.3f of the keys (least needed %.3f)\n", name, r.Imbalance[name], r.MovedShare[name], r.LeastMovedShare[name])
 	}
 	for _, name := range sortedKeys(r.Control) {
 		c := r.Control[name]
--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -21,9 +21,9 @@
 	ZoneDelay   time.Duration
 	RegionDelay time.Duration
 	CallerDelay time.Duration
-	// LinkBytes is what the link between regions carries a second, each way.
-	LinkBytes int
-	Gateways  int
+	// LinkBytesPerSecond is what the link between regions carries a second, each way.
+	LinkBytesPerSecond int
+	Gateways           int
 	// StoreZone is where the platform stands.
 	StoreZone string
 }
@@ -37,7 +37,7 @@
 // Service is a set of endpoints.
 type Service struct {
 	Name    string
-	Divided bool
+	Sharded bool
 	Targets int
 	Slots   int
 	Shards  int
@@ -54,7 +54,7 @@
 	Priority   int
 }
 
-const linkBytes = 30_000_000 / 8
+const linkBytesPerSecond = 30_000_000 / 8
 
 // All returns the known deployments.
 func All() []Deployment {
@@ -79,7 +79,7 @@
 		Zones: []Zone{{"graz", "ost"}, {"wien", "ost"}, {"innsbruck", "west"}, {"salzburg", "west"}},
 		Services: []Service{
 			{Name: "booking", Targets: 16, Slots: 3},
-			{Name: "menus", Divided: true, Targets: 20, Slots: 3, Shards: 80},
+			{Name: "menus", Sharded: true, Targets: 20, Slots: 3, Shards: 80},
 		},
 		Kinds: []Kind{
 			{Name: "slots", Service: "booking", Idempotent: true, Share: 0.25, Work: 6 * time.Millisecond, Deadline: 2 * time.Second, Priority: 4},
@@ -89,7 +89,7 @@
 			{Name: "entry", Service: "menus", Share: 0.10, Work: 10 * time.Millisecond, Deadline: 3 * time.Second, Priority: 1},
 		},
 		ZoneDelay: 500 * time.Microsecond, RegionDelay: 8 * time.Millisecond, CallerDelay: 3 * time.Millisecond,
-		LinkBytes: linkBytes, Gateways: 12, StoreZone: "graz",
+		LinkBytesPerSecond: linkBytesPerSecond, Gateways: 12, StoreZone: "graz",
 	}
 }
 
@@ -99,7 +99,7 @@
 		Zones: []Zone{{"north", "perth"}, {"south", "perth"}, {"east", "bunbury"}, {"west", "bunbury"}},
 		Services: []Service{
 			{Name: "rates", Targets: 13, Slots: 4},
-			{Name: "archive", Divided: true, Targets: 20, Slots: 4, Shards: 80},
+			{Name: "archive", Sharded: true, Targets: 20, Slots: 4, Shards: 80},
 		},
 		Kinds: []Kind{
 			{Name: "lookup", Service: "rates", Idempotent: true, Share: 0.45, Work: 4 * time.Millisecond, Deadline: 2 * time.Second, Priority: 1},
@@ -109,7 +109,7 @@
 			{Name: "pull", Service: "archive", Idempotent: true, Share: 0.10, Work: 60 * time.Millisecond, Deadline: 8 * time.Second, Priority: 9},
 		},
 		ZoneDelay: 1400 * time.Microsecond, RegionDelay: 8 * time.Millisecond, CallerDelay: time.Millisecond,
-		LinkBytes: linkBytes, Gateways: 12, StoreZone: "north",
+		LinkBytesPerSecond: linkBytesPerSecond, Gateways: 12, StoreZone: "north",
 	}
 }
 
@@ -155,11 +155,11 @@
 	return names
 }
 
-// Document returns the deployment's first configuration.
-func (d Deployment) Document() *config.Document {
+// InitialConfig returns the deployment's first configuration.
+func (d Deployment) InitialConfig() *config.Document {
 	doc := &config.Document{Author: "demo", Reason: "first configuration of " + d.Name}
 	for _, s := range d.Services {
-		doc.Services = append(doc.Services, config.Service{Name: s.Name, Divided: s.Divided, Shards: s.Shards})
+		doc.Services = append(doc.Services, config.Service{Name: s.Name, Sharded: s.Sharded, Shards: s.Shards})
 	}
 	for _, k := range d.Kinds {
 		doc.Kinds = append(doc.Kinds, config.Kind{
--- a/standin/judge/judge.go
+++ b/standin/judge/judge.go
@@ -41,8 +41,8 @@
 	Answered  Outcome = "answered"
 	DidNotRun Outcome = "didNotRun"
 	Unknown   Outcome = "unknown"
-	// Cut is a connection broken off before or within the answer.
-	Cut Outcome = "cut"
+	// ConnectionBroken is a connection broken off before or within the answer.
+	ConnectionBroken Outcome = "cut"
 )
 
 // Call is one request as its caller saw it.
@@ -61,12 +61,12 @@
 	// Key and Value are those of a divided service: what was read, or empty.
 	Key   string
 	Value string
-	// Right tells whether an answer belongs to the request and is whole.
-	Right bool
+	// Valid tells whether an answer belongs to the request and is whole.
+	Valid bool
 	// Probe marks requests that only look whether a key is served.
 	Probe bool
-	// Ran tells whether an answer says that the request was carried out.
-	Ran bool
+	// Executed tells whether an answer says that the request was carried out.
+	Executed bool
 }
 
 // Leaving is a target that was told to leave.
@@ -75,8 +75,8 @@
 	At     time.Time
 }
 
-// Stop is a gateway that was asked to shut down.
-type Stop struct {
+// Shutdown is a gateway that was asked to shut down.
+type Shutdown struct {
 	Gateway string
 	At      time.Time
 	Ended   time.Time
@@ -87,19 +87,19 @@
 
 // History is everything recorded. It is safe for concurrent use.
 type History struct {
-	mu       sync.Mutex
-	Runs     []Run
-	Holds    []Hold
-	Calls    []Call
-	Leavings []Leaving
-	Stops    []Stop
-	// Reverted counts configurations seen to go backwards.
-	Reverted int
+	mu        sync.Mutex
+	Runs      []Run
+	Holds     []Hold
+	Calls     []Call
+	Leavings  []Leaving
+	Shutdowns []Shutdown
+	// ConfigReversions counts configurations seen to go backwards.
+	ConfigReversions int
 
-	open map[holdName]int
+	lastHold map[holdKey]int
 }
 
-type holdName struct {
+type holdKey struct {
 	target, service string
 	first, epoch    uint64
 }
@@ -125,33 +125,33 @@
 	h.Leavings = append(h.Leavings, l)
 }
 
-// AddStop records a gateway's shutdown.
-func (h *History) AddStop(s Stop) {
+// AddShutdown records a gateway's shutdown.
+func (h *History) AddShutdown(s Shutdown) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.Stops = append(h.Stops, s)
+	h.Shutdowns = append(h.Shutdowns, s)
 }
 
-// AddReverted records a configuration that went backwards.
-func (h *History) AddReverted() {
+// AddConfigReversion records a configuration that went backwards.
+func (h *History) AddConfigReversion() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.Reverted++
+	h.ConfigReversions++
 }
 
 // AddHold records a span, joined to the one before if they touch.
 func (h *History) AddHold(s Hold) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.open == nil {
-		h.open = map[holdName]int{}
+	if h.lastHold == nil {
+		h.lastHold = map[holdKey]int{}
 	}
-	name := holdName{s.Target, s.Service, s.First, s.Epoch}
-	if i, ok := h.open[name]; ok && !s.From.After(h.Holds[i].Until) && s.Last == h.Holds[i].Last {
+	name := holdKey{s.Target, s.Service, s.First, s.Epoch}
+	if i, ok := h.lastHold[name]; ok && !s.From.After(h.Holds[i].Until) && s.Last == h.Holds[i].Last {
 		h.Holds[i].Until = s.Until
 		return
 	}
-	h.open[name] = len(h.Holds)
+	h.lastHold[name] = len(h.Holds)
 	h.Holds = append(h.Holds, s)
 }
 
@@ -173,71 +173,71 @@
 		v.AcknowledgedLost + v.ConfigReverted + v.WorkAfterLeaving + v.CutAtShutdown
 }
 
-// Judge counts the violations in the history.
-func (h *History) Judge() Violations {
+// CountViolations counts the violations in the history.
+func (h *History) CountViolations() Violations {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	v := Violations{ConfigReverted: h.Reverted, TwoOwners: twoOwners(h.Holds)}
-	h.judgeCalls(&v, h.judgeRuns(&v))
+	v := Violations{ConfigReverted: h.ConfigReversions, TwoOwners: countOverlaps(h.Holds)}
+	h.checkCalls(&v, h.checkRuns(&v))
 	return v
 }
 
-// judgeRuns looks at what targets did, and returns how often each request ran.
-func (h *History) judgeRuns(v *Violations) map[string]int {
+// checkRuns looks at what targets did, and returns how often each request ran.
+func (h *History) checkRuns(v *Violations) map[string]int {
 	runs := map[string]int{}
 	for _, r := range h.Runs {
 		runs[r.Request]++
 		if r.Write && runs[r.Request] == 2 {
 			v.RanTwice++
 		}
-		if r.Unfenced && h.heldElsewhere(r) {
+		if r.Unfenced && h.heldByOther(r) {
 			v.TwoOwners++
 		}
-		if h.left(r) {
+		if h.ranAfterLeaving(r) {
 			v.WorkAfterLeaving++
 		}
 	}
 	return runs
 }
 
-// judgeCalls looks at what callers were told.
-func (h *History) judgeCalls(v *Violations, runs map[string]int) {
+// checkCalls looks at what callers were told.
+func (h *History) checkCalls(v *Violations, runs map[string]int) {
 	for _, c := range h.Calls {
 		switch {
 		case c.Outcome == DidNotRun && runs[c.Request] > 0:
 			v.RefusalUntrue++
-		case c.Outcome == Answered && !c.Right:
+		case c.Outcome == Answered && !c.Valid:
 			v.WrongOrCutAnswer++
-		case c.Outcome == Answered && c.Ran && runs[c.Request] == 0:
+		case c.Outcome == Answered && c.Executed && runs[c.Request] == 0:
 			v.AcknowledgedLost++
-		case c.Outcome == Cut && h.stopped(c):
+		case c.Outcome == ConnectionBroken && h.duringShutdown(c):
 			v.CutAtShutdown++
 		}
 	}
 }
 
-// heldElsewhere tells whether another target held the key when this one ran.
-func (h *History) heldElsewhere(r Run) bool {
+// heldByOther tells whether another target held the key when this one ran.
+func (h *History) heldByOther(r Run) bool {
 	return slices.ContainsFunc(h.Holds, func(s Hold) bool {
 		covers := s.Service == r.Service && s.First <= r.Hash && r.Hash <= s.Last
 		return covers && s.Target != r.Target && !r.At.Before(s.From) && r.At.Before(s.Until)
 	})
 }
 
-func (h *History) left(r Run) bool {
+func (h *History) ranAfterLeaving(r Run) bool {
 	return slices.ContainsFunc(h.Leavings, func(l Leaving) bool {
 		return l.Target == r.Target && r.At.Sub(l.At) > leaveGrace
 	})
 }
 
-func (h *History) stopped(c Call) bool {
-	return slices.ContainsFunc(h.Stops, func(s Stop) bool {
+func (h *History) duringShutdown(c Call) bool {
+	return slices.ContainsFunc(h.Shutdowns, func(s Shutdown) bool {
 		return s.Gateway == c.Gateway && !c.Done.Before(s.At) && c.Due.Before(s.Ended)
 	})
 }
 
-// twoOwners counts pairs of targets that held the same hash at the same time.
-func twoOwners(holds []Hold) int {
+// countOverlaps counts pairs of targets that held the same hash at the same time.
+func countOverlaps(holds []Hold) int {
 	sorted := slices.Clone(holds)
 	slices.SortFunc(sorted, func(a, b Hold) int { return a.From.Compare(b.From) })
 	count := 0
@@ -277,8 +277,8 @@
 	return float64(most) * float64(len(byTarget)) / float64(total)
 }
 
-// Moved returns the share of the hash space of a service that changed owners.
-func (h *History) Moved(service string, from, until time.Time) float64 {
+// MovedShare returns the share of the hash space of a service that changed owners.
+func (h *History) MovedShare(service string, from, until time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	owner := map[uint64]string{}
--- a/standin/judge/judge_test.go
+++ b/standin/judge/judge_test.go
@@ -19,16 +19,16 @@
 	h.AddHold(judge.Hold{Target: "t1", Service: "menus", First: 0, Last: 99, Epoch: 1, From: at(500), Until: at(1000)})
 	h.AddHold(judge.Hold{Target: "t2", Service: "menus", First: 0, Last: 99, Epoch: 2, From: at(1000), Until: at(2000)})
 	h.AddRun(judge.Run{Request: "r1", Target: "t1", Service: "menus", Hash: 5, At: at(100), Write: true})
-	h.AddCall(judge.Call{Request: "r1", Outcome: judge.Answered, Right: true, Ran: true, Write: true})
+	h.AddCall(judge.Call{Request: "r1", Outcome: judge.Answered, Valid: true, Executed: true, Write: true})
 	h.AddCall(judge.Call{Request: "r2", Outcome: judge.DidNotRun, Write: true})
-	h.AddCall(judge.Call{Request: "r3", Outcome: judge.Cut, Gateway: "g1", Due: at(100), Done: at(200)})
+	h.AddCall(judge.Call{Request: "r3", Outcome: judge.ConnectionBroken, Gateway: "g1", Due: at(100), Done: at(200)})
 	h.AddLeaving(judge.Leaving{Target: "t3", At: at(0)})
 	h.AddRun(judge.Run{Request: "r4", Target: "t3", At: at(2000)})
 	return h
 }
 
 func TestSoundHistory(t *testing.T) {
-	assert.Equal(t, sound().Judge(), judge.Violations{})
+	assert.Equal(t, sound().CountViolations(), judge.Violations{})
 }
 
 // Each violation is planted alone, and the judge reports exactly that one.
@@ -50,26 +50,26 @@
 			h.AddRun(judge.Run{Request: "r2", Target: "t2", At: at(1200), Write: true})
 		}, judge.Violations{RefusalUntrue: 1}},
 		"wrong answer": {func(h *judge.History) {
-			h.AddCall(judge.Call{Request: "r1", Outcome: judge.Answered, Ran: true})
+			h.AddCall(judge.Call{Request: "r1", Outcome: judge.Answered, Executed: true})
 		}, judge.Violations{WrongOrCutAnswer: 1}},
 		"acknowledged and lost": {func(h *judge.History) {
-			h.AddCall(judge.Call{Request: "r9", Outcome: judge.Answered, Right: true, Ran: true})
+			h.AddCall(judge.Call{Request: "r9", Outcome: judge.Answered, Valid: true, Executed: true})
 		}, judge.Violations{AcknowledgedLost: 1}},
 		"configuration reverted": {func(h *judge.History) {
-			h.AddReverted()
+			h.AddConfigReversion()
 		}, judge.Violations{ConfigReverted: 1}},
 		"work after leaving": {func(h *judge.History) {
 			h.AddRun(judge.Run{Request: "r5", Target: "t3", At: at(3001)})
 		}, judge.Violations{WorkAfterLeaving: 1}},
 		"cut at shutdown": {func(h *judge.History) {
-			h.AddStop(judge.Stop{Gateway: "g1", At: at(150), Ended: at(300)})
+			h.AddShutdown(judge.Shutdown{Gateway: "g1", At: at(150), Ended: at(300)})
 		}, judge.Violations{CutAtShutdown: 1}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := sound()
 			tt.plant(h)
-			assert.Equal(t, h.Judge(), tt.want)
+			assert.Equal(t, h.CountViolations(), tt.want)
 		})
 	}
 }
--- a/standin/judge/linear.go
+++ b/standin/judge/linear.go
@@ -6,11 +6,11 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// linearLimit bounds the search for an order of one history's operations.
-const linearLimit = 20 * time.Second
+// linearizabilityTimeout bounds the search for an order of one history's operations.
+const linearizabilityTimeout = 20 * time.Second
 
-// register is an operation on one key: a write of a value, or a read.
-type register struct {
+// registerOp is an operation on one key: a write of a value, or a read.
+type registerOp struct {
 	key   string
 	write bool
 	value string
@@ -21,7 +21,7 @@
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
 		for _, o := range history {
-			key := o.Input.(register).key
+			key := o.Input.(registerOp).key
 			byKey[key] = append(byKey[key], o)
 		}
 		parts := make([][]porcupine.Operation, 0, len(byKey))
@@ -32,7 +32,7 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		in := input.(register)
+		in := input.(registerOp)
 		if in.write {
 			return true, in.value
 		}
@@ -55,19 +55,19 @@
 	}
 	var operations []porcupine.Operation
 	for i, c := range h.Calls {
-		unknown := c.Outcome == Unknown || c.Outcome == Cut
+		unknown := c.Outcome == Unknown || c.Outcome == ConnectionBroken
 		if c.Key == "" || c.Outcome == DidNotRun || unknown && !c.Write {
 			continue
 		}
 		o := porcupine.Operation{
 			ClientId: i, Call: c.Due.UnixNano(), Return: c.Done.UnixNano(),
-			Input: register{key: c.Service + "/" + c.Key, write: c.Write, value: c.Request}, Output: c.Value,
+			Input: registerOp{key: c.Service + "/" + c.Key, write: c.Write, value: c.Request}, Output: c.Value,
 		}
 		if unknown {
 			o.Return = end
 		}
 		operations = append(operations, o)
 	}
-	result := porcupine.CheckOperationsTimeout(registerModel, operations, linearLimit)
+	result := porcupine.CheckOperationsTimeout(registerModel, operations, linearizabilityTimeout)
 	return result != porcupine.Illegal, result != porcupine.Unknown
 }
