--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -17,93 +17,93 @@
 )
 
 const (
-	// pieces is how many pieces one direction of a connection holds under way.
-	pieces    = 256
-	pieceSize = 16 << 10
-	// blackHole is how long a connection attempt across a cut hangs.
-	blackHole = 5 * time.Second
+	// maxQueuedChunks is how many pieces one direction of a connection holds under way.
+	maxQueuedChunks = 256
+	chunkSize       = 16 << 10
+	// cutConnectDelay is how long a connection attempt across a cut hangs.
+	cutConnectDelay = 5 * time.Second
 )
 
 // Network knows where every address is and what is wrong between places.
 type Network struct {
 	Deployment deployment.Deployment
 
-	mu       sync.Mutex
-	places   map[string]deployment.Zone
-	control  map[string]bool
-	cut      map[[2]string]bool
-	changed  chan struct{}
-	nextFree map[string]time.Time
-	received map[string]*atomic.Int64
-	conns    map[*passage]bool
-	// slow is added to the way between any two zones.
-	slow time.Duration
+	mu           sync.Mutex
+	zones        map[string]deployment.Zone
+	isControl    map[string]bool
+	cuts         map[[2]string]bool
+	cutsChanged  chan struct{}
+	linkFreeAt   map[string]time.Time
+	controlBytes map[string]*atomic.Int64
+	conns        map[*connection]bool
+	// extraDelay is added to the way between any two zones.
+	extraDelay time.Duration
 }
 
 // New returns a network without faults.
 func New(d deployment.Deployment) *Network {
 	return &Network{
-		Deployment: d,
-		places:     map[string]deployment.Zone{},
-		control:    map[string]bool{},
-		cut:        map[[2]string]bool{},
-		changed:    make(chan struct{}),
-		nextFree:   map[string]time.Time{},
-		received:   map[string]*atomic.Int64{},
-		conns:      map[*passage]bool{},
+		Deployment:   d,
+		zones:        map[string]deployment.Zone{},
+		isControl:    map[string]bool{},
+		cuts:         map[[2]string]bool{},
+		cutsChanged:  make(chan struct{}),
+		linkFreeAt:   map[string]time.Time{},
+		controlBytes: map[string]*atomic.Int64{},
+		conns:        map[*connection]bool{},
 	}
 }
 
-// PlatformPlace is the platform's place for cuts.
-const PlatformPlace = "platform"
+// PlatformZone is the platform's place for cuts.
+const PlatformZone = "platform"
 
-// Place tells where an address is. Control addresses are counted as such.
-func (n *Network) Place(address string, zone deployment.Zone, control bool) {
+// AddAddress tells where an address is. Control addresses are counted as such.
+func (n *Network) AddAddress(address string, zone deployment.Zone, control bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.places[address] = zone
-	n.control[address] = control
-	n.received[address] = &atomic.Int64{}
+	n.zones[address] = zone
+	n.isControl[address] = control
+	n.controlBytes[address] = &atomic.Int64{}
 }
 
-// Received returns the control bytes of connections to an address, both ways.
-func (n *Network) Received(address string) int64 {
+// ControlBytes returns the control bytes of connections to an address, both ways.
+func (n *Network) ControlBytes(address string) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if count, ok := n.received[address]; ok {
+	if count, ok := n.controlBytes[address]; ok {
 		return count.Load()
 	}
 	return 0
 }
 
-// Cut separates two places, both ways, or joins them again.
-func (n *Network) Cut(a, b string, cut bool) {
+// SetCut separates two places, both ways, or joins them again.
+func (n *Network) SetCut(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[[2]string{a, b}] = cut
-	n.cut[[2]string{b, a}] = cut
-	close(n.changed)
-	n.changed = make(chan struct{})
+	n.cuts[[2]string{a, b}] = cut
+	n.cuts[[2]string{b, a}] = cut
+	close(n.cutsChanged)
+	n.cutsChanged = make(chan struct{})
 }
 
-// CutOneWay lets nothing pass from one place to another, or lets it pass again.
-func (n *Network) CutOneWay(from, to string, cut bool) {
+// SetOneWayCut lets nothing pass from one place to another, or lets it pass again.
+func (n *Network) SetOneWayCut(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[[2]string{from, to}] = cut
-	close(n.changed)
-	n.changed = make(chan struct{})
+	n.cuts[[2]string{from, to}] = cut
+	close(n.cutsChanged)
+	n.cutsChanged = make(chan struct{})
 }
 
-// Slow adds a delay to the way between any two zones.
-func (n *Network) Slow(d time.Duration) {
+// SetExtraDelay adds a delay to the way between any two zones.
+func (n *Network) SetExtraDelay(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.slow = d
+	n.extraDelay = d
 }
 
-// Reset breaks off all open connections.
-func (n *Network) Reset() {
+// ResetConnections breaks off all open connections.
+func (n *Network) ResetConnections() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for p := range n.conns {
@@ -117,46 +117,46 @@
 	}
 }
 
-// Silence makes all open connections lose everything from now on, while new
+// BlackholeConnections makes all open connections lose everything from now on, while new
 // ones work.
-func (n *Network) Silence() {
+func (n *Network) BlackholeConnections() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for p := range n.conns {
-		p.silent.Store(true)
+		p.blackholed.Store(true)
 	}
 }
 
 // IsCut tells whether two places are separated.
 func (n *Network) IsCut(a, b string) bool {
-	cut, _ := n.blocked(a, b)
+	cut, _ := n.cutState(a, b)
 	return cut
 }
 
-func (n *Network) blocked(a, b string) (bool, <-chan struct{}) {
+func (n *Network) cutState(a, b string) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut[[2]string{a, b}], n.changed
+	return n.cuts[[2]string{a, b}], n.cutsChanged
 }
 
-// arrival is when size bytes sent now from one zone to another are there.
-func (n *Network) arrival(from, to deployment.Zone, size int) time.Time {
+// arrivalTime is when size bytes sent now from one zone to another are there.
+func (n *Network) arrivalTime(from, to deployment.Zone, size int) time.Time {
 	now := time.Now()
 	if from.Name == to.Name {
 		return now
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	now = now.Add(n.slow)
+	now = now.Add(n.extraDelay)
 	if from.Region == to.Region {
 		return now.Add(n.Deployment.ZoneDelay)
 	}
-	free := n.nextFree[from.Region]
+	free := n.linkFreeAt[from.Region]
 	if free.Before(now) {
 		free = now
 	}
-	free = free.Add(time.Duration(size) * time.Second / time.Duration(n.Deployment.LinkBytes))
-	n.nextFree[from.Region] = free
+	free = free.Add(time.Duration(size) * time.Second / time.Duration(n.Deployment.LinkBytesPerSecond))
+	n.linkFreeAt[from.Region] = free
 	return free.Add(n.Deployment.RegionDelay)
 }
 
@@ -165,7 +165,7 @@
 	Zone deployment.Zone
 	// ControlBytes counts both ways with the platform and other gateways.
 	ControlBytes  atomic.Int64
-	ControlPieces atomic.Int64
+	ControlChunks atomic.Int64
 }
 
 // Serve proxies for one gateway until the listener closes.
@@ -188,19 +188,19 @@
 		return
 	}
 	n.mu.Lock()
-	to, known := n.places[req.Host]
-	control := n.control[req.Host]
-	received := n.received[req.Host]
+	to, known := n.zones[req.Host]
+	control := n.isControl[req.Host]
+	received := n.controlBytes[req.Host]
 	n.mu.Unlock()
 	if !known {
 		_, _ = io.WriteString(c, "HTTP/1.1 502 Bad Gateway\r\n\r\n")
 		return
 	}
 	if n.IsCut(e.Zone.Name, to.Name) || n.IsCut(to.Name, e.Zone.Name) {
-		time.Sleep(blackHole)
+		time.Sleep(cutConnectDelay)
 		return
 	}
-	time.Sleep(2 * time.Until(n.arrival(e.Zone, to, 1)))
+	time.Sleep(2 * time.Until(n.arrivalTime(e.Zone, to, 1)))
 	target, err := net.Dial("tcp", req.Host)
 	if err != nil {
 		_, _ = io.WriteString(c, "HTTP/1.1 502 Bad Gateway\r\n\r\n")
@@ -208,22 +208,22 @@
 	}
 	defer func() { _ = target.Close() }()
 	_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
-	p := &passage{network: n, egress: e, received: received, ends: [2]net.Conn{c, target}}
-	p.control.Store(control)
-	n.carry(p, c, target, to)
+	p := &connection{network: n, egress: e, controlBytes: received, ends: [2]net.Conn{c, target}}
+	p.isControl.Store(control)
+	n.forward(p, c, target, to)
 }
 
-// passage is one open connection through the network.
-type passage struct {
-	network  *Network
-	egress   *Egress
-	received *atomic.Int64
-	control  atomic.Bool
-	silent   atomic.Bool
-	ends     [2]net.Conn
+// connection is one open connection through the network.
+type connection struct {
+	network      *Network
+	egress       *Egress
+	controlBytes *atomic.Int64
+	isControl    atomic.Bool
+	blackholed   atomic.Bool
+	ends         [2]net.Conn
 }
 
-func (n *Network) carry(p *passage, c, target net.Conn, to deployment.Zone) {
+func (n *Network) forward(p *connection, c, target net.Conn, to deployment.Zone) {
 	n.mu.Lock()
 	n.conns[p] = true
 	n.mu.Unlock()
@@ -233,38 +233,38 @@
 		n.mu.Unlock()
 	}()
 	var group sync.WaitGroup
-	group.Go(func() { p.pump(c, target, p.egress.Zone, to) })
-	group.Go(func() { p.pump(target, c, to, p.egress.Zone) })
+	group.Go(func() { p.forward(c, target, p.egress.Zone, to) })
+	group.Go(func() { p.forward(target, c, to, p.egress.Zone) })
 	group.Wait()
 }
 
-type piece struct {
-	content []byte
-	due     time.Time
+type chunk struct {
+	data    []byte
+	arrival time.Time
 }
 
-// pump carries bytes one way. When either end is gone, both are closed, which
+// forward carries bytes one way. When either end is gone, both are closed, which
 // ends the other direction too.
-func (p *passage) pump(from, to net.Conn, a, b deployment.Zone) {
-	queue := make(chan piece, pieces)
+func (p *connection) forward(from, to net.Conn, a, b deployment.Zone) {
+	queue := make(chan chunk, maxQueuedChunks)
 	var group sync.WaitGroup
 	group.Go(func() {
 		p.deliver(queue, to, a, b)
 		_ = from.Close()
 	})
 	for {
-		buffer := make([]byte, pieceSize)
+		buffer := make([]byte, chunkSize)
 		count, err := from.Read(buffer)
 		if count > 0 {
 			if bytes.HasPrefix(buffer[:count], []byte("POST "+grant.Path)) {
-				p.control.Store(true)
+				p.isControl.Store(true)
 			}
-			if p.control.Load() {
-				p.received.Add(int64(count))
+			if p.isControl.Load() {
+				p.controlBytes.Add(int64(count))
 				p.egress.ControlBytes.Add(int64(count))
-				p.egress.ControlPieces.Add(1)
+				p.egress.ControlChunks.Add(1)
 			}
-			queue <- piece{buffer[:count], p.network.arrival(a, b, count)}
+			queue <- chunk{buffer[:count], p.network.arrivalTime(a, b, count)}
 		}
 		if err != nil {
 			break
@@ -274,26 +274,26 @@
 	group.Wait()
 }
 
-func (p *passage) deliver(queue <-chan piece, to net.Conn, a, b deployment.Zone) {
+func (p *connection) deliver(queue <-chan chunk, to net.Conn, a, b deployment.Zone) {
 	failed := false
 	for item := range queue {
-		time.Sleep(time.Until(item.due))
-		p.awaitWay(a, b)
-		if p.silent.Load() || failed {
+		time.Sleep(time.Until(item.arrival))
+		p.awaitCutEnd(a, b)
+		if p.blackholed.Load() || failed {
 			continue
 		}
-		_, err := to.Write(item.content)
+		_, err := to.Write(item.data)
 		failed = err != nil
 	}
-	if !p.silent.Load() {
+	if !p.blackholed.Load() {
 		_ = to.Close()
 	}
 }
 
-// awaitWay holds bytes back during a cut, as TCP's retransmissions would.
-func (p *passage) awaitWay(a, b deployment.Zone) {
+// awaitCutEnd holds bytes back during a cut, as TCP's retransmissions would.
+func (p *connection) awaitCutEnd(a, b deployment.Zone) {
 	for {
-		cut, changed := p.network.blocked(a.Name, b.Name)
+		cut, changed := p.network.cutState(a.Name, b.Name)
 		if !cut {
 			return
 		}
--- a/standin/main.go
+++ b/standin/main.go
@@ -23,8 +23,8 @@
   go run ./standin demo --deployment swanfold --seconds 60
   go run ./standin demo --scenario scenarios/zone-loss.json --report report.json`
 
-// errUnmet makes the exit status tell that an expectation does not hold.
-var errUnmet = errors.New("an expectation does not hold")
+// errExpectationsUnmet makes the exit status tell that an expectation does not hold.
+var errExpectationsUnmet = errors.New("an expectation does not hold")
 
 func main() {
 	if err := run(); err != nil {
@@ -50,7 +50,7 @@
 	c.Flags().StringVar(&reportFile, "report", "", "file for the report as JSON")
 	c.Flags().IntVar(&seconds, "seconds", 30, "length of the run without a scenario file")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		s, err := load(name, file, seconds)
+		s, err := loadScenario(name, file, seconds)
 		if err != nil {
 			return err
 		}
@@ -63,14 +63,14 @@
 			return err
 		}
 		if len(r.Unmet) > 0 {
-			return errUnmet
+			return errExpectationsUnmet
 		}
 		return nil
 	}
 	return c
 }
 
-func load(name, file string, seconds int) (*scenario.Scenario, error) {
+func loadScenario(name, file string, seconds int) (*scenario.Scenario, error) {
 	if file != "" {
 		content, err := os.ReadFile(file)
 		if err != nil {
--- a/standin/scenario/scenario.go
+++ b/standin/scenario/scenario.go
@@ -48,24 +48,24 @@
 	EndAnsweredPercent *float64 `json:"endAnsweredPercent,omitempty"`
 }
 
-// On says what a verb is done to.
-type On int
+// ResourceType says what a verb is done to.
+type ResourceType int
 
 // The sorts of things that verbs are done to.
 const (
-	Nothing On = iota
-	OnTarget
-	OnGateway
-	OnZone
+	NoResource ResourceType = iota
+	TargetResource
+	GatewayResource
+	ZoneResource
 )
 
-// Verbs are the known faults.
-var Verbs = map[string]On{
-	"killTarget": OnTarget, "freezeTarget": OnTarget, "drainTarget": OnTarget, "startTarget": OnTarget,
-	"killGateway": OnGateway, "freezeGateway": OnGateway, "stopGateway": OnGateway, "startGateway": OnGateway,
-	"cutZone": OnZone, "cutZoneOneWay": OnZone, "cutZoneFromPlatform": OnZone, "cutRegions": Nothing,
-	"storeDown": Nothing, "storeSlow": Nothing, "loseStoreAnswers": Nothing,
-	"silenceConnections": Nothing, "resetConnections": Nothing, "slowLinks": Nothing, "changeConfig": Nothing,
+// FaultTypes are the known faults.
+var FaultTypes = map[string]ResourceType{
+	"killTarget": TargetResource, "freezeTarget": TargetResource, "drainTarget": TargetResource, "startTarget": TargetResource,
+	"killGateway": GatewayResource, "freezeGateway": GatewayResource, "stopGateway": GatewayResource, "startGateway": GatewayResource,
+	"cutZone": ZoneResource, "cutZoneOneWay": ZoneResource, "cutZoneFromPlatform": ZoneResource, "cutRegions": NoResource,
+	"storeDown": NoResource, "storeSlow": NoResource, "loseStoreAnswers": NoResource,
+	"silenceConnections": NoResource, "resetConnections": NoResource, "slowLinks": NoResource, "changeConfig": NoResource,
 }
 
 // Parse reads a scenario strictly.
@@ -94,14 +94,14 @@
 		fault("load.requestsPerSecond = %v: want more than 0 and at most 20000", s.Load.RequestsPerSecond)
 	}
 	for i, name := range s.Unfenced {
-		if names := NamesFor(d, OnTarget); !slices.Contains(names, name) {
+		if names := ResourceNames(d, TargetResource); !slices.Contains(names, name) {
 			fault("unfenced[%d] = %q is not known; known are %s", i, name, strings.Join(names, ", "))
 		}
 	}
 	for i, f := range s.Faults {
-		on, known := Verbs[f.Do]
+		on, known := FaultTypes[f.Do]
 		if !known {
-			fault("faults[%d].do = %q is not known; known are %s", i, f.Do, strings.Join(verbNames(), ", "))
+			fault("faults[%d].do = %q is not known; known are %s", i, f.Do, strings.Join(faultTypeNames(), ", "))
 			continue
 		}
 		if f.AtMs < 0 || f.AtMs > s.Seconds*1000 {
@@ -110,39 +110,39 @@
 		if f.ForMs < 0 {
 			fault("faults[%d].forMs = %d: want 0 or more", i, f.ForMs)
 		}
-		if names := NamesFor(d, on); on != Nothing && !slices.Contains(names, f.On) {
+		if names := ResourceNames(d, on); on != NoResource && !slices.Contains(names, f.On) {
 			fault("faults[%d].on = %q is not known; known are %s", i, f.On, strings.Join(names, ", "))
 		}
 	}
 	return errors.Join(faults...)
 }
 
-func verbNames() []string {
+func faultTypeNames() []string {
 	var names []string
-	for v := range Verbs {
+	for v := range FaultTypes {
 		names = append(names, v)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// NamesFor returns the names that a verb may be done to.
-func NamesFor(d deployment.Deployment, on On) []string {
+// ResourceNames returns the names that a verb may be done to.
+func ResourceNames(d deployment.Deployment, on ResourceType) []string {
 	var names []string
 	switch on {
-	case OnTarget:
+	case TargetResource:
 		for _, i := range d.TargetInstances() {
 			names = append(names, i.Name)
 		}
-	case OnGateway:
+	case GatewayResource:
 		for _, i := range d.GatewayInstances() {
 			names = append(names, i.Name)
 		}
-	case OnZone:
+	case ZoneResource:
 		for _, z := range d.Zones {
 			names = append(names, z.Name)
 		}
-	case Nothing:
+	case NoResource:
 	}
 	return names
 }
--- a/standin/soak.go
+++ b/standin/soak.go
@@ -68,7 +68,7 @@
 		}
 		var failed []string
 		for seed := seeds.first; seed <= seeds.last; seed++ {
-			met, err := soak(c.Context(), d, seed, seconds, c.OutOrStdout())
+			met, err := runSeed(c.Context(), d, seed, seconds, c.OutOrStdout())
 			if err != nil {
 				return fmt.Errorf("seed %d: %w", seed, err)
 			}
@@ -77,16 +77,16 @@
 			}
 		}
 		if len(failed) > 0 {
-			return fmt.Errorf("%w: seeds %s", errUnmet, strings.Join(failed, ", "))
+			return fmt.Errorf("%w: seeds %s", errExpectationsUnmet, strings.Join(failed, ", "))
 		}
 		return nil
 	}
 	return c
 }
 
-// soak runs one seed and tells whether all expectations hold. The folder of a run
+// runSeed runs one seed and tells whether all expectations hold. The folder of a run
 // that met them is removed.
-func soak(ctx context.Context, d deployment.Deployment, seed uint64, seconds int, out io.Writer) (met bool, err error) {
+func runSeed(ctx context.Context, d deployment.Deployment, seed uint64, seconds int, out io.Writer) (met bool, err error) {
 	s := scenario.Random(d, seed, seconds)
 	if err := s.Validate(); err != nil {
 		return false, err
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -87,7 +87,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	guard := &grant.Guard{Incarnation: rand.Text()}
-	guard.Held = func(g grant.Grant, from, until time.Time) {
+	guard.OnHeld = func(g grant.Grant, from, until time.Time) {
 		if !t.Fenced {
 			return
 		}
@@ -190,7 +190,7 @@
 	_ = json.NewEncoder(w).Encode(guard.Apply(time.Now(), o))
 }
 
-func refuse(w http.ResponseWriter, reason grant.Refused) {
+func refuse(w http.ResponseWriter, reason grant.RefusalReason) {
 	w.Header().Set(grant.RefusedHeader, string(reason))
 	w.WriteHeader(http.StatusConflict)
 }
@@ -213,8 +213,8 @@
 		Hash:    shard.Hash(t.Service.Name, r.PathValue("key")),
 		Write:   t.IsWrite[kind],
 	}}
-	e.run.Unfenced = t.Service.Divided && !t.Fenced
-	if t.Service.Divided && t.Fenced && !e.admit(w, r, guard) {
+	e.run.Unfenced = t.Service.Sharded && !t.Fenced
+	if t.Service.Sharded && t.Fenced && !e.admit(w, r, guard) {
 		return
 	}
 	if e.admission != nil {
@@ -242,7 +242,7 @@
 // admit checks the request against the grants; it responds and returns false if refused.
 func (e *execution) admit(w http.ResponseWriter, r *http.Request, guard *grant.Guard) bool {
 	e.run.Epoch, _ = strconv.ParseUint(r.Header.Get(grant.EpochHeader), 10, 64)
-	admission, err := guard.Enter(time.Now(), e.run.Hash, e.run.Epoch)
+	admission, err := guard.Admit(time.Now(), e.run.Hash, e.run.Epoch)
 	var refused *grant.RefusedError
 	if errors.As(err, &refused) {
 		refuse(w, refused.Reason)
@@ -300,7 +300,7 @@
 // accessValue reads or writes the key's value. A fenced target trusts its cache
 // within an epoch, as sole ownership of the key permits.
 func (t *Target) accessValue(e *execution) {
-	if !t.Service.Divided {
+	if !t.Service.Sharded {
 		return
 	}
 	t.mu.Lock()
