--- a/basilcross/egress/egress.go
+++ b/basilcross/egress/egress.go
@@ -11,10 +11,9 @@
 )
 
 const (
-	// defaultKeepAlive is the keep-alive interval if none is set.
 	defaultKeepAlive = 5 * time.Second
-	// defaultTimeout is the dial timeout if none is set.
-	defaultTimeout = 2 * time.Second
+	// defaultDialTimeout is the dial timeout if none is set.
+	defaultDialTimeout = 2 * time.Second
 )
 
 // Dialer opens TCP connections. The zero value dials directly.
@@ -24,12 +23,12 @@
 	// UserTimeout is how long sent bytes may stay unacknowledged by the other end's
 	// kernel before the connection is aborted (TCP_USER_TIMEOUT); 0 leaves the default.
 	UserTimeout time.Duration
-	// Timeout bounds dialing, including the proxy's answer, unless the context ends
-	// earlier; 0 is two seconds.
-	Timeout time.Duration
+	// DialTimeout bounds dialing, including the proxy's answer, unless the context ends
+	// earlier; 0 means two seconds.
+	DialTimeout time.Duration
 	// KeepAliveInterval is the idle time after which a keep-alive probe is sent, and the
-	// time between probes; 0 is five seconds. Probes detect connections whose other end
-	// has disappeared without a reset.
+	// time between probes; 0 means five seconds. Probes detect connections whose other
+	// end has disappeared without a reset.
 	KeepAliveInterval time.Duration
 	// ResetOnClose closes connections with a reset, which discards unsent bytes.
 	// Otherwise bytes held back by a network partition would arrive when it heals.
@@ -41,7 +40,6 @@
 
 // ProxyError is returned if the proxy refuses to open a connection.
 type ProxyError struct {
-	// Address is the destination.
 	Address string
 	// Status is the HTTP status of the proxy's response.
 	Status int
@@ -53,9 +51,9 @@
 
 // DialContext opens a connection. It fits http.Transport.DialContext.
 func (d *Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	timeout, keepAlive := d.Timeout, d.KeepAliveInterval
+	timeout, keepAlive := d.DialTimeout, d.KeepAliveInterval
 	if timeout == 0 {
-		timeout = defaultTimeout
+		timeout = defaultDialTimeout
 	}
 	if keepAlive == 0 {
 		keepAlive = defaultKeepAlive
@@ -92,7 +90,6 @@
 	return c, nil
 }
 
-// openTunnel requests a tunnel to the address from the proxy.
 func openTunnel(ctx context.Context, c net.Conn, address string) error {
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
--- a/basilcross/egress/timeout_linux.go
+++ b/basilcross/egress/timeout_linux.go
@@ -9,7 +9,6 @@
 // tcpUserTimeout is TCP_USER_TIMEOUT, for which package syscall has no constant.
 const tcpUserTimeout = 18
 
-// setUserTimeout sets TCP_USER_TIMEOUT unless d is zero.
 func setUserTimeout(c net.Conn, d time.Duration) error {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok || d == 0 {
--- a/basilcross/eviction/eviction_test.go
+++ b/basilcross/eviction/eviction_test.go
@@ -12,8 +12,8 @@
 )
 
 // The leader of one of four zones is unresponsive. Its eviction needs the
-// confirmations of two others, one of which has just promised to extend it, so
-// the eviction completes when that promise has expired.
+// confirmations of two others, one of which has just extended it, so the eviction
+// completes when that extension has expired.
 func Example() {
 	now := time.Unix(1000, 0)
 	holder := seat.Record{Zone: "wien", Holder: "gw-9", Incarnation: "a"}
@@ -22,8 +22,8 @@
 
 	var e eviction.Eviction
 	e.Begin(8, now)
-	for zone, book := range map[string]*promise.Ledger{"graz": &graz, "salzburg": &salzburg} {
-		e.Confirm(now, zone, 8, book.Refrain(now, "wien", 8))
+	for zone, ledger := range map[string]*promise.Ledger{"graz": &graz, "salzburg": &salzburg} {
+		e.Confirm(now, zone, 8, ledger.Refrain(now, "wien", 8))
 	}
 	needed := promise.EvictQuorum(4)
 	fmt.Println("at once:", e.Complete(now, needed))
@@ -39,23 +39,23 @@
 	now := time.Unix(1000, 0)
 	holder := seat.Record{Zone: "wien", Holder: "gw-9", Incarnation: "a"}
 	request := promise.ExtendRequest{Zone: "wien", Holder: "gw-9", Incarnation: "a", Version: 8}
-	var b promise.Ledger
-	b.Refrain(now, "wien", 8)
-	assert.Assert(t, !b.Extend(now, request, holder, 8))
+	var ledger promise.Ledger
+	ledger.Refrain(now, "wien", 8)
+	assert.Assert(t, !ledger.Extend(now, request, holder, 8))
 	request.Version = 9
-	assert.Assert(t, b.Extend(now, request, holder, 9))
+	assert.Assert(t, ledger.Extend(now, request, holder, 9))
 }
 
-// Guards against an eviction that ignores promises of the former leader, of which
+// Guards against an eviction that ignores extensions by the former leader, of which
 // a new leader has no record: its confirmation must count only after a lease
 // duration. It must not extend a holder whose row has an intent.
 func TestNewLeaderDelaysItsConfirmation(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := promise.Ledger{ConfirmFrom: now.Add(seat.LeaseDuration)}
+	ledger := promise.Ledger{ConfirmFrom: now.Add(seat.LeaseDuration)}
 	evicted := seat.Record{Zone: "wien", Holder: "gw-9", Incarnation: "a", Intent: "gw-1"}
 	request := promise.ExtendRequest{Zone: "wien", Holder: "gw-9", Incarnation: "a", Version: 7}
-	assert.Assert(t, !b.Extend(now, request, evicted, 8))
-	assert.Equal(t, b.Refrain(now, "wien", 8), seat.LeaseDuration)
+	assert.Assert(t, !ledger.Extend(now, request, evicted, 8))
+	assert.Equal(t, ledger.Refrain(now, "wien", 8), seat.LeaseDuration)
 }
 
 // Guards against a confirmation that counts for a later attempt than its own,
--- a/basilcross/lease/lease.go
+++ b/basilcross/lease/lease.go
@@ -32,7 +32,7 @@
 	return d * maxDriftPercent / 100
 }
 
-// Wait is how long an observer must wait, from when it learned of a lease of
+// Wait is how long an observer must wait, from when it was notified of a lease of
 // this length, until the lease has expired at the holder for certain.
 func Wait(length time.Duration) time.Duration {
 	return length + Drift(length)
--- a/basilcross/promise/promise.go
+++ b/basilcross/promise/promise.go
@@ -1,10 +1,10 @@
-// Package promise records the promises that a zone's leader gives about other zones'
-// seats while the table service is unreachable: to extend a seat, that is to take no
-// part in evicting its holder for the next period, and to refrain from extending it.
+// Package promise records what a zone's leader has promised for other zones' seats while
+// the table service is unreachable: an extension of a seat, that is to take no part in
+// evicting its holder for the next period, or to refrain from extending it.
 //
 // With n seats and f tolerated failures, a holder keeps its seat while n-f leaders,
 // itself included, extend it, and is evicted only if f+1 others refrain. Any two such
-// sets share a leader, and no leader gives both promises at a time.
+// sets share a leader, and no leader does both at a time.
 package promise
 
 import (
@@ -14,8 +14,7 @@
 	"basilcross.example/basilcross/seat"
 )
 
-// ToleratedFailures returns how many of n zones may fail during an outage of the table
-// service.
+// ToleratedFailures returns how many of n zones may fail while the table is unreachable.
 func ToleratedFailures(n int) int {
 	if n < 3 {
 		return 0
@@ -30,22 +29,22 @@
 	return n - ToleratedFailures(n) - 1, n > 1
 }
 
-// EvictQuorum returns how many other leaders must refrain from extending a seat for its
-// holder to be evicted.
+// EvictQuorum returns how many other leaders must refrain for a holder to be evicted.
 func EvictQuorum(n int) int {
 	return ToleratedFailures(n) + 1
 }
 
-// Ledger records one leader's promises. Create one per term.
+// Ledger records which seats one leader extends and refrains from. Create one per term.
 type Ledger struct {
-	// ConfirmFrom must be set to a Wait of seat.Hold after the start of the term: the
-	// seat's previous holder may have given promises that are not recorded here.
+	// ConfirmFrom must be set to a Wait of seat.LeaseDuration after the start of the
+	// term: the seat's previous holder may have granted extensions that are not recorded
+	// here.
 	ConfirmFrom time.Time
 
-	// promisedUntil has the end of the last promise to extend, by zone.
-	promisedUntil map[string]time.Time
-	// refrained has the highest row version that is not extended, by zone.
-	refrained map[string]uint64
+	// extendedUntil has the end of the last extension, by zone.
+	extendedUntil map[string]time.Time
+	// refrainedVersion has the highest row version that is not extended, by zone.
+	refrainedVersion map[string]uint64
 }
 
 // ExtendRequest is a request to extend a seat.
@@ -57,40 +56,39 @@
 	Version uint64
 }
 
-// Extend promises to take no part in evicting the holder for the next Hold from now,
-// and reports whether it does. known is the seat's row as last read from the table,
-// with its version.
+// Extend grants the holder an extension for the next seat.LeaseDuration from now, and
+// reports whether it does. known is the seat's row as last read, with its version.
 func (l *Ledger) Extend(now time.Time, r ExtendRequest, known seat.Record, version uint64) bool {
-	if refrained, ok := l.refrained[r.Zone]; ok && r.Version <= refrained {
+	if refrained, ok := l.refrainedVersion[r.Zone]; ok && r.Version <= refrained {
 		return false
 	}
 	newer := version >= r.Version
 	if newer && (known.Holder != r.Holder || known.Incarnation != r.Incarnation || known.HandedOver) {
 		return false
 	}
-	// A leader may refrain and hand over its seat at once. Its successor has no record
-	// of that promise, but has read the intent.
+	// A leader may refrain and hand over its seat at once. Its successor has no record of
+	// that, but has read the intent.
 	if newer && known.Intent != "" {
 		return false
 	}
-	if l.promisedUntil == nil {
-		l.promisedUntil = map[string]time.Time{}
+	if l.extendedUntil == nil {
+		l.extendedUntil = map[string]time.Time{}
 	}
-	l.promisedUntil[r.Zone] = now.Add(lease.Wait(seat.LeaseDuration))
+	l.extendedUntil[r.Zone] = now.Add(lease.Wait(seat.LeaseDuration))
 	return true
 }
 
-// Refrain promises not to extend the seat at this row version or an earlier one, and
-// returns how long earlier promises to extend may still be valid. A renewal by the
-// holder creates a later version, which may be extended again.
+// Refrain rules out extensions at this row version or an earlier one, and returns how
+// long earlier extensions may still be valid. A renewal by the holder creates a later
+// version, which may be extended again.
 func (l *Ledger) Refrain(now time.Time, zone string, version uint64) (left time.Duration) {
-	if l.refrained == nil {
-		l.refrained = map[string]uint64{}
+	if l.refrainedVersion == nil {
+		l.refrainedVersion = map[string]uint64{}
 	}
-	l.refrained[zone] = max(l.refrained[zone], version)
+	l.refrainedVersion[zone] = max(l.refrainedVersion[zone], version)
 	until := l.ConfirmFrom
-	if promised := l.promisedUntil[zone]; promised.After(until) {
-		until = promised
+	if extended := l.extendedUntil[zone]; extended.After(until) {
+		until = extended
 	}
 	return max(0, until.Sub(now))
 }
--- a/basilcross/routing/config.go
+++ b/basilcross/routing/config.go
@@ -19,7 +19,7 @@
 	Prefix string
 	// Idempotent routes have requests that may run more than once.
 	Idempotent bool
-	// Timeout is the longest time that a caller waits for an answer.
+	// Timeout is how long a caller waits at most.
 	Timeout time.Duration
 	// Objective is the desired response time; a later answer is worth less.
 	Objective time.Duration
@@ -49,7 +49,7 @@
 	WarmupTime time.Duration
 }
 
-// Limits bound the size and the duration of callers' requests; zero is no limit.
+// Limits bound callers' requests; zero is no limit.
 type Limits struct {
 	HeaderBytes   int64
 	BodyBytes     int64
@@ -57,7 +57,7 @@
 	IdleTimeout   time.Duration
 }
 
-// HeaderNames has the names of the headers that callers, instances and targets exchange.
+// HeaderNames are the headers that callers, instances and targets exchange.
 type HeaderNames struct {
 	RequestID string
 	// TimeLeft is the header with the time left until the deadline, in milliseconds.
@@ -65,6 +65,6 @@
 	Signature       string
 	ExpectedTarget  string
 	AnsweringTarget string
-	NotRun          string
+	NotExecuted     string
 	ShardKey        string
 }
--- a/basilcross/routing/routing_test.go
+++ b/basilcross/routing/routing_test.go
@@ -49,8 +49,7 @@
 }
 
 // Guards against shares that hold only on average: over every ten requests each service
-// must get its share. Also guards against new weights that are distorted by those that
-// the route had before.
+// must get its share. New weights must not be distorted by the route's earlier ones.
 func TestSplitterKeepsShares(t *testing.T) {
 	var s routing.Splitter
 	r := &routing.Route{Name: "r", Split: []routing.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
--- a/basilcross/seat/hints_test.go
+++ b/basilcross/seat/announcements_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// renewalSim simulates a holder whose writes and responses are delayed or lost,
-// and an observer that receives each hint at once, late, or never.
+// renewalSim simulates a holder whose writes and responses are delayed or lost, and
+// an observer that receives each announcement at once, late, or never.
 type renewalSim struct {
 	t      *testing.T
 	random *rand.Rand
@@ -57,7 +57,7 @@
 	term, number := record.Term, sim.holder.RenewalNumber()
 	left := lease.New(sent, seat.LeaseDuration).Left(sent)
 	if sim.random.IntN(4) > 0 {
-		sim.schedule(sim.randomDelay(300*time.Millisecond), func() { sim.observer.AddHint(sim.now, term, number, left) })
+		sim.schedule(sim.randomDelay(300*time.Millisecond), func() { sim.observer.AddAnnouncement(sim.now, term, number, left) })
 	}
 	if sim.random.IntN(4) == 0 {
 		return
@@ -73,10 +73,11 @@
 	})
 }
 
-// Guards against two holders at a time: if a hint of an earlier renewal were
-// applied to the one in the row, the seat would expire before its holder stops.
-func TestHintNeverEndsBeforeTheRenewal(t *testing.T) {
-	hinted := 0
+// Guards against two holders at a time: if the announcement of an earlier renewal
+// were applied to the one in the row, the seat would expire before its holder
+// stops.
+func TestAnnouncedEndIsNotBeforeLeaseEnd(t *testing.T) {
+	announced := 0
 	for n := range uint64(200) {
 		sim := &renewalSim{
 			t: t, random: rand.New(rand.NewPCG(n, 3)), now: time.Unix(1000, 0), table: &table.Memory{},
@@ -108,12 +109,12 @@
 			if !known || !sim.observer.Expired(sim.now) {
 				continue
 			}
-			if sim.observer.HasHint() {
-				hinted++
+			if sim.observer.HasAnnouncement() {
+				announced++
 			}
 			left := lease.New(sent, seat.LeaseDuration).Left(sim.now)
 			assert.Assert(t, left == 0, "seed %d: the renewal of row version %d is valid for %v more", n, version, left)
 		}
 	}
-	assert.Assert(t, hinted > 0)
+	assert.Assert(t, announced > 0)
 }
