--- a/basilcross/ownership/address_test.go
+++ b/basilcross/ownership/address_test.go
@@ -9,14 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// scriptedManager drives a manager whose grants to t0 end with a scripted
-// outcome; other orders succeed at once.
+// scriptedManager drives a manager. Grants to t0 end with a scripted outcome, other
+// orders succeed at once.
 type scriptedManager struct {
 	manager *ownership.Manager
 	now     time.Time
 	targets []*roster.Target
-	// answer returns the outcome of a grant to t0's address; if nil, the grants
-	// succeed.
+	// answer returns the outcome of a grant to t0's address; nil lets it succeed.
 	answer func(g *ownership.Grant) ownership.Outcome
 	orders []ownership.Order
 	// holdWrites leaves writes unanswered.
@@ -68,8 +67,8 @@
 	}
 }
 
-// replaceT0 removes t0 from the list. A younger target of this service (if
-// service is empty) or another service's target gets its address.
+// replaceT0 removes t0 from the list. A younger target of this service (if service
+// is empty) or another service's target gets its address.
 func (s *scriptedManager) replaceT0(service string) *roster.Target {
 	next := &roster.Target{ID: "next", Started: 2, Address: "t0:1", Slots: 3, FirstSeen: s.now}
 	s.targets = s.targets[1:]
@@ -81,8 +80,7 @@
 	return next
 }
 
-// t1GotT0Keys reports whether t1 was granted any of t0's keys since the given
-// order.
+// t1GotT0Keys reports whether t1 was granted t0's keys since the given order.
 func (s *scriptedManager) t1GotT0Keys(since int) bool {
 	for _, g := range grantsTo(s.orders[since:], "t1") {
 		if g.First < 32768 {
@@ -117,8 +115,8 @@
 	}
 }
 
-// Guards against a new epoch after a refused connection: the epoch was not
-// sent, so it may be sent on the next connection, and then only on that one.
+// Guards against a new epoch after a refused connection: the epoch was not sent, so
+// it may be sent on the next connection, and then only on that one.
 func TestEpochMayBeSentAfterRefusedConnection(t *testing.T) {
 	s := newScriptedManager(nil)
 	refused := 0
@@ -134,9 +132,9 @@
 	assert.Assert(t, all[4].Channel != 0)
 }
 
-// Guards against granting keys elsewhere when a younger target has their
-// owner's address: it may have received the owner's orders, so it keeps the
-// keys under a new epoch.
+// Guards against granting keys elsewhere when a younger target has their owner's
+// address: it may have received the owner's orders, so it keeps the keys under a
+// new epoch.
 func TestYoungerTargetInheritsTheKeysAtItsAddress(t *testing.T) {
 	s := newScriptedManager(nil)
 	s.run(2 * time.Second)
@@ -153,8 +151,8 @@
 }
 
 // Guards against trusting a release while a misdirected grant is in doubt: the
-// younger target received it, gave no answer and drains. Its release counts
-// only after a higher epoch has fenced that grant.
+// younger target received it, gave no answer and drains. Its release counts only
+// after a higher epoch has fenced that grant.
 func TestMisdirectedGrantIsFencedBeforeRelease(t *testing.T) {
 	s := newScriptedManager(nil)
 	s.run(2 * time.Second)
@@ -175,9 +173,9 @@
 	assert.Assert(t, s.t1GotT0Keys(since))
 }
 
-// Guards against a grant that the store does not have: it records abandoned
-// keys as free from some time on, and a younger target inherits them earlier. A
-// later coordinator would give them to another target at that time.
+// Guards against a grant that the store does not have: it records abandoned keys as
+// free from some time on, and a younger target inherits them earlier. A later
+// coordinator would give them to another target at that time.
 func TestInheritedKeysAreRecordedBeforeTheirGrant(t *testing.T) {
 	s := newScriptedManager(nil)
 	s.run(2 * time.Second)
@@ -204,8 +202,8 @@
 	assert.Assert(t, len(grantsTo(s.orders[since:], "next")) > 0)
 }
 
-// Guards against releasing keys at the new address of a target that moved:
-// another target may have received its orders at the former one.
+// Guards against releasing keys at the new address of a target that moved: another
+// target may have received its orders at the former one.
 func TestTargetThatMovesIsReleasedAtItsFormerAddress(t *testing.T) {
 	s := newScriptedManager(nil)
 	s.run(2 * time.Second)
@@ -217,17 +215,17 @@
 	assert.Equal(t, first.Address, "t0:1")
 }
 
-// Guards against two holders after another service's target got the address. It
-// can hold no keys if the former owner answered for long and was last alive
-// less than the reuse time before each channel was opened. Otherwise a
-// misdirected grant must expire first.
+// Guards against two holders after another service's target got the address. It can
+// hold no keys if the former owner answered for long and was last alive less than
+// the reuse time before each channel was opened. Otherwise a misdirected grant must
+// expire first.
 func TestKeysWaitForGrantsSentToAnotherService(t *testing.T) {
 	longTime := 9 * time.Second
 	for _, c := range []struct {
 		name string
-		// answering is for how long the target has answered, and opened how
-		// long after its last answer the channel of an unanswered order was
-		// opened; negative if there is no such order.
+		// answering is how long the target has answered, and opened how long after
+		// its last answer the channel of an unanswered order was opened; negative
+		// for no such order.
 		answering, opened time.Duration
 		waits             bool
 	}{
@@ -247,8 +245,7 @@
 				return ownership.Unknown
 			}
 			if c.opened >= 0 {
-				// The channel is closed, so that the next order opens another
-				// one.
+				// The channel is closed, so that the next order opens another.
 				first := true
 				answerOpened := s.answer
 				s.answer = func(g *ownership.Grant) ownership.Outcome {
@@ -270,8 +267,8 @@
 	}
 }
 
-// Guards against a latency that outlasts its target: the next incarnation under
-// the name must get its share of the keys.
+// Guards against a latency that outlasts its target: the next incarnation under the
+// name must get its share of the keys.
 func TestLatencyIsDroppedWithItsTarget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	targets := newTargets(2)
@@ -311,9 +308,8 @@
 }
 
 // Guards against trusting a repeated release: the first one reached the younger
-// target and got no answer, the second is answered at once though the work has
-// not ended. It proves nothing, even after the younger target was granted the
-// keys itself.
+// target and got no answer, the second is answered at once though the work has not
+// ended. It proves nothing, even after the younger target was granted the keys.
 func TestUnansweredReleaseCountsForTheInheritor(t *testing.T) {
 	s := newScriptedManager(nil)
 	s.run(2 * time.Second)
--- a/basilcross/ownership/assignment.go
+++ b/basilcross/ownership/assignment.go
@@ -15,8 +15,8 @@
 // KeyCount is the number of keys; keys are 0 to KeyCount-1.
 const KeyCount = 1 << 16
 
-// Piece is a contiguous range of keys with one owner. First and Last both
-// belong to it.
+// Piece is a contiguous range of keys, from First to Last inclusive, with one
+// owner.
 type Piece struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -26,9 +26,8 @@
 	Started int64  `json:"born,omitempty"`
 	Address string `json:"address,omitempty"`
 	// FreeAt is set once the piece is taken from its owner without proof of a
-	// release: the time on the store's clock, in milliseconds, from which the
-	// owner holds nothing any more. A later coordinator need not start the wait
-	// from the beginning.
+	// release: the time on the store's clock, in milliseconds, at which the owner's
+	// hold has ended. A later coordinator need not restart the wait.
 	FreeAt int64 `json:"freeAt,omitempty"`
 }
 
@@ -99,8 +98,8 @@
 	return changed
 }
 
-// OwnerChanges returns the ranges of keys whose owner in next differs from that
-// in a, each with its owner in next.
+// OwnerChanges returns the ranges of keys with another owner in next, each with
+// that owner.
 func (a *Assignment) OwnerChanges(next *Assignment) []Piece {
 	var moved []Piece
 	for i, j := 0, 0; i < len(a.Pieces) && j < len(next.Pieces); {
@@ -119,8 +118,8 @@
 	return moved
 }
 
-// With returns a copy of the assignment with the given term, in which pieces
-// replace what was recorded for their keys. The pieces must not overlap.
+// With returns a copy with the given term in which pieces, which must not overlap,
+// replace what was recorded for their keys.
 func (a *Assignment) With(term int64, pieces []Piece) *Assignment {
 	changes := slices.Clone(pieces)
 	slices.SortFunc(changes, func(p, q Piece) int { return p.First - q.First })
@@ -136,8 +135,8 @@
 	return next
 }
 
-// appendRange appends the parts of source's pieces that lie between first and
-// last. It returns the pieces that may contain keys after last.
+// appendRange appends the parts of source's pieces that lie between first and last.
+// It returns the pieces that may contain keys after last.
 func (a *Assignment) appendRange(source []Piece, first, last int) (rest []Piece) {
 	for len(source) > 0 {
 		p := source[0]
--- a/basilcross/ownership/assignment_test.go
+++ b/basilcross/ownership/assignment_test.go
@@ -56,8 +56,7 @@
 	}
 }
 
-// Measures With for a change of 36 pieces, the number that fits into a
-// datagram.
+// Measures With for a change of 36 pieces, the number that fits into a datagram.
 func BenchmarkWith(b *testing.B) {
 	for _, n := range []int{100, 300, 1000, 3000} {
 		b.Run(fmt.Sprintf("pieces=%d", n), func(b *testing.B) {
--- a/basilcross/ownership/balance.go
+++ b/basilcross/ownership/balance.go
@@ -15,34 +15,31 @@
 	// minUtilizationGap is the difference in utilization between the most and
 	// the least utilized target up to which nothing is moved.
 	minUtilizationGap = 0.25
-	// shiftThreshold is the excess, as a multiple of the expected random
-	// deviation, above which the set of busy keys is taken to have changed. The
-	// measured load of new busy keys lags by some seconds, and all differences
-	// count during that time.
+	// shiftThreshold is the excess, as a multiple of the expected random deviation,
+	// above which the set of busy keys is taken to have changed. The measured load
+	// of new busy keys lags by some seconds, during which all differences count.
 	shiftThreshold = 1.2
-	// targetsPerMove and minMovesPerRound bound the pieces that one round of
+	// targetsPerMove and minMovesPerRound bound the pieces that a round of
 	// balancing begins to move: one per targetsPerMove targets, but at least
-	// minMovesPerRound. Each is a release and a grant. A busy range of
-	// neighbouring keys must be spread over most targets within a second or
-	// two, so the bound grows with the number of targets.
+	// minMovesPerRound. Each is a release and a grant. A busy range of neighbouring
+	// keys must be spread over most targets within a second or two, so the bound
+	// grows with the number of targets.
 	targetsPerMove   = 2
 	minMovesPerRound = 6
-	// maxMovesPerSource bounds the pieces being moved away from one target:
-	// each waits on its own connection until the work on its keys has ended.
+	// maxMovesPerSource bounds the pieces being moved away from one target: each
+	// waits on its own connection until the work on its keys has ended.
 	maxMovesPerSource = 48
-	// maxPiecesPerTarget bounds the number of pieces per target up to which
-	// balancing splits the keys: each piece is renewed by its own call and
-	// takes space in the stored row.
+	// maxPiecesPerTarget bounds the pieces per target up to which balancing splits
+	// the keys: each is renewed by its own call and takes space in the stored row.
 	maxPiecesPerTarget = 4
 	// mergeThreshold is the average number of pieces per target above which the
-	// least busy pieces are moved to a neighbouring piece's owner. Otherwise a
-	// day of moves would use up all pieces, and no busy key could be moved any
-	// more.
+	// least busy pieces move to a neighbouring piece's owner. Otherwise a day of
+	// moves would use up all pieces, and busy keys could not be moved any more.
 	mergeThreshold = 2
-	// targetsPerMerge bounds the merges that one round begins: one per
-	// targetsPerMerge targets, but at least one.
+	// targetsPerMerge bounds the merges of a round: one per targetsPerMerge
+	// targets, but at least one.
 	targetsPerMerge = 16
-	// mergeHeadroom bounds how far above the mean utilization a merge may fill
+	// mergeHeadroom bounds the utilization above the mean to which a merge may fill
 	// a target.
 	mergeHeadroom = 0.1
 )
@@ -75,8 +72,7 @@
 	}
 }
 
-// mergeCandidate is a piece that could move to the owner of a neighbouring
-// piece.
+// mergeCandidate is a piece that could move to a neighbouring piece's owner.
 type mergeCandidate struct {
 	piece *piece
 	to    *targetLoad
@@ -103,8 +99,7 @@
 	return list
 }
 
-// merge begins to move the least busy pieces to the owners of neighbouring
-// pieces.
+// merge begins to move the least busy pieces to neighbouring pieces' owners.
 func (m *Manager) merge(sums []float64, loads map[string]*targetLoad, mean float64) {
 	remaining := max(1, len(loads)/targetsPerMerge)
 	for _, c := range m.mergeCandidates(sums, loads) {
@@ -125,7 +120,6 @@
 	}
 }
 
-// isMovable reports whether the piece may begin to move.
 func (p *piece) isMovable() bool {
 	return p.phase == held && !p.inFlight && p.confirmedEpoch == p.epoch
 }
@@ -134,8 +128,8 @@
 	p.phase, p.cause, p.destination, p.attempts = releaseDue, Rebalance, to, 0
 }
 
-// beginMove begins one move. It returns false once no further move is worth
-// making, and true also if the source turned out to have no movable range.
+// beginMove begins one move. It returns false once no further move is worth making,
+// and true also if the source turned out to have no movable range.
 func (m *Manager) beginMove(now time.Time, sums []float64, loads map[string]*targetLoad, mean float64) bool {
 	from, to := extremes(loads)
 	if from == nil || to == nil || from == to {
@@ -165,9 +159,8 @@
 	return true
 }
 
-// excess is how far a target's load is above its share of the mean, divided by
-// how far the most loaded of that many targets would be by chance if all
-// received the same load.
+// excess is how far a target's load is above its share of the mean, divided by how
+// far the most loaded of that many targets would be by chance under equal load.
 func (m *Manager) excess(l *targetLoad, mean float64, targets int) float64 {
 	even := mean * l.slots
 	chance := expectedMaxDeviation(targets) * m.Load.stdDev(even)
@@ -177,12 +170,12 @@
 	return (l.load - even) / chance
 }
 
-// expectedMaxDeviation is the upper bound of the expected maximum of n normally
+// expectedMaxDeviation is an upper bound of the expected maximum of n normally
 // distributed values, in standard deviations above the mean.
 func expectedMaxDeviation(n int) float64 { return math.Sqrt(2 * math.Log(float64(n))) }
 
-// extremes returns the most utilized target that can still give keys away, and
-// the least utilized target. A target without keys precedes one with few.
+// extremes returns the most utilized target that can give keys away, and the least
+// utilized one. A target without keys precedes one with few.
 func extremes(loads map[string]*targetLoad) (from, to *targetLoad) {
 	for _, l := range loads {
 		eligible := !l.stuck && l.hasKeys && l.movingOut < maxMovesPerSource
@@ -207,19 +200,18 @@
 }
 
 const (
-	// maxOvershoot bounds the load of a move, as a multiple of the load that
-	// brings the nearer of the two targets to the mean.
+	// maxOvershoot bounds the load of a move, as a multiple of the load that brings
+	// the nearer of the two targets to the mean.
 	maxOvershoot = 1.2
-	// minMoveShare is the share of that load below which a move is not worth
-	// the pause in service.
+	// minMoveShare is the share of that load below which a move is not worth the
+	// pause.
 	minMoveShare = 0.1
 )
 
 // pickRange returns the range at either end of one of the source's pieces whose
-// load comes nearest to the load that brings one of the two targets to the
-// mean. A busier key is moved all the same if that leaves both targets less
-// utilized than the source is now; if it does not, its neighbours are moved
-// instead.
+// load comes nearest to the load that brings one of the two targets to the mean. A
+// busier key is moved all the same if that leaves both targets less utilized than
+// the source is now; otherwise its neighbours are moved.
 func (m *Manager) pickRange(sums []float64, from, to *targetLoad, mean float64) (best *piece, first, last int) {
 	amount := min(from.load-mean*from.slots, mean*to.slots-to.load)
 	maxLoad := (from.utilization()-minUtilizationGap)*to.slots - to.load
@@ -228,8 +220,8 @@
 	}
 	bestLoad := minMoveShare * amount
 	if from.utilization() > 1 {
-		// A single key may exceed what the target can serve. Its neighbours
-		// need not wait behind it, however little load they have.
+		// A single key may exceed what the target can serve. Its neighbours need
+		// not wait behind it, however little load they have.
 		bestLoad = 0
 	}
 	for _, p := range m.pieces {
@@ -249,14 +241,12 @@
 	return best, first, last
 }
 
-// keepsLoadWithout reports whether the target has some load left after giving
-// that much away.
 func (l *targetLoad) keepsLoadWithout(load float64) bool { return l.load > 1.01*load }
 
-// edgeRange returns the longest range at one end of a piece whose load is at
-// most limit. If that load is negligible because a busy key follows, the range
-// includes that key if the load is then at most maxLoad. The range is empty
-// (first > last) if no key fits.
+// edgeRange returns the longest range at one end of a piece whose load is at most
+// limit. If that load is negligible because a busy key follows, the range includes
+// that key if the load is then at most maxLoad. It is empty (first > last) if no
+// key fits.
 func edgeRange(sums []float64, p *piece, atStart bool, limit, maxLoad float64) (first, last int) {
 	rangeOf := func(n int) (int, int) {
 		if atStart {
--- a/basilcross/ownership/balance_test.go
+++ b/basilcross/ownership/balance_test.go
@@ -12,9 +12,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// loadSimulation runs a manager against a load in which a small range of keys
-// suddenly gets much of the load. Targets answer all orders; a release takes as
-// long as the work on its keys, a write as long as the store needs.
+// loadSimulation runs a manager while a small range of keys suddenly gets much of
+// the load. Targets answer all orders; a release takes as long as the work on its
+// keys, a write as long as the store needs.
 type loadSimulation struct {
 	rand    *rand.Rand
 	now     time.Time
@@ -32,15 +32,15 @@
 		s.targets[i] = &roster.Target{ID: fmt.Sprintf("t%d", i), Started: 1, Address: fmt.Sprintf("a%d", i), Slots: 3, FirstSeen: s.now.Add(-time.Minute)}
 	}
 	s.manager = newManager(s.now, 1, nil)
-	// A separate random source keeps the load of a seed independent of the
+	// A separate random source, so that a seed's load does not depend on the
 	// orders.
 	jitter := rand.New(rand.NewPCG(1, 8))
 	s.manager.Jitter = func(below time.Duration) time.Duration { return time.Duration(jitter.Int64N(int64(below))) }
 	return s
 }
 
-// setLoad sets the total load, in slots, and the share of it that falls on
-// count keys from first on.
+// setLoad sets the total load, in slots, and the share of it on count keys from
+// first on.
 func (s *loadSimulation) setLoad(total, hot float64, first, count int) {
 	for k := range s.load {
 		s.load[k] = total * (1 - hot) / ownership.KeyCount
@@ -54,8 +54,7 @@
 	heap.Push(&s.queue, timedEvent{s.now.Add(d), do})
 }
 
-// simulate advances the time by d. The manager measures load as requests of
-// 0.65 s.
+// simulate advances the time by d. Load is measured as requests of 0.65 s.
 func (s *loadSimulation) simulate(d time.Duration) {
 	const tick, work = 40 * time.Millisecond, 0.65
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(tick) {
@@ -89,8 +88,7 @@
 	}
 }
 
-// overloadShare is the share of the load that exceeds the slots of the targets
-// that own its keys.
+// overloadShare is the share of the load that exceeds the slots of its targets.
 func (s *loadSimulation) overloadShare() float64 {
 	loads, all := map[string]float64{}, 0.0
 	for _, p := range s.manager.Assignment().Pieces {
@@ -106,11 +104,11 @@
 	return over / all
 }
 
-// Guards against slow splitting of a hot range: 200 neighbouring keys on one
-// target get two fifths of all requests, which are refused until the range is
-// split. The busiest keys change every few seconds, so it must be split within
-// a second or two: a few moves a second are too slow for hundreds of targets. A
-// key busier than a target's free slots must be moved as well.
+// Guards against slow splitting of a hot range: 200 neighbouring keys on one target
+// get two fifths of all requests, which are refused until the range is split. The
+// busiest keys change every few seconds, so it must be split within a second or
+// two: a few moves a second are too slow for hundreds of targets. A key busier than
+// a target's free slots must be moved as well.
 func TestHotRangeIsSplitWithinSeconds(t *testing.T) {
 	for _, c := range []struct {
 		targets, keys int
@@ -139,9 +137,9 @@
 	}
 }
 
-// Guards against pieces that are never merged: pieces are split off each time
-// the busy keys change. Idle ones must go back to their neighbours' owners, or
-// the limit on pieces stops all further moves.
+// Guards against pieces that are never merged: pieces are split off each time the
+// busy keys change. Idle ones must go back to their neighbours' owners, or the
+// limit on pieces stops all further moves.
 func TestIdlePiecesAreMerged(t *testing.T) {
 	s := newLoadSimulation(60)
 	total := 0.5 * 3 * 60
@@ -160,8 +158,8 @@
 	assert.Assert(t, len(s.manager.Assignment().Pieces) <= 3*60)
 }
 
-// Guards against keys that wait or are refused behind a key whose load exceeds
-// any target's slots: they must be moved to other targets.
+// Guards against keys that wait or are refused behind a key whose load exceeds any
+// target's slots: they must be moved to other targets.
 func TestNeighboursOfOverloadedKeyAreMoved(t *testing.T) {
 	s := newLoadSimulation(60)
 	s.simulate(time.Second)
--- a/basilcross/ownership/encode.go
+++ b/basilcross/ownership/encode.go
@@ -42,8 +42,8 @@
 	return json.Marshal(r)
 }
 
-// UnmarshalJSON decodes the stored form of an assignment. It does not check
-// that the pieces cover all keys; Parse does.
+// UnmarshalJSON decodes the stored form. Only Parse checks that all keys are
+// covered.
 func (a *Assignment) UnmarshalJSON(data []byte) error {
 	var r assignmentRecord
 	if err := json.Unmarshal(data, &r); err != nil {
--- a/basilcross/ownership/epochs.go
+++ b/basilcross/ownership/epochs.go
@@ -1,7 +1,6 @@
 package ownership
 
-// Epochs issues the epochs of a term, each once. The zero value is ready for
-// use once Term is set.
+// Epochs issues the epochs of a term, each once. Term must be set.
 type Epochs struct {
 	Term int64
 	used int64
--- a/basilcross/ownership/imbalance_test.go
+++ b/basilcross/ownership/imbalance_test.go
@@ -8,7 +8,6 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against moves between targets that differ in load only by chance.
 func TestRandomLoadDifferencesMoveNoKeys(t *testing.T) {
 	const targets, seconds = 100, 10
 	s := newLoadSimulation(targets)
@@ -21,8 +20,7 @@
 	assert.Assert(t, moved <= targets, "more than one move per target in %d s", seconds)
 }
 
-// Guards against too cautious balancing when a target is overloaded
-// permanently: a tenth of the targets get twice the load of the others.
+// Guards against overload that lasts: a tenth of the targets get twice the load.
 func TestLastingLoadDifferenceIsBalanced(t *testing.T) {
 	const targets = 100
 	s := newLoadSimulation(targets)
@@ -42,8 +40,6 @@
 	assert.Assert(t, s.overloadShare() < before/3)
 }
 
-// Guards against randomness that does not come from the seed: a failing
-// simulation must be reproducible.
 func TestSimulationIsDeterministic(t *testing.T) {
 	run := func() (*ownership.Assignment, ownership.MoveCounts) {
 		s := newLoadSimulation(60)
--- a/basilcross/ownership/load.go
+++ b/basilcross/ownership/load.go
@@ -9,8 +9,8 @@
 // change within a few seconds and a move costs little.
 const loadHalfLife = 3 * time.Second
 
-// sumsCacheTTL is how long prefix sums are reused: decisions made at about the
-// same time need the same sums, and adding up all keys takes time.
+// sumsCacheTTL is how long prefix sums are reused: adding up all keys takes time,
+// and decisions made at about the same time need the same sums.
 const sumsCacheTTL = 100 * time.Millisecond
 
 // Load is the exponentially decaying work on each key. The zero value is empty.
@@ -19,15 +19,13 @@
 	scale     float64
 	updatedAt time.Time
 	// total is the work on all keys, and count the number of additions, both
-	// with the same decay.
+	// decaying.
 	total, count float64
-	// cachedSums are the prefix sums computed at cachedAt.
-	cachedSums []float64
-	cachedAt   time.Time
+	cachedSums   []float64
+	cachedAt     time.Time
 }
 
-// Add records work on a key, in seconds of one of a target's slots. Keys out of
-// range are ignored.
+// Add records work on a key, in seconds of one slot. Keys out of range are ignored.
 func (l *Load) Add(now time.Time, key int, seconds float64) {
 	if key < 0 || key >= KeyCount {
 		return
@@ -56,9 +54,8 @@
 	l.scale = 1
 }
 
-// stdDev is the standard deviation, from randomness alone, of the measured
-// value of a load: requests arrive one by one, and only those of the last few
-// seconds count.
+// stdDev is the random standard deviation of the measured value of a load: requests
+// arrive one by one, and only those of the last few seconds count.
 func (l *Load) stdDev(load float64) float64 {
 	if l.count == 0 {
 		return 0
--- a/basilcross/ownership/manager.go
+++ b/basilcross/ownership/manager.go
@@ -10,13 +10,13 @@
 const (
 	// maxClockDrift is the factor by which a target's clock may run slow.
 	maxClockDrift = 1.02
-	// holdMargin covers the time between an answer's arrival and its processing
-	// here, on an instance that is slowed down several times.
+	// holdMargin covers the time between an answer's arrival and its processing, on
+	// an instance that is slowed down several times.
 	holdMargin = 50 * time.Millisecond
-	// maxArrivalDelay is how long after the reset of its connection a call
-	// without an answer may still arrive: its bytes may wait in the queue of a
-	// congested link, with the reset behind them. The users consider a link
-	// congested at half a second.
+	// maxArrivalDelay is how long after the reset of its connection a call without
+	// an answer may still arrive: its bytes may wait in the queue of a congested
+	// link, with the reset behind them. The users consider a link congested at half
+	// a second.
 	maxArrivalDelay = 500 * time.Millisecond
 	// grantRetryDelay is the pause after a grant that failed.
 	grantRetryDelay = 100 * time.Millisecond
@@ -24,48 +24,44 @@
 	// before its keys are given to others. It is shorter than the hold, since
 	// the wait for the hold's end starts only then.
 	unresponsiveTimeout = 1200 * time.Millisecond
-	// maxReleaseAttempts bounds the attempts to release a piece, counting a
-	// failed grant that precedes the release. After them the end of the hold is
-	// awaited.
+	// maxReleaseAttempts bounds the attempts to release a piece, counting a failed
+	// grant before the release. After them the end of the hold is awaited.
 	maxReleaseAttempts = 2
 )
 
-// Holds are the durations for which keys are granted, and the intervals that go
-// with them.
+// Holds are the durations of holds, and the intervals that go with them.
 type Holds struct {
 	// Normal is the hold while the store answers. It outlasts the loss of the
-	// coordinator, but lengthens the outage of the keys of a lost target.
+	// coordinator, but lengthens the outage of a lost target's keys.
 	Normal time.Duration
-	// Long is the hold while the store does not answer, when it may be that no
-	// instance is authorized to renew.
+	// Long is the hold while the store does not answer, when possibly no instance
+	// is authorized to renew.
 	Long time.Duration
 	// RenewInterval is the time between two renewals.
 	RenewInterval time.Duration
 	// AddressReuse is the minimum time between a target's end and the start of
-	// another service's target at its address; 0 if the platform guarantees
-	// none.
+	// another service's target at its address; 0 if the platform guarantees none.
 	AddressReuse time.Duration
 }
 
-// Manager manages the ownership of one service's keys, for as long as its
-// instance is coordinator. All calls must come from one goroutine.
+// Manager manages the ownership of one service's keys while its instance is
+// coordinator. All calls must come from one goroutine.
 type Manager struct {
 	Service string
 	Term    int64
 	Holds   Holds
 	Load    Load
-	// Epochs, if set, is shared with the managers of other services, whose
-	// targets may use the same addresses one after the other.
+	// Epochs, if set, is shared with the managers of other services, whose targets
+	// may use the same addresses one after the other.
 	Epochs *Epochs
-	// Jitter, if set, returns a random duration below the given one, by which
-	// renewals are spread.
+	// Jitter, if set, returns a random duration below the given one, to spread
+	// renewals.
 	Jitter func(below time.Duration) time.Duration
 
 	pieces []*piece
 	// dirty is set while the pieces differ from what is recorded.
-	dirty   bool
-	writing bool
-	// nextBalance is when the next round of balancing is due.
+	dirty       bool
+	writing     bool
 	nextBalance time.Time
 	// loadShiftedAt is when the set of busy keys was last seen to have changed.
 	loadShiftedAt time.Time
@@ -74,14 +70,13 @@
 	storeClock    storeClockSample
 	// longHolds is set while the store is in doubt.
 	longHolds bool
-	// Moves counts the pieces given to another owner, by cause.
-	Moves MoveCounts
-	// OnInherit, if set, is called for each piece that a younger target at its
-	// owner's address inherits.
+	Moves     MoveCounts
+	// OnInherit, if set, is called for each piece that a younger target inherits at
+	// its owner's address.
 	OnInherit func(p Piece, to roster.Incarnation)
 }
 
-// MoveCounts counts pieces that were given to another owner, by cause.
+// MoveCounts counts pieces given to another owner, by cause.
 type MoveCounts struct {
 	Leaving int
 	Lost    int
@@ -110,29 +105,28 @@
 	Piece
 	phase phase
 	epoch int64
-	// channel is the connection on which the epoch was sent; 0 if it was not
-	// sent yet.
+	// channel is the connection on which the epoch was sent; 0 if it was not sent
+	// yet.
 	channel uint64
-	// heldUntil is the latest time at which any target at the owner's address
-	// may hold the piece, misdirectedUntil the same for another service's
-	// target. After long unbroken answers the owner holds the piece until its
-	// last grant ends; once another service has its address, only orders not
-	// known to have reached this service count, mostly none.
+	// heldUntil is the latest time at which any target at the owner's address may
+	// hold the piece, misdirectedUntil the same for another service's target. After
+	// long unbroken answers the owner holds the piece until its last grant ends;
+	// once another service has its address, only orders that may not have reached
+	// this service count, mostly none.
 	heldUntil        time.Time
 	misdirectedUntil time.Time
 	// inDoubtUntil is the latest time at which a grant without an answer may be
 	// in effect, and inDoubtEpoch the highest epoch of such a grant.
 	inDoubtUntil time.Time
 	inDoubtEpoch int64
-	// usableUntil is when the owner stops using the piece, counted from the
-	// sending of its last answered grant.
+	// usableUntil is when the owner stops using the piece, counted from when its
+	// last answered grant was sent.
 	usableUntil time.Time
 	// confirmedEpoch is the highest epoch of the answered grants.
 	confirmedEpoch int64
-	// inFlight is set while a call about the piece is in flight.
-	inFlight bool
-	renewAt  time.Time
-	attempts int
+	inFlight       bool
+	renewAt        time.Time
+	attempts       int
 	// releaseUnanswered is set if a release got no answer. A later release may
 	// be answered at once although the work on the keys has not ended.
 	releaseUnanswered bool
@@ -156,7 +150,6 @@
 	return [...]string{"ownerLeaving", "ownerLost", "balance"}[c]
 }
 
-// storeClockSample is a reading of the store's clock at a local time.
 type storeClockSample struct {
 	at    time.Time
 	store time.Duration
@@ -168,8 +161,8 @@
 	m.storeClock = storeClockSample{at, store, true}
 }
 
-// freeAt returns, on the store's clock in milliseconds, when a wait until the
-// given local time is over. It is never too early.
+// freeAt returns when a wait until the given local time is over, on the store's
+// clock in milliseconds, and never too early.
 func (m *Manager) freeAt(until time.Time) int64 {
 	remaining := time.Duration(float64(until.Sub(m.storeClock.at)) * maxClockDrift)
 	return max(1, (m.storeClock.store+remaining).Milliseconds()+1)
@@ -177,8 +170,8 @@
 
 // BeginTerm starts a term from the recorded assignment, which may be nil. Every
 // piece may be held under grants of a former coordinator for the longest hold,
-// except pieces with FreeAt, which are held until then. The store's clock is
-// now at least at store.
+// except pieces with FreeAt, which are held until then. The store's clock is now at
+// least at store.
 func (m *Manager) BeginTerm(now time.Time, recorded *Assignment, longestHold, store time.Duration) {
 	if m.Epochs == nil {
 		m.Epochs = &Epochs{Term: m.Term}
@@ -209,8 +202,8 @@
 // assignEpoch gives a piece a new epoch, which is not bound to a channel yet.
 func (m *Manager) assignEpoch(p *piece) { p.epoch, p.channel = m.Epochs.Next(), 0 }
 
-// maxHoldTime is the longest time that a hold may last, measured by the local
-// clock from the moment at which the call was answered or reset.
+// maxHoldTime is the longest time that a hold may last on the local clock after the
+// call was answered or reset.
 func maxHoldTime(hold time.Duration) time.Duration {
 	return time.Duration(float64(hold)*maxClockDrift) + holdMargin
 }
@@ -233,8 +226,7 @@
 	return a
 }
 
-// Settled reports whether every piece is held under an answered grant that has
-// not expired.
+// Settled reports whether every piece is held under an unexpired, answered grant.
 func (m *Manager) Settled(now time.Time) bool {
 	for _, p := range m.pieces {
 		if p.phase != held || !now.Before(p.usableUntil) {
@@ -248,8 +240,8 @@
 	sort.Slice(m.pieces, func(i, j int) bool { return m.pieces[i].First < m.pieces[j].First })
 }
 
-// splitOff splits a piece so that one of the results is exactly first to last,
-// and returns that one. All results keep the epoch and the time limits.
+// splitOff splits a piece and returns the part that is exactly first to last. All
+// parts keep the epoch and the time limits.
 func (m *Manager) splitOff(p *piece, first, last int) *piece {
 	if first > p.First {
 		rest := *p
--- a/basilcross/ownership/manager_test.go
+++ b/basilcross/ownership/manager_test.go
@@ -74,9 +74,9 @@
 	assert.Assert(t, m.Settled(now))
 }
 
-// Guards against two holders: a grant without an answer is applied seconds
-// later, when the keys have been released and granted to another target. A
-// release counts only once a grant with a higher epoch was answered.
+// Guards against two holders: a grant without an answer is applied seconds later,
+// when the keys have been released and granted to another target. A release counts
+// only once a grant with a higher epoch was answered.
 func TestGrantInDoubtIsFencedByHigherEpoch(t *testing.T) {
 	now := time.Unix(1000, 0)
 	targets := newTargets(2)
@@ -103,8 +103,8 @@
 }
 
 // Guards against two holders if the answer to that next grant is lost as well:
-// nothing fences the first one, so the keys wait until the last grant in doubt
-// has expired.
+// nothing fences the first one, so the keys wait until the last grant in doubt has
+// expired.
 func TestKeysWaitForGrantInDoubt(t *testing.T) {
 	now := time.Unix(1000, 0)
 	targets := newTargets(2)
@@ -118,8 +118,8 @@
 	assert.Assert(t, len(grantsTo(given, "t1")) >= 2)
 }
 
-// stepWithOutcome steps the manager ten times; grants and releases of one
-// target end with the given outcome, all others succeed.
+// stepWithOutcome steps the manager ten times; grants and releases of one target
+// end with the given outcome, all others succeed.
 func stepWithOutcome(m *ownership.Manager, now time.Time, targets []*roster.Target, id string, outcome ownership.Outcome) (orders []ownership.Order) {
 	for range 10 {
 		for _, o := range m.Step(now, targets) {
@@ -145,9 +145,8 @@
 	return orders
 }
 
-// Guards against treating the keys of a restarted target as free: it may have
-// received a renewal meant for its former incarnation, so it keeps them under a
-// new epoch.
+// Guards against treating a restarted target's keys as free: it may have received a
+// renewal meant for its former incarnation, so it keeps them under a new epoch.
 func TestRestartedTargetKeepsItsKeysUnderNewEpoch(t *testing.T) {
 	now := time.Unix(1000, 0)
 	targets := newTargets(2)
@@ -160,9 +159,8 @@
 	assert.Equal(t, after[0].Owner.Started, int64(2))
 }
 
-// Guards against moves when the coordinator is lost: its successor reads what
-// was recorded and grants the same keys to the same targets, under higher
-// epochs.
+// Guards against moves when the coordinator is lost: its successor reads what was
+// recorded and grants the same keys to the same targets, under higher epochs.
 func TestSuccessorGrantsTheSameKeys(t *testing.T) {
 	now := time.Unix(1000, 0)
 	targets := newTargets(3)
@@ -176,9 +174,9 @@
 	}
 }
 
-// Guards against trusting a release while a grant is in doubt: a renewal and
-// the grant that would fence it have no answer, but the release has. The
-// renewal may still be applied, so the keys wait.
+// Guards against trusting a release while a grant is in doubt: a renewal and the
+// grant that would fence it have no answer, but the release has. The renewal may
+// still be applied, so the keys wait.
 func TestReleaseDoesNotResolveGrantInDoubt(t *testing.T) {
 	now := time.Unix(1000, 0)
 	targets := newTargets(2)
@@ -220,8 +218,6 @@
 	assert.Assert(t, given > 1)
 }
 
-// Guards against changes that, applied to the former assignment, do not give
-// the next one.
 func TestDiffGivesTheNextAssignment(t *testing.T) {
 	p := func(first, last int, owner string) ownership.Piece {
 		return ownership.Piece{First: first, Last: last, Owner: owner}
@@ -263,8 +259,8 @@
 	assert.DeepEqual(t, got.Pieces, a.Pieces, cmpopts.IgnoreUnexported(ownership.Piece{}))
 }
 
-// Guards against a successor that restarts or shortens the wait for the end of
-// a hold after the coordinator was lost meanwhile.
+// Guards against a successor that restarts or shortens the wait for the end of a
+// hold.
 func TestSuccessorContinuesTheWait(t *testing.T) {
 	now := time.Unix(1000, 0)
 	targets := newTargets(2)
@@ -293,9 +289,9 @@
 	assert.Assert(t, len(grantsTo(stepUntilIdle(second, now.Add(holds.Normal*14/10), targets[1:]), "t1")) >= 2)
 }
 
-// Guards against trusting a repeated release: the answer to the first is lost
-// while a request still runs, and the second is answered at once, as the keys
-// are released already. The keys must wait for the end of the hold.
+// Guards against trusting a repeated release: the answer to the first is lost while
+// a request still runs, and the second is answered at once, as the keys are
+// released already. The keys must wait for the end of the hold.
 func TestRepeatedReleaseIsNoProof(t *testing.T) {
 	now := time.Unix(1000, 0)
 	targets := newTargets(2)
--- a/basilcross/ownership/order.go
+++ b/basilcross/ownership/order.go
@@ -6,11 +6,11 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// Order is a request of the manager to its driver. The driver executes each order
-// at once and independently of the others, and reports its outcome.
+// Order is a request of the manager to its driver, which executes each order at
+// once and independently of the others, and reports its outcome.
 type Order interface{ order() }
 
-// Grant requests a grant or its renewal. Its outcome is reported with Granted.
+// Grant requests a grant or its renewal; see Granted for its outcome.
 type Grant struct {
 	First, Last int
 	Epoch       int64
@@ -18,30 +18,28 @@
 	Owner       roster.Incarnation
 	Address     string
 	Handover    string
-	// Channel is the connection that the epoch belongs to. The order must not
-	// be sent on another one, whose target may not be the one that received the
-	// epoch. 0 marks an epoch that was not sent yet; the driver then sets
-	// Channel when it sends the order. It always sets ChannelOpened.
+	// Channel is the connection that the epoch belongs to. The order must not be
+	// sent on another one, whose target may not be the one that received the epoch.
+	// It is 0 for an epoch that was not sent yet; the driver then sets it when it
+	// sends the order. The driver always sets ChannelOpened.
 	Channel       uint64
 	ChannelOpened time.Time
-	// Suspect is set while the owner leaves orders unanswered: this one will
-	// likely time out as well.
+	// Suspect is set while the owner leaves orders unanswered, so this one will
+	// likely time out.
 	Suspect bool
 }
 
-// Release requests keys back. Its outcome is reported with Released.
+// Release requests keys back; see Released for its outcome.
 type Release struct {
 	First, Last int
 	Epoch       int64
 	Owner       roster.Incarnation
 	Address     string
-	// HeldUntil is the end of the owner's hold, after which an answer is of no
-	// use.
+	// HeldUntil is the end of the owner's hold, after which an answer is useless.
 	HeldUntil time.Time
 }
 
-// Record requests a write of the assignment. Its outcome is reported with
-// Recorded.
+// Record requests a write of the assignment; see Recorded for its outcome.
 type Record struct {
 	Assignment *Assignment
 }
@@ -57,8 +55,7 @@
 const (
 	// Done: the target executed the order.
 	Done Outcome = iota
-	// Refused: the target answered that it did not execute the order;
-	// nothing is in doubt.
+	// Refused: the target answered that it did not execute the order.
 	Refused
 	// Stale: the target has seen a higher epoch.
 	Stale
@@ -99,8 +96,8 @@
 		s.unansweredSince, s.trials = time.Time{}, 0
 		return
 	case ChannelClosed:
-		// A target that answers on another connection must not receive the same
-		// epoch.
+		// Another connection may lead to another target, which must not receive
+		// this epoch.
 		m.assignEpoch(p)
 		p.renewAt = now
 		return
@@ -114,8 +111,7 @@
 			p.misdirectedUntil = later(p.misdirectedUntil, end)
 		}
 		p.inDoubtEpoch = max(p.inDoubtEpoch, o.Epoch)
-		// Once the next grant is answered, this one is refused if it arrives
-		// late.
+		// Once the next grant is answered, this one is refused if it arrives late.
 		m.assignEpoch(p)
 		s.recordFailure(now)
 	case Refused, Unsent:
@@ -125,8 +121,7 @@
 	p.renewAt = now.Add(grantRetryDelay)
 }
 
-// Released reports the outcome of a release, with the handover that the owner
-// returned.
+// Released reports the outcome of a release, with the handover from the owner.
 func (m *Manager) Released(now time.Time, o *Release, handover string, outcome Outcome) {
 	p := m.find(o.First, o.Last, o.Owner)
 	if p == nil || p.phase != releasing {
@@ -160,7 +155,7 @@
 			continue
 		}
 		if !ok {
-			// Grants that the target at its address may still hold must expire
+			// Grants that the target at the address may still hold must expire
 			// first.
 			p.phase = awaitingExpiry
 			continue
@@ -169,8 +164,7 @@
 	}
 }
 
-// Owners returns the incarnations that own pieces, with their addresses and
-// whether they leave orders unanswered.
+// Owners returns the incarnations that own pieces.
 func (m *Manager) Owners() map[roster.Incarnation]Owner {
 	owners := map[roster.Incarnation]Owner{}
 	for _, p := range m.pieces {
@@ -181,17 +175,16 @@
 	return owners
 }
 
-// Owner is the address and responsiveness of an incarnation that owns pieces.
+// Owner is the address of an incarnation, and whether it leaves orders unanswered.
 type Owner struct {
 	Address      string
 	Unresponsive bool
 }
 
-// OwnerReplaced reports that an incarnation has ended, as another service's
-// target has its address now. If that service is sharded, its target may hold
-// misdirected grants: those sent since a target of this service was last known
-// to run there. A target of an unsharded service holds no keys. It returns
-// whether the incarnation was not reported before.
+// OwnerReplaced reports that an incarnation has ended, as another service's target
+// has its address now. If that service is sharded, its target may hold misdirected
+// grants: those sent since a target of this service was last confirmed there. It
+// returns whether the incarnation was not reported before.
 func (m *Manager) OwnerReplaced(owner roster.Incarnation, sharded bool) bool {
 	s := m.owner(owner)
 	changed := !s.ended
--- a/basilcross/ownership/outage_test.go
+++ b/basilcross/ownership/outage_test.go
@@ -10,16 +10,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// outageSimulation is a loadSimulation in which one target is lost.
 type outageSimulation struct {
 	*loadSimulation
-	lost string
-	// unresponsive is set while the lost target answers nothing.
+	lost         string
 	unresponsive bool
 }
 
-// simulate runs until all keys of the lost target are served by others or
-// by its next incarnation, and returns how long that took.
+// simulate runs until all keys of the lost target are served by others or by its
+// next incarnation, and returns how long that took.
 func (o *outageSimulation) simulate(t *testing.T) time.Duration {
 	t.Helper()
 	began := o.now
@@ -39,8 +37,7 @@
 	return 0
 }
 
-// served reports whether no key belongs to the lost incarnation any more, and
-// all keys are granted.
+// served reports whether all keys are granted, and none to the lost incarnation.
 func (o *outageSimulation) served() bool {
 	for _, p := range o.manager.Assignment().Pieces {
 		if p.Owner == "" || p.FreeAt > 0 || p.Owner == o.lost && p.Started == 1 {
@@ -72,17 +69,17 @@
 	o.loadSimulation.execute(order)
 }
 
-// Guards against keys that are not served for too long after a target is lost,
-// in each way that the platform can report it. Its callers must retry until its
-// keys are served again: at once if it is proved to hold nothing, and otherwise
-// when its longest hold has expired.
+// Guards against keys that are not served for too long after a target is lost, in
+// each way that the platform can report it. They must be served again at once if
+// the target is proved to hold nothing, and otherwise when its longest hold has
+// expired.
 func TestTimeUntilServedAgain(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		lose  func(o *outageSimulation)
 		limit time.Duration
-		// healthyFor is how long the simulation runs before the loss; at least
-		// three seconds.
+		// healthyFor is how long the target is healthy before; at least three
+		// seconds.
 		healthyFor time.Duration
 	}{
 		{"drains", func(o *outageSimulation) { o.replaceEntry().Draining = true }, time.Second, 0},
--- a/basilcross/ownership/owner.go
+++ b/basilcross/ownership/owner.go
@@ -6,26 +6,21 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// maxListingDelay is the longest time until the platform lists a target that
-// runs at an address. Once answers have been received for longer, they come
-// from the target that it lists.
+// maxListingDelay is the longest time until the platform lists a target that runs
+// at an address. Answers received for longer come from the listed target.
 const maxListingDelay = 4 * time.Second
 
 // ownerState is the state of an incarnation that owns pieces.
 type ownerState struct {
-	// lastAnswered is the sending time of the latest answered order, and
-	// answeringSince that of the first order in the current unbroken series of
-	// answers.
+	// lastAnswered is when the latest answered order was sent, and answeringSince
+	// the first of the current unbroken series of answered orders.
 	lastAnswered, answeringSince time.Time
-	// unansweredSince is when the first order since the last answer failed;
-	// zero if none has.
+	// unansweredSince is when the first order since the last answer failed, if any.
 	unansweredSince time.Time
-	// trials counts how often the owner was allowed keys again since its last
-	// answer.
+	// trials counts how often the owner was given keys again since its last answer.
 	trials int
-	// ended is set when the incarnation is proved to have ended, and
-	// misdirected if the target now at its address may hold keys from grants
-	// that were meant for it.
+	// ended is set when the incarnation is proved to have ended, and misdirected if
+	// the target now at its address may hold keys from grants meant for it.
 	ended, misdirected bool
 }
 
@@ -38,11 +33,11 @@
 	return s
 }
 
-// reachedOwnService reports whether an order cannot have reached another
-// service's target: a target of this service was alive at the address less than
-// Holds.AddressReuse before the order's channel was opened. Answers that began
-// only recently prove nothing, since they may come from another service's
-// target that the platform has not listed yet.
+// reachedOwnService reports whether an order cannot have reached another service's
+// target: a target of this service was alive at the address less than
+// Holds.AddressReuse before the order's channel was opened. Answers that began only
+// recently prove nothing: they may come from another service's target that the
+// platform has not listed yet.
 func (m *Manager) reachedOwnService(s *ownerState, now time.Time, o *Grant) bool {
 	opened := o.ChannelOpened
 	if opened.IsZero() {
@@ -52,7 +47,6 @@
 	return !s.lastAnswered.IsZero() && opened.Sub(s.lastAnswered) < reuse && s.lastAnswered.Sub(s.answeringSince) > maxListingDelay
 }
 
-// recordAnswer records an answer to an order that was sent at the given time.
 func (m *Manager) recordAnswer(s *ownerState, sent time.Time) {
 	if s.lastAnswered.IsZero() || sent.Sub(s.lastAnswered) >= m.Holds.AddressReuse {
 		s.answeringSince = sent
--- a/basilcross/ownership/plan.go
+++ b/basilcross/ownership/plan.go
@@ -8,20 +8,18 @@
 )
 
 const (
-	// priorLoad is the load, in slots, that is assumed to be spread evenly over
-	// all keys, so that keys without measured load are distributed by number.
+	// priorLoad is the load, in slots, that is assumed to be spread evenly over all
+	// keys, so that keys without measured load are distributed by number.
 	priorLoad = 0.5
-	// warmupShare is the share of its normal capacity that a target has while
-	// it warms up.
+	// warmupShare is the share of its capacity that a target has while it warms up.
 	warmupShare = 0.5
 	// trialDelay is how long a target that left orders unanswered, but is still
 	// listed, is given no keys: longer than its lost keys need to be served
-	// elsewhere. It doubles with each trial up to maxTrialDelay, as each trial
-	// costs its keys a whole hold.
+	// elsewhere. It doubles with each trial up to maxTrialDelay, as each costs its
+	// keys a whole hold.
 	trialDelay    = 8 * time.Second
 	maxTrialDelay = 64 * time.Second
-	// minSpread is the minimum number of targets over which a lost target's
-	// keys are spread.
+	// minSpread is the minimum number of targets that get a lost target's keys.
 	minSpread = 3
 )
 
@@ -30,8 +28,8 @@
 	target *roster.Target
 	slots  float64
 	load   float64
-	// movingOut counts the pieces on their way to other targets; stuck is set
-	// if none of the target's pieces can be moved.
+	// movingOut counts the pieces on their way to other targets; stuck is set if
+	// none of the target's pieces can be moved.
 	movingOut int
 	stuck     bool
 	hasKeys   bool
@@ -55,9 +53,8 @@
 	m.latencies[target] = latency
 }
 
-// dropLatencies drops the latencies of targets that are not listed any more.
-// They would otherwise count for the next incarnation under the name, and in
-// the mean.
+// dropLatencies drops the latencies of unlisted targets. They would otherwise count
+// for the next incarnation under the name, and in the mean.
 func (m *Manager) dropLatencies(listed map[string]*roster.Target) {
 	for id := range m.latencies {
 		if listed[id] == nil {
@@ -80,8 +77,8 @@
 	return min(max(float64(sum)/float64(len(m.latencies))/float64(own), minRelativeSpeed), maxRelativeSpeed)
 }
 
-// targetLoads returns, by ID, the targets that may be given keys. A piece on
-// the move counts for its destination.
+// targetLoads returns, by ID, the targets that may be given keys. A moving piece
+// counts for its destination.
 func (m *Manager) targetLoads(now time.Time, targets []*roster.Target, sums []float64) map[string]*targetLoad {
 	loads := map[string]*targetLoad{}
 	for _, t := range targets {
@@ -111,8 +108,8 @@
 	return loads
 }
 
-// mayReceiveKeys reports whether a target may be given keys. It begins a trial
-// of an unresponsive target when one is due.
+// mayReceiveKeys reports whether a target may be given keys. It begins a trial of
+// an unresponsive target when one is due.
 func (m *Manager) mayReceiveKeys(now time.Time, t *roster.Target) bool {
 	s := m.owner(t.Incarnation())
 	if !s.unansweredSince.IsZero() && now.Sub(s.unansweredSince) > min(trialDelay<<min(s.trials, 8), maxTrialDelay) {
@@ -127,8 +124,7 @@
 	return sums[last+1] - sums[first] + priorLoad*float64(last-first+1)/KeyCount
 }
 
-// assign gives every free piece an owner, which is recorded before the piece is
-// granted.
+// assign gives every free piece an owner, which is recorded before the grant.
 func (m *Manager) assign(now time.Time, targets []*roster.Target) {
 	var unassigned []*piece
 	for _, p := range m.pieces {
@@ -156,12 +152,11 @@
 	}
 }
 
-// startupQuietPeriod is how long no new target must have appeared before keys
-// are assigned for the first time: all targets start together, and each late
-// one would receive its share by taking keys from others.
+// startupQuietPeriod is how long no new target must have appeared before keys are
+// assigned for the first time: all targets start together, and each late one would
+// get its share by taking keys from others.
 const startupQuietPeriod = 800 * time.Millisecond
 
-// targetsSettled reports whether likely all targets have appeared.
 func (m *Manager) targetsSettled(now time.Time, targets []*roster.Target) bool {
 	for _, t := range targets {
 		if now.Sub(t.FirstSeen) < startupQuietPeriod {
@@ -171,9 +166,9 @@
 	return true
 }
 
-// partLoad is the load of the parts into which free pieces are split: a
-// target's share if nearly everything is free, and less if the keys of one
-// target are free, which are to be spread over several.
+// partLoad is the load of the parts into which free pieces are split: a target's
+// share if nearly everything is free, and less if the keys of one target are free,
+// which are to be spread over several.
 func (m *Manager) partLoad(sums []float64, freeLoad float64, n int) float64 {
 	all := rangeLoad(sums, 0, KeyCount-1)
 	if freeLoad > all/2 {
@@ -217,8 +212,8 @@
 	return nil
 }
 
-// leastUtilized returns the target with the lowest utilization after the load
-// is added, or the destination if that may be given keys.
+// leastUtilized returns the target with the lowest utilization after the load is
+// added, or the destination if that may be given keys.
 func leastUtilized(loads map[string]*targetLoad, destination string, load float64) *targetLoad {
 	if l := loads[destination]; l != nil {
 		return l
--- a/basilcross/ownership/simulation_test.go
+++ b/basilcross/ownership/simulation_test.go
@@ -12,19 +12,18 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// simulation runs a manager and its successors against targets that handle
-// grants as the platform specifies: a hold counts from the call's arrival on a
-// clock up to 2 % slow, an epoch lower than one seen is refused, and calls
-// without an answer may be applied seconds later. Orders go to an address, and
-// the target running there accepts them, whatever its name. The simulation
-// fails as soon as two targets hold a key at once, or one accepts a key with an
-// epoch that another has had.
+// simulation runs a manager and its successors against targets that handle grants
+// as the platform specifies: a hold counts from the call's arrival on a clock up to
+// 2 % slow, an epoch lower than one seen is refused, and calls without an answer
+// may be applied seconds later. Orders go to an address, and the target running
+// there accepts them, whatever its name. The simulation fails as soon as two
+// targets hold a key at once, or one accepts a key with an epoch that another has
+// had.
 type simulation struct {
-	t    *testing.T
-	seed uint64
-	rand *rand.Rand
-	now  time.Time
-	// queue holds the future events.
+	t     *testing.T
+	seed  uint64
+	rand  *rand.Rand
+	now   time.Time
 	queue timedEvents
 	// running has the process at each address, and otherServices the entries of
 	// other services' targets.
@@ -36,24 +35,20 @@
 	written       *ownership.Assignment
 	epochsSeen    map[int]map[*fakeTarget]int64
 	startCount    int
-	// connections are the connections opened so far; channel n is
-	// connections[n-1].
+	// connections are the opened connections; channel n is connections[n-1].
 	connections []fakeConnection
-	// frozenUntil is until when the coordinator is frozen, and storeDownUntil
-	// until when the store does not answer.
+	// frozenUntil is when the coordinator resumes, storeDownUntil when the store
+	// does.
 	frozenUntil, storeDownUntil time.Time
-	// endedAt has the time at which a process last ended at an address.
-	endedAt map[string]time.Time
-	// history is the log of events, printed if the simulation fails.
-	history      []string
-	reportedGone map[roster.Incarnation]bool
+	endedAt                     map[string]time.Time
+	history                     []string
+	reportedGone                map[roster.Incarnation]bool
 }
 
 func (s *simulation) logf(format string, args ...any) {
 	s.history = append(s.history, fmt.Sprintf("%7.3f ", s.now.Sub(simulationStart).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// failf ends the test and prints the last entries of the history.
 func (s *simulation) failf(format string, args ...any) {
 	s.t.Helper()
 	s.t.Log("\n" + strings.Join(s.history[max(0, len(s.history)-400):], "\n"))
@@ -62,15 +57,15 @@
 
 var simulationStart = time.Unix(1000, 0)
 
-// fakeTarget is one process. It has ended once it is not the one running at its
+// fakeTarget is one process. It has ended if another one, or none, runs at its
 // address.
 type fakeTarget struct {
-	name    string
-	address string
-	entry   *roster.Target
-	seen    map[int]int64
-	until   map[int]time.Time
-	drift   float64
+	name         string
+	address      string
+	entry        *roster.Target
+	highestEpoch map[int]int64
+	heldUntil    map[int]time.Time
+	drift        float64
 }
 
 // fakeConnection is a connection and the process at its other end.
@@ -101,8 +96,7 @@
 	heap.Push(&s.queue, timedEvent{s.now.Add(d), do})
 }
 
-// whenAwake runs do, which calls the manager, once the coordinator is not
-// frozen.
+// whenAwake calls do, which calls the manager, once the coordinator is not frozen.
 func (s *simulation) whenAwake(do func()) {
 	if s.now.Before(s.frozenUntil) {
 		s.after(s.frozenUntil.Sub(s.now), do)
@@ -111,7 +105,7 @@
 	do()
 }
 
-// whenStoreUp runs do, which needs the store, once the store answers.
+// whenStoreUp calls do, which needs the store, once the store answers.
 func (s *simulation) whenStoreUp(do func()) {
 	if s.now.Before(s.storeDownUntil) {
 		s.after(s.storeDownUntil.Sub(s.now), do)
@@ -120,8 +114,7 @@
 	do()
 }
 
-// sampleInterval is the distance between the sampled keys, which represent all
-// keys.
+// sampleInterval is the distance between the sampled keys, which represent all.
 const sampleInterval = 512
 
 func sampledKeys(first, last int) (keys []int) {
@@ -138,19 +131,19 @@
 	s.logf("%s applies a grant of %d to %d for %v, epoch %d, channel %d, received %v ago", to.name, o.First, o.Last, o.Owner, o.Epoch, o.Channel, s.now.Sub(arrived))
 	keys := sampledKeys(o.First, o.Last)
 	for _, k := range keys {
-		if to.seen[k] > o.Epoch {
+		if to.highestEpoch[k] > o.Epoch {
 			return ownership.Stale
 		}
 	}
 	until := arrived.Add(time.Duration(float64(o.Hold) * to.drift))
 	for _, k := range keys {
-		to.seen[k] = o.Epoch
+		to.highestEpoch[k] = o.Epoch
 		if until.Before(s.now) {
 			continue
 		}
 		s.checkExclusive(k, to, o)
-		if until.After(to.until[k]) {
-			to.until[k] = until
+		if until.After(to.heldUntil[k]) {
+			to.heldUntil[k] = until
 		}
 	}
 	return ownership.Done
@@ -158,7 +151,7 @@
 
 func (s *simulation) checkExclusive(k int, to *fakeTarget, o *ownership.Grant) {
 	for _, other := range s.running {
-		if other != to && other.until[k].After(s.now) {
+		if other != to && other.heldUntil[k].After(s.now) {
 			s.failf("key %d is held by %s and granted to %s, for %v", k, other.name, to.name, o.Owner)
 		}
 	}
@@ -194,8 +187,8 @@
 	}
 }
 
-// connect returns the process at the other end of the order's channel, or of a
-// new one.
+// connect returns the process at the other end of the order's channel, or of a new
+// one.
 func (s *simulation) connect(o *ownership.Grant) (*fakeTarget, ownership.Outcome) {
 	if o.Channel == 0 {
 		to := s.running[o.Address]
@@ -227,8 +220,8 @@
 		arrived := s.now
 		switch {
 		case chance < 6:
-			// Applied late: the answer never arrives, and the hold counts from
-			// the arrival of the call.
+			// Applied late: no answer arrives, and the hold counts from the call's
+			// arrival.
 			s.after(2*time.Second+time.Duration(s.rand.IntN(10_000))*time.Millisecond, func() { s.applyGrant(to, arrived, o) })
 		case chance < 10:
 			s.applyGrant(to, arrived, o)
@@ -253,27 +246,26 @@
 			return
 		}
 		for _, key := range sampledKeys(o.First, o.Last) {
-			delete(from.until, key)
+			delete(from.heldUntil, key)
 		}
 		s.logf("%s released %d to %d for %v", from.name, o.First, o.Last, o.Owner)
 		s.whenAwake(func() { m.Released(s.now, o, "h", ownership.Done) })
 	})
 }
 
-// startTarget starts a process at an address where none is running. It returns
-// its entry, which is not listed yet.
+// startTarget starts a process at a free address, and returns its unlisted entry.
 func (s *simulation) startTarget(id, address string) *roster.Target {
 	s.startCount++
 	s.logf("%s starts at %s", id, address)
 	entry := &roster.Target{ID: id, Started: s.now.UnixMilli(), Address: address, Slots: 3}
 	s.running[address] = &fakeTarget{
 		name: fmt.Sprintf("%s/%d", id, s.startCount), address: address, entry: entry,
-		seen: map[int]int64{}, until: map[int]time.Time{}, drift: 1 + 0.02*s.rand.Float64(),
+		highestEpoch: map[int]int64{}, heldUntil: map[int]time.Time{}, drift: 1 + 0.02*s.rand.Float64(),
 	}
 	return entry
 }
 
-// addEntry lists an entry, or replaces the one under the same ID.
+// addEntry lists an entry, replacing the one under the same ID.
 func (s *simulation) addEntry(t *roster.Target) {
 	s.logf("%v is listed", t.Incarnation())
 	t.FirstSeen = s.now
@@ -340,14 +332,13 @@
 	case 8:
 		s.storeOutage(s.randomBelow(6 * time.Second))
 	case 9:
-		// Short enough that the coordinator can go on afterwards with what is
-		// left of its lease.
+		// Short enough that the coordinator continues with the rest of its lease.
 		s.frozenUntil = s.now.Add(s.randomBelow(1500 * time.Millisecond))
 		s.logf("the coordinator is frozen until %.3f", s.frozenUntil.Sub(simulationStart).Seconds())
 	}
 }
 
-// storeOutage makes the store unreachable. The coordinator goes on until its
+// storeOutage makes the store unreachable. The coordinator continues until its
 // lease expires, and another one begins a term when the store is back.
 func (s *simulation) storeOutage(d time.Duration) {
 	const lease = 2 * time.Second
@@ -360,8 +351,8 @@
 	s.after(d, s.takeOver)
 }
 
-// replaceTarget ends a target and starts another one at its address, under the
-// same or another name, before or after the list shows either change.
+// replaceTarget ends a target and starts another one at its address, under the same
+// or another name, before or after the list shows either change.
 func (s *simulation) replaceTarget(t *roster.Target, id string, minDelay time.Duration) {
 	s.stopTarget(t.Address)
 	s.after(minDelay+s.randomBelow(2*time.Second), func() {
@@ -382,8 +373,8 @@
 	})
 }
 
-// reuseAddress ends a target and gives its address to another service, which
-// the platform does two seconds later at the earliest.
+// reuseAddress ends a target and gives its address to another service, which the
+// platform does two seconds later at the earliest.
 func (s *simulation) reuseAddress(t *roster.Target) {
 	s.stopTarget(t.Address)
 	s.after(2*time.Second+s.randomBelow(2*time.Second), func() {
@@ -397,8 +388,7 @@
 	})
 }
 
-// entryRemovalDelay is the time after which the platform removes the entry of a
-// target that ended.
+// entryRemovalDelay is how long the platform keeps the entry of an ended target.
 const entryRemovalDelay = 2600 * time.Millisecond
 
 // stopTarget ends the process at the address; its entry is removed later.
@@ -413,8 +403,8 @@
 	s.after(entryRemovalDelay, func() { s.whenStoreUp(func() { s.removeEntry(p.entry.Incarnation()) }) })
 }
 
-// reportReplaced reports to the manager the other services' targets that run at
-// its owners' addresses.
+// reportReplaced reports to the manager the other services' targets that run at its
+// owners' addresses.
 func (s *simulation) reportReplaced() {
 	for incarnation, owner := range s.manager.Owners() {
 		listed := false
--- a/basilcross/ownership/step.go
+++ b/basilcross/ownership/step.go
@@ -6,12 +6,12 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// balanceInterval is the time between two rounds of balancing; hot keys last
-// for seconds.
+// balanceInterval is the time between rounds of balancing; hot keys last for
+// seconds.
 const balanceInterval = 250 * time.Millisecond
 
-// SetStoreInDoubt sets whether the store fails to answer at present. While it
-// does, the authority to renew may be about to end, so long holds are granted.
+// SetStoreInDoubt sets whether the store fails to answer. While it does, the
+// authority to renew may be about to end, so long holds are granted.
 func (m *Manager) SetStoreInDoubt(now time.Time, inDoubt bool) {
 	if inDoubt && !m.longHolds {
 		for _, p := range m.pieces {
@@ -21,8 +21,7 @@
 	m.longHolds = inDoubt
 }
 
-// Step returns the orders that are due. Targets are those that the platform
-// lists for the service.
+// Step returns the orders that are due. Targets are the service's listed targets.
 func (m *Manager) Step(now time.Time, targets []*roster.Target) []Order {
 	listed := make(map[string]*roster.Target, len(targets))
 	byAddress := make(map[string]*roster.Target, len(targets))
@@ -58,10 +57,9 @@
 	return orders
 }
 
-// applyOwnerState updates a piece for what the platform and the answers to
-// orders show about its owner. listed is the target listed under the owner's
-// name, and youngest the youngest target listed at the owner's address; either
-// may be nil.
+// applyOwnerState updates a piece by the state of its owner. listed is the target
+// listed under the owner's name, and youngest the youngest one listed at its
+// address; either may be nil.
 func (m *Manager) applyOwnerState(now time.Time, p *piece, listed, youngest *roster.Target) {
 	if p.phase == free || p.phase == recording {
 		return
@@ -79,24 +77,22 @@
 	}
 	switch {
 	case !s.unansweredSince.IsZero() && now.Sub(s.unansweredSince) > unresponsiveTimeout:
-		// The owner may still hold the keys, whatever is sent to it now.
 		p.phase, p.cause = awaitingExpiry, OwnerLost
 		m.dirty = true
 	case listed == nil || listed.Draining:
 		p.phase, p.cause, p.attempts = releaseDue, OwnerLeaving, 0
 	case listed.Started > p.Started:
-		// The owner has restarted at another address. Its former address may
-		// belong to another target, which may have received the grants meant
-		// for it.
+		// The owner has restarted at another address. Its former address may belong
+		// to another target, which may have received the grants meant for it.
 		p.phase, p.cause, p.attempts = releaseDue, OwnerLost, 0
 	}
 }
 
-// inherit gives a piece to the younger target at its owner's address. The owner
-// has ended, but orders sent since then may have reached the younger target,
-// which has seen no epoch and accepts them all. Only one process runs at an
-// address, so the keys and time limits stay with it; its first answer under a
-// new epoch fences the former grants.
+// inherit gives a piece to the younger target at its owner's address. The owner has
+// ended, but orders sent since then may have reached the younger target, which has
+// seen no epoch and accepts them all. Only one process runs at an address, so the
+// keys and time limits stay with it; its first answer under a new epoch fences the
+// former grants.
 func (m *Manager) inherit(now time.Time, p *piece, to *roster.Target) {
 	abandoned := p.phase == awaitingExpiry
 	if abandoned && m.writing {
@@ -113,17 +109,16 @@
 	m.dirty = true
 	m.Moves.Lost++
 	if abandoned {
-		// The store may record the piece as free from some time on. That record
-		// must be replaced before the piece is granted.
+		// The store may record the piece as free from some time on; that must be
+		// replaced before the piece is granted.
 		p.phase = recording
 		return
 	}
-	// The recorded address is still right, and only the address matters to a
-	// later coordinator.
+	// The recorded address is still right, and a later coordinator needs no more.
 	m.regrant(now, p)
 }
 
-// regrant makes the piece due for a grant to its owner under a new epoch.
+// regrant makes a grant to the owner due, under a new epoch.
 func (m *Manager) regrant(now time.Time, p *piece) {
 	p.phase = held
 	m.assignEpoch(p)
@@ -132,8 +127,8 @@
 }
 
 // awaitMisdirected takes a piece from an owner that has ended and whose address
-// belongs to another service's target. Only misdirected grants, if there can be
-// any, still have to expire.
+// belongs to another service's target. Only grants that were misdirected to that
+// target, if any, still have to expire.
 func (m *Manager) awaitMisdirected(now time.Time, p *piece, misdirected bool) {
 	end := p.misdirectedUntil
 	if !misdirected {
@@ -147,8 +142,7 @@
 	m.dirty = m.dirty || now.Before(p.heldUntil)
 }
 
-// advance performs the piece's next step, and returns the order that it
-// requires, or nil.
+// advance performs the piece's next step, and returns the order for it, or nil.
 func (m *Manager) advance(now time.Time, p *piece) Order {
 	if p.inFlight {
 		return nil
