--- a/basilcross/audit/audit.go
+++ b/basilcross/audit/audit.go
@@ -86,7 +86,6 @@
 	return nil
 }
 
-// head is the content of a stream's head row: its last record.
 type head struct {
 	Number uint64 `json:"number"`
 	Hash   string `json:"hash"`
--- a/basilcross/config/config.go
+++ b/basilcross/config/config.go
@@ -23,7 +23,7 @@
 	Reason string `json:"reason"`
 }
 
-// Service is a set of targets of one kind.
+// Service is a set of targets that run the same requests.
 type Service struct {
 	Name string `json:"name"`
 	// Sharded services have one owner per key.
--- a/basilcross/configlog/configlog_test.go
+++ b/basilcross/configlog/configlog_test.go
@@ -19,7 +19,6 @@
 	}}
 }
 
-// lossy loses the next responses to committed writes.
 type lossy struct {
 	table.Memory
 	lose int
--- a/basilcross/deltalog/deltalog.go
+++ b/basilcross/deltalog/deltalog.go
@@ -22,7 +22,7 @@
 	// SnapshotEvery is the number of versions between two snapshots.
 	SnapshotEvery = 64
 	// keptSnapshots is the number of snapshots listed in the head. The deltas since
-	// the oldest stay, so that it can stand in for a damaged or missing newer one.
+	// the oldest stay, so that it can replace a damaged or missing newer one.
 	keptSnapshots = 2
 )
 
@@ -51,7 +51,6 @@
 	pending        pendingAppend
 }
 
-// pendingAppend is the state after the last PrepareAppend, once it is committed.
 type pendingAppend struct {
 	head  Head
 	next  *assignment.Assignment
--- a/basilcross/dispatch/compare_test.go
+++ b/basilcross/dispatch/compare_test.go
@@ -15,14 +15,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// workload is a series of requests and the targets that serve them. It models heavy
-// load: twelve targets with three slots, the slowest three times as slow as the
-// fastest, and 1.5 times as many requests in the middle third.
+// workload is a series of requests and the targets that serve them. It models heavy load:
+// twelve targets with three slots, the slowest three times as slow as the fastest, and
+// 1.5 times as many requests in the middle third.
 type workload struct {
-	// arrivals and work are the arrival time of each request, and the time that an
-	// average target needs for it.
+	// arrivals and work are each request's arrival time, and its time on an average
+	// target.
 	arrivals, work []time.Duration
-	// slowness is each target's time for a piece of work, as a multiple of an average
+	// slowness is each target's time for the same work, as a multiple of an average
 	// target's.
 	slowness []float64
 }
@@ -58,7 +58,6 @@
 // goodput returns the share of requests answered within the objective if pick chooses a
 // target for each request at its arrival, where the request waits for a slot.
 func (l *workload) goodput(pick func(i int, free [][]time.Duration) int) float64 {
-	// free is when each slot of each target becomes free.
 	free := make([][]time.Duration, len(l.slowness))
 	for t := range free {
 		free[t] = make([]time.Duration, loadSlots)
@@ -81,7 +80,7 @@
 	return float64(good) / float64(len(l.arrivals))
 }
 
-// idealGoodput returns the same for a single queue to which each target's slowness and
+// idealGoodput returns the goodput of a single queue to which each target's slowness and
 // each request's work are known in advance: the fastest free slot goes to the oldest
 // request that meets its objective there, and the others are dropped. The order is not
 // optimal, but uses more information than a dispatcher can have.
@@ -147,7 +146,7 @@
 	return last
 }
 
-// dispatcherGoodput returns the same for the dispatcher, in virtual time.
+// dispatcherGoodput returns the goodput of the dispatcher, in virtual time.
 func (l *workload) dispatcherGoodput(t *testing.T) (share float64) {
 	synctest.Test(t, func(t *testing.T) {
 		var targets []*roster.Target
@@ -189,8 +188,8 @@
 	return share
 }
 
-// leastOutstandingGoodput returns the same for several instances, each of which sees
-// only its own requests and picks the target with the fewest of them in flight.
+// leastOutstandingGoodput returns the goodput of several instances, each of which picks
+// the target with the fewest requests of its own in flight.
 func (l *workload) leastOutstandingGoodput(instances int) float64 {
 	type sent struct {
 		target int
@@ -223,10 +222,10 @@
 	})
 }
 
-// Guards against requests that wait at one target while another is free. That happens
-// if slots are scarce, targets differ, and a target is picked at random or by the
-// requests in flight of one instance alone. A single dispatcher must achieve more than
-// 0.85 of the ideal goodput.
+// Guards against requests that wait at one target while another is free. That happens if
+// slots are scarce, targets differ, and a target is picked at random or by the requests
+// in flight of one instance alone. A single dispatcher must achieve more than 0.85 of the
+// ideal goodput.
 func TestDispatcherApproachesIdealGoodput(t *testing.T) {
 	for seed := range uint64(3) {
 		l := heavyWorkload(seed)
--- a/basilcross/dispatch/dispatch.go
+++ b/basilcross/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch blocks requests until a scheduler assigns them slots at targets.
-// One instance of a zone dispatches for a group of targets, so that the few slots of
-// a target are assigned by one instance that tracks all of its requests.
+// Package dispatch blocks requests until a scheduler assigns them slots at targets. One
+// instance of a zone dispatches for a group of targets, so that it tracks all requests
+// that compete for their few slots.
 package dispatch
 
 import (
@@ -26,8 +26,7 @@
 	waiting   map[*schedule.Ticket]chan struct{}
 }
 
-// Reservation is a slot of a target that a request holds. Release must be called
-// exactly once.
+// Reservation is a slot of a target that a request holds. Release must be called once.
 type Reservation struct {
 	Target *roster.Target
 
@@ -100,8 +99,8 @@
 	return err
 }
 
-// cancel ends the wait of a ticket whose context is done. The ticket may have got its
-// slot at the same moment; its reservation is returned then.
+// cancel ends the wait of a ticket whose context is done. If it got its slot at the same
+// moment, its reservation is returned.
 func (d *Dispatcher) cancel(ctx context.Context, t *schedule.Ticket) (*Reservation, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/basilcross/dispatch/dispatch_test.go
+++ b/basilcross/dispatch/dispatch_test.go
@@ -37,7 +37,6 @@
 	return reservation
 }
 
-// Guards against requests that wait at one target while another has free slots.
 func TestLeastLoadedTargetFirst(t *testing.T) {
 	d := newDispatcher(&roster.Target{ID: "a", Slots: 2}, &roster.Target{ID: "b", Slots: 2})
 	seen := map[string]int{}
@@ -47,7 +46,6 @@
 	assert.DeepEqual(t, seen, map[string]int{"a": 2, "b": 2})
 }
 
-// Guards against requests that are sent to a draining target.
 func TestNoTarget(t *testing.T) {
 	d := newDispatcher(&roster.Target{ID: "a", Slots: 2, Draining: true})
 	_, err := d.Acquire(context.Background(), request(0, time.Second))
@@ -104,8 +102,8 @@
 }
 
 // Guards against a limit that falls because a target sheds requests at random although
-// its slots are free. All such targets would end with a limit of one request, and
-// requests would be refused while slots are free.
+// its slots are free: requests would be refused while slots are free, and such targets
+// would end with a limit of one request.
 func TestRandomSheddingDoesNotCutTheLimit(t *testing.T) {
 	d := newDispatcher(&roster.Target{ID: "a", Slots: 3})
 	for range 50 {
@@ -116,7 +114,6 @@
 	}
 }
 
-// Guards against requests that are sent to a target that has failed twice in a row.
 func TestFailingTargetIsAvoided(t *testing.T) {
 	d := newDispatcher(&roster.Target{ID: "a", Slots: 3}, &roster.Target{ID: "b", Slots: 3})
 	for range 8 {
@@ -131,9 +128,9 @@
 	assert.Equal(t, next.Target.ID, "b")
 }
 
-// Guards against late answers under overload: with twice as many requests as four
-// targets of different slowness can run, a queue in order of arrival makes nearly all
-// answers late, since its oldest requests have waited longest.
+// Guards against late answers under overload: with twice as many requests as four targets
+// of different slowness can run, a queue in order of arrival makes nearly all answers
+// late, since its oldest requests have waited longest.
 func TestOverloadServesInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		targets := []*roster.Target{{ID: "a", Slots: 3}, {ID: "b", Slots: 3}, {ID: "c", Slots: 3}, {ID: "d", Slots: 3}}
@@ -160,7 +157,7 @@
 					mu.Unlock()
 					return
 				}
-				// A target runs as many requests as it has slots; the others wait there.
+				// A target runs as many requests as it has slots; others wait there.
 				slots[reservation.Target.ID] <- true
 				time.Sleep(time.Duration(float64(work) * speed[reservation.Target.ID]))
 				<-slots[reservation.Target.ID]
@@ -181,8 +178,8 @@
 	})
 }
 
-// Guards against the latency of a slow target that is still reported after the target
-// has restarted under its ID.
+// Guards against a latency that is still reported after the target restarted under its
+// ID.
 func TestLatenciesOmitEarlierIncarnations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(&roster.Target{ID: "a", Slots: 1})
--- a/basilcross/event/event.go
+++ b/basilcross/event/event.go
@@ -1,5 +1,5 @@
-// Package event is the catalogue of log events. Each has a number, so that
-// operators can look it up and set alerts on it whatever its text.
+// Package event is the catalogue of log events. Each has a number, by which
+// operators can find it and set alerts on it whatever its text.
 package event
 
 import (
--- a/basilcross/examples/takeover/main.go
+++ b/basilcross/examples/takeover/main.go
@@ -81,7 +81,6 @@
 	return s
 }
 
-// keyOwnedBy returns a key that the target owns.
 func (f *fleet) keyOwnedBy(target string) string {
 	for i := 0; ; i++ {
 		if key := fmt.Sprint("book-", i); f.findShard(key).Owner == target {
@@ -90,7 +89,6 @@
 	}
 }
 
-// serve sends a request for the key to its owner.
 func (f *fleet) serve(key string) string {
 	owner := f.findShard(key).Owner
 	return owner + ": " + f.handle(owner, key)
--- a/basilcross/grant/guard.go
+++ b/basilcross/grant/guard.go
@@ -53,8 +53,7 @@
 	}
 }
 
-// replaceGrants installs the order's version and grants, if it is a newer
-// version and the order contains them.
+// replaceGrants installs the grants of an order of a newer version that has any.
 func (g *Guard) replaceGrants(o Order) {
 	if o.Version == g.version || !o.Full {
 		return
--- a/basilcross/hotkey/hotkey_test.go
+++ b/basilcross/hotkey/hotkey_test.go
@@ -19,8 +19,7 @@
 	// Output: linzer
 }
 
-// cluster simulates twelve gateways whose sketches are merged every five seconds,
-// as zone leaders and the planner do.
+// cluster simulates twelve gateways whose sketches are merged every five seconds.
 type cluster struct {
 	random   *rand.Rand
 	gateways [12]hotkey.Sketch
--- a/basilcross/internal/seatmodel/seatmodel.go
+++ b/basilcross/internal/seatmodel/seatmodel.go
@@ -123,7 +123,6 @@
 	holderSlowed bool
 }
 
-// model is the state machine under the given rules and scope.
 type model struct {
 	Rules
 	scope
--- a/basilcross/internal/seatmodel/seatmodel_test.go
+++ b/basilcross/internal/seatmodel/seatmodel_test.go
@@ -12,7 +12,6 @@
 	"pgregory.net/rapid"
 )
 
-// mutations switch off one rule each.
 var mutations = []struct {
 	name  string
 	rules seatmodel.Rules
--- a/basilcross/internal/seatmodel/steps.go
+++ b/basilcross/internal/seatmodel/steps.go
@@ -6,7 +6,6 @@
 	next state
 }
 
-// successors returns every possible next step.
 func (m model) successors(s state) []step {
 	if s.evictor == defeated {
 		return nil
@@ -298,7 +297,6 @@
 	}
 }
 
-// resetAttempt lets the evictor start another attempt.
 func (s *state) resetAttempt() {
 	s.evictor = watching
 	for i := range s.leaders {
--- a/basilcross/plan/balance.go
+++ b/basilcross/plan/balance.go
@@ -99,7 +99,6 @@
 
 func slotsOf(t *assignment.Target) float64 { return float64(max(1, t.Slots)) }
 
-// loadPerSlot is a target's load divided by its slots.
 func (p *planner) loadPerSlot(i int) float64 {
 	return p.targetLoad[i] / slotsOf(&p.next.Targets[i])
 }
@@ -172,7 +171,6 @@
 	return i - 1
 }
 
-// isolateKey splits a shard so that one part has only the key.
 func (p *planner) isolateKey(i int, key HotKey) {
 	s := p.next.Shards[i]
 	share := min(1, key.Work/max(p.in.Loads[s.First], 1e-9))
--- a/basilcross/plan/plan.go
+++ b/basilcross/plan/plan.go
@@ -56,7 +56,7 @@
 	// LoadWindow is the time over which Loads were averaged, in seconds. The
 	// random variation is estimated from it; 0 takes the loads as exact.
 	LoadWindow float64
-	// HotKeys are keys whose own work is known; it is also part of Loads.
+	// HotKeys are keys whose own work was measured; Loads include it.
 	HotKeys []HotKey
 	Limits  Limits
 }
@@ -76,7 +76,6 @@
 	Causes []string
 }
 
-// planner is the state of one decision.
 type planner struct {
 	in             Input
 	next           *assignment.Assignment
@@ -134,7 +133,6 @@
 	}
 }
 
-// grantHashes returns a hash of each target's grants.
 func grantHashes(a *assignment.Assignment) map[string]uint64 {
 	sums := make(map[string]uint64, len(a.Targets))
 	var field [8]byte
@@ -219,7 +217,6 @@
 	return &p.next.Targets[i]
 }
 
-// indexTargets maps each target's ID to its position.
 func (p *planner) indexTargets() {
 	p.targetIndex = make(map[string]int, len(p.next.Targets))
 	for i, t := range p.next.Targets {
--- a/basilcross/platform/platform.go
+++ b/basilcross/platform/platform.go
@@ -26,7 +26,6 @@
 	InstancesPath = "/instances"
 )
 
-// maxResponseBytes bounds the bytes read of one response body.
 const maxResponseBytes = 64 << 20
 
 // Instance is an entry of the platform's instance list. The list may be outdated.
@@ -101,8 +100,8 @@
 	return err
 }
 
-// Instances returns the platform's list of instances. By its ETag an unchanged
-// list is not transferred again.
+// Instances returns the list of instances; an unchanged one is not transferred
+// again.
 func (c *Client) Instances(ctx context.Context) ([]Instance, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/basilcross/pool/pool.go
+++ b/basilcross/pool/pool.go
@@ -247,7 +247,6 @@
 // the connection failed: it is in the socket's receive buffer already.
 const earlyResponseTimeout = 100 * time.Millisecond
 
-// parseKeepAlive returns the timeout in a Keep-Alive header, 0 if it has none.
 func parseKeepAlive(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -310,7 +309,7 @@
 	}
 }
 
-func (p *Pool) get(ctx context.Context, proved bool) (*conn, error) {
+func (p *Pool) get(ctx context.Context, requireFresh bool) (*conn, error) {
 	now := time.Now()
 	for {
 		c := p.pop()
@@ -321,7 +320,7 @@
 			_ = c.Close()
 			continue
 		}
-		if proved && now.Sub(c.lastResponse) > freshFor {
+		if requireFresh && now.Sub(c.lastResponse) > freshFor {
 			// Requests that may be retried can still use it.
 			p.put(c)
 			return p.open(ctx)
--- a/basilcross/retry/retry.go
+++ b/basilcross/retry/retry.go
@@ -6,15 +6,14 @@
 const (
 	// defaultRatio is what each deposit adds to the budget if no ratio is set.
 	defaultRatio = 0.1
-	// defaultReserve is the largest balance if no reserve is set: the number of retries
-	// in a burst.
+	// defaultReserve is the default largest balance: the number of retries in a burst.
 	defaultReserve = 10.0
 )
 
-// Budget limits retries to a ratio of the deposits plus a small reserve. Without it
-// every gateway would multiply its load on targets at the moment when they fail. The
-// zero value starts with a full reserve and allows at most one retry per ten deposits.
-// It is safe for concurrent use.
+// Budget limits retries to a ratio of the deposits plus a small reserve. Without it every
+// gateway would multiply its load on targets at the moment when they fail. The zero value
+// starts with a full reserve and allows at most one retry per ten deposits. It is safe
+// for concurrent use.
 type Budget struct {
 	mu      sync.Mutex
 	ratio   float64
@@ -23,7 +22,7 @@
 	spent float64
 }
 
-// Set changes ratio and reserve; zero stands for the default of 0.1 and 10.
+// Set changes ratio and reserve; zero means the default of 0.1 and 10.
 func (b *Budget) Set(ratio, reserve float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -42,8 +41,7 @@
 	b.spent = max(0, b.spent-ratio)
 }
 
-// TryWithdraw reports whether the budget allows a retry, and takes it from the budget
-// if so.
+// TryWithdraw withdraws one retry from the budget, and reports whether there was one.
 func (b *Budget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/basilcross/ring/ring.go
+++ b/basilcross/ring/ring.go
@@ -15,8 +15,7 @@
 	return &Ring[T]{items: make(chan T, size)}
 }
 
-// Offer adds the item, or drops it if the ring is full. It reports whether it was
-// added.
+// Offer adds the item, or drops it if the ring is full, and reports which.
 func (r *Ring[T]) Offer(item T) bool {
 	select {
 	case r.items <- item:
--- a/basilcross/roster/benchmark_test.go
+++ b/basilcross/roster/benchmark_test.go
@@ -8,8 +8,7 @@
 	"basilcross.example/basilcross/roster"
 )
 
-// Measures Apply of a single change, a target that starts or stops draining, at
-// different sizes of the list.
+// Measures Apply of one change, a target that starts or stops draining.
 func BenchmarkApplyOneChange(b *testing.B) {
 	for _, n := range []int{100, 300, 1000, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
--- a/basilcross/roster/builder.go
+++ b/basilcross/roster/builder.go
@@ -8,11 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// viewBuilder applies changes to a copy of a view. Lists that no change touches are
-// shared with the old view.
+// viewBuilder applies changes to a copy of a view. Unchanged lists are shared with it.
 type viewBuilder struct {
 	*View
-	// changedServices are the services whose lists finish has to rebuild.
 	changedServices map[string]bool
 	changed         bool
 }
@@ -28,8 +26,8 @@
 	return b
 }
 
-// apply applies a change; an outdated one is ignored. It returns the incarnation
-// that was added, and the one that was removed or began to drain.
+// apply applies a change; an outdated one is ignored. It returns the incarnation that was
+// added, and the one that was removed or began to drain.
 func (b *viewBuilder) apply(now time.Time, c Change) (added, leaving *Target) {
 	old := b.Targets[c.ID]
 	if c.Target == nil {
@@ -71,7 +69,6 @@
 	b.changed = b.changed || old != next
 }
 
-// finish rebuilds the lists that have changed and returns the view.
 func (b *viewBuilder) finish() *View {
 	if !b.changed {
 		return b.View
@@ -91,7 +88,7 @@
 	return b.View
 }
 
-// digest hashes what View.Digest covers: ID, address, start and whether the target drains.
+// digest hashes what View.Digest covers.
 func (t *Target) digest() uint64 {
 	text := t.ID + "\x00" + t.Address + "\x00" + strconv.FormatInt(t.Started, 10) + strconv.FormatBool(t.Draining)
 	return xxhash.Sum64String(text)
--- a/basilcross/roster/roster.go
+++ b/basilcross/roster/roster.go
@@ -10,9 +10,8 @@
 // Target is one incarnation of a server that runs requests.
 type Target struct {
 	ID string
-	// Started is the start time of this incarnation, in Unix milliseconds. A higher
-	// value under the same ID is another incarnation, which keeps no state of the
-	// one before.
+	// Started is the start time of this incarnation, in Unix milliseconds. A higher value
+	// under the same ID is another incarnation, which keeps no state of the one before.
 	Started int64
 	Service string
 	Address string
@@ -26,8 +25,7 @@
 	WarmupLeft time.Duration
 	// FirstSeen is when this instance first saw the incarnation.
 	FirstSeen time.Time
-	// LeavingSince is when this instance first saw the target draining; zero if it
-	// is not.
+	// LeavingSince is when this instance first saw the target draining; zero otherwise.
 	LeavingSince time.Time
 }
 
@@ -42,7 +40,6 @@
 
 // View is an immutable snapshot of the list.
 type View struct {
-	// Targets has the targets by ID.
 	Targets   map[string]*Target
 	ByService map[string][]*Target
 	// ByAddress has the target that started last at each address.
@@ -73,9 +70,9 @@
 	return &View{}
 }
 
-// Apply applies changes up to a revision of the store; outdated ones are ignored.
-// It returns the incarnations that were added, and those that were removed or began
-// to drain.
+// Apply applies changes up to a revision of the store; outdated ones are ignored. It
+// returns the incarnations that were added, and those that were removed or began to
+// drain.
 func (r *Roster) Apply(now time.Time, changes []Change, revision uint64) (added, leaving []*Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,8 +107,7 @@
 	return r.Apply(now, changes, revision)
 }
 
-// isOutdated reports whether t comes from an earlier incarnation or an earlier report
-// than the known target.
+// isOutdated reports whether t is of an earlier incarnation or report than known.
 func isOutdated(t, known *Target) bool {
 	if t.Started != known.Started {
 		return t.Started < known.Started
--- a/basilcross/schedule/arrivals.go
+++ b/basilcross/schedule/arrivals.go
@@ -10,23 +10,21 @@
 	arrivalHalfLife = time.Second
 	// budgetWeight is the weight of the newest request in its kind's latency budget.
 	budgetWeight = 0.1
-	// reserveThreshold is how many requests of a more urgent kind have to be expected
-	// during a less urgent one for a slot to be reserved for them.
+	// reserveThreshold is how many more urgent requests must be expected during a less
+	// urgent one for a slot to be reserved for them.
 	reserveThreshold = 1.0
 )
 
 // arrivalStats are the arrivals of one kind's requests at a queue.
 type arrivalStats struct {
-	priority int
-	// decayedCount is the exponentially decayed number of arrivals as of updated.
+	priority     int
 	decayedCount float64
 	updated      time.Time
-	// latencyBudget is the average time from arrival to objective that is left for
-	// waiting and work.
+	// latencyBudget is the average time for waiting and work between arrival and
+	// objective.
 	latencyBudget time.Duration
 }
 
-// recordArrival counts a request.
 func (q *queue) recordArrival(now time.Time, r *Request) {
 	budget := r.Objective.Sub(now) - answerMessages*r.OneWayDelay
 	a := q.arrivals[r.Kind]
@@ -44,7 +42,6 @@
 	return math.Exp2(-now.Sub(a.updated).Seconds() / arrivalHalfLife.Seconds())
 }
 
-// rate returns the arrivals per second.
 func (a *arrivalStats) rate(now time.Time) float64 {
 	return a.decayedCount * a.decay(now) * math.Ln2 / arrivalHalfLife.Seconds()
 }
--- a/basilcross/schedule/choose.go
+++ b/basilcross/schedule/choose.go
@@ -8,23 +8,22 @@
 
 // capacity summarizes the targets that a request may go to.
 type capacity struct {
-	// best is the target with the earliest expected answer, nil if none has capacity;
-	// state is its state, and bestSeconds the time until the answer.
+	// best is the target with the earliest expected answer, after bestSeconds; nil if
+	// none has capacity. state is its state.
 	best        *roster.Target
 	state       *targetState
 	bestSeconds float64
-	// targets is the number of usable targets.
-	targets int
-	// slots is the sum over the targets, slowness their average, and latency their
-	// average for the request, in expected.
+	targets     int
+	// slots is the sum over the targets; slowness, and latency for the request, are
+	// averages.
 	slots    float64
 	slowness float64
 	latency  float64
-	// freeIn is the expected time until the first of them has a free slot.
+	// freeIn is the expected time until a slot is free.
 	freeIn time.Duration
 }
 
-// assign gives the ticket a slot of the best target with free capacity, if there is one.
+// assign gives the ticket a slot of the best target, if one has capacity.
 func (s *Scheduler) assign(now time.Time, t *Ticket) capacity {
 	best, avail := s.bestTarget(now, t)
 	if best == nil {
@@ -35,8 +34,8 @@
 	return avail
 }
 
-// bestTarget returns the target with free capacity whose answer is expected first, or
-// nil, and the capacity of all usable targets.
+// bestTarget returns the target with capacity whose answer is expected first, or nil, and
+// the capacity of all usable targets.
 func (s *Scheduler) bestTarget(now time.Time, t *Ticket) (*roster.Target, capacity) {
 	var avail capacity
 	rate := 0.0
@@ -68,8 +67,8 @@
 }
 
 // usableTargets returns the targets that the request may go to. If all are in backoff,
-// failing ones are returned for a request without alternatives, since most targets
-// that fail now and then still answer more often than not.
+// failing ones are returned for a request without alternatives, since most targets that
+// fail now and then still answer more often than not.
 func (s *Scheduler) usableTargets(now time.Time, t *Ticket) []*roster.Target {
 	var open, failing []*roster.Target
 	for _, c := range s.candidates(&t.Request) {
@@ -77,7 +76,7 @@
 			continue
 		}
 		switch st := t.service.stateOf(c); {
-		case !now.Before(st.pausedUntil):
+		case !now.Before(st.backoffUntil):
 			open = append(open, c)
 		case st.failures > 0:
 			failing = append(failing, c)
@@ -89,7 +88,6 @@
 	return open
 }
 
-// candidates returns the request's target, or the zone's targets that do not drain.
 func (s *Scheduler) candidates(r *Request) []*roster.Target {
 	view := s.Roster.Load()
 	if r.Target != "" {
--- a/basilcross/schedule/estimate.go
+++ b/basilcross/schedule/estimate.go
@@ -13,27 +13,25 @@
 	// minWorkWeight that in a kind's work. The first answers have a higher one.
 	minSlownessWeight = 0.1
 	minWorkWeight     = 0.025
-	// kindTTL is how long a kind's estimates are kept after its last request or
-	// answer, since routes are added and removed.
+	// kindTTL is how long a kind's estimates are kept after its last use, since routes
+	// are added and removed.
 	kindTTL = 10 * time.Minute
 	// minWork is assumed for answers that arrive sooner than the network delay explains.
 	minWork = time.Millisecond
-	// maxRatio bounds the ratio of measured to expected time of a single answer, since
-	// some requests take many times as long as others of their kind.
+	// maxRatio bounds the ratio of measured to expected time of one answer, since some
+	// requests take many times as long as others of their kind.
 	maxRatio = 4.0
 )
 
-// kindStats are the estimates for one kind of requests.
 type kindStats struct {
-	// work is the time that an average target needs for a request, in seconds;
-	// answers is how many answers it was estimated from.
+	// work is the seconds that an average target needs for a request, estimated from
+	// answers.
 	work       float64
 	answers    int
 	lastAnswer time.Time
 }
 
-// workOf returns the time that an average target needs for a request of the kind, in
-// seconds.
+// workOf returns the seconds that an average target needs for a request of the kind.
 func (s *service) workOf(number uint32) float64 {
 	if k := s.kinds[number]; k != nil {
 		return k.work
@@ -55,7 +53,6 @@
 	return s.workOf(number) * st.slowness * warmupFactor(now, t) / (1 - min(st.shedRatio, maxShedRatio))
 }
 
-// warmupFactor returns the factor by which a target is slower because it warms up.
 func warmupFactor(now time.Time, t *roster.Target) float64 {
 	if now.Sub(t.FirstSeen) < t.WarmupLeft {
 		return warmupSlowdown
@@ -63,8 +60,8 @@
 	return 1
 }
 
-// observe updates the estimates of the kind's work and the target's slowness with the
-// time that an answer took. The slowness adapts faster.
+// observe updates the kind's work and, faster, the target's slowness with the time that
+// an answer took.
 func (s *service) observe(now time.Time, t *Ticket, took time.Duration) {
 	st := t.state
 	took = max(took, minWork)
@@ -86,6 +83,4 @@
 	s.meanWork += minWorkWeight * (k.work - s.meanWork)
 }
 
-// sampleWeight returns the weight of the newest answer in an average, at least the
-// given one.
 func sampleWeight(least float64, answers int) float64 { return max(least, 1/float64(answers+1)) }
--- a/basilcross/schedule/queue.go
+++ b/basilcross/schedule/queue.go
@@ -3,25 +3,22 @@
 import "time"
 
 const (
-	// safetyFactor is the multiple of the expected latency that is kept free before
-	// the objective, since work varies around its mean.
+	// safetyFactor is the multiple of the expected latency that is kept free before the
+	// objective, since work varies around its mean.
 	safetyFactor = 1.4
-	// lateWaitShare is the share of the time left until its deadline for which a
-	// request waits that can no longer meet its objective. It is served after all
-	// requests of its priority that can.
+	// lateWaitShare is the share of the time left until its deadline that a request waits
+	// if it cannot meet its objective. Requests of its priority that can precede it.
 	lateWaitShare = 0.4
-	// answerMessages is how many one-way delays pass from a slot's reservation to the
-	// answer: the reservation, the request and the answer itself.
+	// answerMessages is how many one-way delays pass from a reservation to the answer:
+	// the reservation, the request and the answer itself.
 	answerMessages = 3
 )
 
 // queueKey identifies a queue: requests for one target, or for any target of a zone.
 type queueKey struct{ target, zone string }
 
-// queue holds the requests that wait for the same targets.
 type queue struct {
-	waiting []*Ticket
-	// lastSeq is the sequence number of the last ticket that was queued.
+	waiting  []*Ticket
 	lastSeq  uint64
 	arrivals map[uint32]*arrivalStats
 }
@@ -39,8 +36,8 @@
 	return q
 }
 
-// enqueue adds the ticket to its queue and sets WaitUntil, or returns a *BusyError if
-// the request cannot be answered in time.
+// enqueue queues the ticket and sets WaitUntil, or returns a *BusyError if the request
+// cannot be answered in time.
 func (t *Ticket) enqueue(now time.Time, avail capacity) error {
 	q, req := t.queue, &t.Request
 	wait := q.expectedWait(t, avail)
@@ -56,9 +53,8 @@
 	return nil
 }
 
-// waitPastObjective sets WaitUntil for a request that can no longer meet its
-// objective. It returns a *BusyError if the request may not wait that long, or has
-// been extended before.
+// waitPastObjective sets WaitUntil for a request that cannot meet its objective. It
+// returns a *BusyError if the request may not wait that long, or was extended before.
 func (t *Ticket) waitPastObjective(now time.Time, avail capacity) error {
 	req := &t.Request
 	expected := seconds(avail.latency) + answerMessages*req.OneWayDelay
@@ -93,8 +89,8 @@
 }
 
 // next returns the waiting ticket with the highest priority. At equal priority those
-// precede that meet their objective on a target of the given slowness, and of those
-// the oldest.
+// precede that meet their objective on a target of the given slowness, and of those the
+// oldest.
 func (q *queue) next(now time.Time, slowness float64) *Ticket {
 	var best *Ticket
 	for _, t := range q.waiting {
@@ -112,7 +108,6 @@
 	return next != nil && next.precedes(t, now, slowness)
 }
 
-// precedes reports whether t is served before o.
 func (t *Ticket) precedes(o *Ticket, now time.Time, slowness float64) bool {
 	if t.Request.Priority != o.Request.Priority {
 		return t.Request.Priority < o.Request.Priority
--- a/basilcross/schedule/schedule.go
+++ b/basilcross/schedule/schedule.go
@@ -1,7 +1,7 @@
-// Package schedule decides which target's slot a request gets, which request is
-// next when all slots are busy, and which is refused at once because it cannot be
-// answered in time. It reads no clock and starts no goroutines: every call is given
-// the time, so that simulations need not run in real time.
+// Package schedule decides which target's slot a request gets, which request is next when
+// all slots are busy, and which is refused at once because it cannot be answered in time.
+// It reads no clock and starts no goroutines: callers pass the time, so that simulations
+// need not run in real time.
 package schedule
 
 import (
@@ -20,7 +20,7 @@
 	// Target is the ID of the only acceptable target; empty if any of the zone is.
 	Target string
 	Zone   string
-	// Excluded are the IDs of targets that this request has been sent to before.
+	// Excluded are the IDs of targets that this request was sent to before.
 	Excluded map[string]bool
 	// Priority 0 is the highest.
 	Priority int
@@ -44,8 +44,8 @@
 	Shed
 	// Failed: no answer, or an unusable one.
 	Failed
-	// Abandoned: the caller disconnected or its deadline passed; this says nothing
-	// about the target.
+	// Abandoned: the caller disconnected or its deadline passed; this says nothing about
+	// the target.
 	Abandoned
 )
 
@@ -77,7 +77,7 @@
 	services map[string]*service
 }
 
-// service is what the scheduler keeps of a service: its targets, queues and estimates.
+// service is the scheduler's state of a service.
 type service struct {
 	name    string
 	targets map[roster.Incarnation]*targetState
@@ -87,8 +87,8 @@
 	meanWork float64
 }
 
-// Ticket is a request's place in the schedule: it holds a slot of Target if that is
-// set, and otherwise waits for one until WaitUntil at most.
+// Ticket is a request's place in the schedule: it holds a slot of Target if that is set,
+// and otherwise waits for one until WaitUntil at most.
 type Ticket struct {
 	Request   Request
 	Target    *roster.Target
@@ -100,16 +100,15 @@
 	seq     uint64
 	// late is set if it waits although it cannot meet its objective.
 	late bool
-	// arrivesAt is when the request reaches the target; startedAt is when it got a
-	// slot there, and zero while it waits at the target.
-	arrivesAt time.Time
-	startedAt time.Time
-	// expectedWork is how long the target was expected to run it.
+	// arrivesAt is when the request reaches the target, startedAt when it got a slot
+	// there; zero before.
+	arrivesAt    time.Time
+	startedAt    time.Time
 	expectedWork time.Duration
 }
 
-// Submit assigns a slot to a request, or queues it. The error is a
-// *BusyError or a *NoTargetError.
+// Submit assigns a slot to a request, or queues it. The error is a *BusyError or a
+// *NoTargetError.
 func (s *Scheduler) Submit(now time.Time, r Request) (*Ticket, error) {
 	svc := s.serviceFor(r.Service)
 	t := &Ticket{Request: r, service: svc, queue: svc.queueFor(&r)}
@@ -149,8 +148,8 @@
 	return s.Admit(now, t)
 }
 
-// Admit assigns free slots to the tickets in the same queue as the given one, and
-// returns those that got one.
+// Admit assigns free slots to the tickets in the same queue as the given one, and returns
+// those that got one.
 func (s *Scheduler) Admit(now time.Time, like *Ticket) []*Ticket {
 	var admitted []*Ticket
 	for q := like.queue; len(q.waiting) > 0; {
@@ -182,8 +181,7 @@
 	return svc
 }
 
-// Prune drops the state of ended incarnations, and of kinds without requests for
-// kindTTL.
+// Prune drops the state of ended incarnations, and of kinds not used for kindTTL.
 func (s *Scheduler) Prune(now time.Time) {
 	view := s.Roster.Load()
 	for _, svc := range s.services {
@@ -210,9 +208,8 @@
 	Latency time.Duration
 }
 
-// TargetLatencies returns the estimates for all targets that have answered. Estimates
-// of ended incarnations are left out, since they say nothing about the next one under
-// the same ID.
+// TargetLatencies returns the estimates for all targets that have answered, except ended
+// incarnations: they say nothing about the next one under the same ID.
 func (s *Scheduler) TargetLatencies() []TargetLatency {
 	view := s.Roster.Load()
 	var latencies []TargetLatency
@@ -226,5 +223,4 @@
 	return latencies
 }
 
-// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/basilcross/schedule/schedule_test.go
+++ b/basilcross/schedule/schedule_test.go
@@ -66,8 +66,8 @@
 	return at
 }
 
-// urgentTraffic sends a series of urgent requests to target a. It returns the time
-// after the last answer.
+// urgentTraffic sends urgent requests to target a. It returns the time after the last
+// answer.
 func urgentTraffic(t *testing.T, s *schedule.Scheduler, at time.Time) time.Time {
 	t.Helper()
 	for range 20 {
@@ -78,8 +78,7 @@
 	return at
 }
 
-// Guards against a target that is estimated as slow because it gets more requests of a
-// long kind.
+// Guards against a target estimated as slow because it gets more requests of a long kind.
 func TestWorkAndSlownessAreEstimatedSeparately(t *testing.T) {
 	s := newScheduler(&roster.Target{ID: "fast", Slots: 1}, &roster.Target{ID: "slow", Slots: 1})
 	at := trainEstimates(t, s, now, map[string]float64{"fast": 0.5, "slow": 1.5})
@@ -112,8 +111,7 @@
 	assert.Assert(t, after > 0.9 && after < 1.1, "%.2f of before", after)
 }
 
-// Guards against a target that became slow and is not detected while all its slots are
-// taken all the time.
+// Guards against a slow target that is not detected while all its slots stay taken.
 func TestLatencyIsUpdatedWhileAllSlotsAreTaken(t *testing.T) {
 	s := newScheduler(&roster.Target{ID: "a", Slots: 1})
 	at := trainEstimates(t, s, now, map[string]float64{"a": 1})
--- a/basilcross/schedule/state.go
+++ b/basilcross/schedule/state.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// extraInFlight is how many requests a target is sent beyond its slots, so that
-	// the next one is already there when one ends. Further ones wait in the queue,
-	// where their order can still change.
+	// extraInFlight is how many requests a target is sent beyond its slots, so that the
+	// next one is there when one ends. Others wait in the queue, where their order can
+	// still change.
 	extraInFlight = 1.0
 	// sendAheadMessages is how many one-way delays before a slot is free a request is
 	// sent. It saves the wait for three messages: the release of the slot, the
@@ -21,8 +21,8 @@
 	overdueRemainder = 0.05
 	// warmupSlowdown is the factor by which a target is slower while it warms up.
 	warmupSlowdown = 2.0
-	// shedBackoff is how long a target that shed a request with all slots taken gets
-	// no others; its limit is multiplied by shedLimitFactor, and each answer adds
+	// shedBackoff is how long a target that shed a request with all slots taken gets no
+	// others; its limit is multiplied by shedLimitFactor, and each answer adds
 	// limitIncrement. A target that sheds with slots free does so at random, and less
 	// traffic would not help: only its expected latency rises with the share that it
 	// sheds, estimated with weight shedWeight, that is from about ten requests, and
@@ -32,8 +32,8 @@
 	maxShedRatio    = 0.9
 	shedLimitFactor = 0.8
 	limitIncrement  = 0.05
-	// failureBackoff is how long a target that failed twice in a row gets no requests.
-	// It doubles with each further failure, up to maxFailureBackoff.
+	// failureBackoff is how long a target that failed twice in a row gets no requests. It
+	// doubles with each further failure, up to maxFailureBackoff.
 	failureBackoff    = 200 * time.Millisecond
 	maxFailureBackoff = 3200 * time.Millisecond
 )
@@ -42,14 +42,13 @@
 type targetState struct {
 	// inFlight are the requests sent to it, the oldest first.
 	inFlight []*Ticket
-	// limit is how many requests may be in flight; it is adapted to sheds and answers.
+	// limit is how many requests may be in flight; it adapts to sheds and answers.
 	limit float64
-	// slowness is the target's time for a piece of work, as a multiple of an average
+	// slowness is the target's time for the same work, as a multiple of an average
 	// target's; answers is how many answers it was estimated from.
-	slowness float64
-	answers  int
-	// pausedUntil is the end of a backoff.
-	pausedUntil time.Time
+	slowness     float64
+	answers      int
+	backoffUntil time.Time
 	// failures counts failures since the last answer.
 	failures int
 	// shedRatio is the share of requests that were shed with slots free.
@@ -76,8 +75,8 @@
 	}
 }
 
-// remove records that a request has ended at the target. The oldest request that
-// waits there takes over its slot.
+// remove records that a request has ended at the target. The oldest request that waits
+// there takes over its slot.
 func (st *targetState) remove(now time.Time, t *Ticket) {
 	st.inFlight = slices.DeleteFunc(st.inFlight, func(o *Ticket) bool { return o == t })
 	if t.startedAt.IsZero() {
@@ -98,7 +97,6 @@
 // arrives when the slot is free instead of after the messages about it.
 func sendAheadTime(r *Request) time.Duration { return sendAheadMessages * r.OneWayDelay }
 
-// timeToFreeSlot is the expected time until the target has a free slot.
 func (st *targetState) timeToFreeSlot(now time.Time, slots int) time.Duration {
 	if len(st.inFlight) < slots {
 		return 0
@@ -107,7 +105,8 @@
 	return left[len(left)-slots]
 }
 
-// timeToFreeSlotAfter is the same if another request with the given work is sent first.
+// timeToFreeSlotAfter is the expected time until the target has a free slot if another
+// request with the given work is sent first.
 func (st *targetState) timeToFreeSlotAfter(now time.Time, slots int, work time.Duration) time.Duration {
 	left := append(st.remaining(now), st.timeToFreeSlot(now, slots)+work)
 	if len(left) < slots {
@@ -117,8 +116,7 @@
 	return left[len(left)-slots]
 }
 
-// remaining returns the expected remaining times of the requests in flight, the
-// shortest first.
+// remaining returns the expected remaining times of the requests in flight, ascending.
 func (st *targetState) remaining(now time.Time) []time.Duration {
 	left := make([]time.Duration, 0, len(st.inFlight))
 	for _, t := range st.inFlight {
@@ -133,7 +131,6 @@
 	return left
 }
 
-// recordResult updates limit, backoff and estimates with the result of a request.
 func (st *targetState) recordResult(now time.Time, t *Ticket, r Result) {
 	st.remove(now, t)
 	if r == Shed && len(st.inFlight) < t.Target.Slots {
@@ -147,16 +144,16 @@
 			t.service.observe(now, t, now.Sub(t.startedAt)-2*t.Request.OneWayDelay)
 		}
 		if st.failures > 0 {
-			st.failures, st.pausedUntil = 0, now
+			st.failures, st.backoffUntil = 0, now
 		}
 		st.limit = min(st.limit+limitIncrement, float64(t.Target.Slots)+extraInFlight)
 	case Shed:
 		st.limit = max(1, st.limit*shedLimitFactor)
-		st.pausedUntil = now.Add(shedBackoff)
+		st.backoffUntil = now.Add(shedBackoff)
 	case Failed:
 		st.failures++
 		if st.failures > 1 {
-			st.pausedUntil = now.Add(min(failureBackoff<<min(st.failures-2, 4), maxFailureBackoff))
+			st.backoffUntil = now.Add(min(failureBackoff<<min(st.failures-2, 4), maxFailureBackoff))
 		}
 	case Abandoned:
 	}
--- a/basilcross/shard/shard_test.go
+++ b/basilcross/shard/shard_test.go
@@ -22,7 +22,6 @@
 	// Output: t2
 }
 
-// New must take every even split, and Find must return the shard with the hash.
 func TestFindReturnsShardOfHash(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, err := shard.New(shard.Split(rapid.IntRange(1, 5000).Draw(t, "shards")))
--- a/basilcross/slot/overload_test.go
+++ b/basilcross/slot/overload_test.go
@@ -24,8 +24,7 @@
 	runTime     = 20 * time.Second
 )
 
-// target has slots and a short queue, and sheds requests that exceed it. With an
-// unlimited queue it sheds none.
+// target has slots and a queue, and sheds requests that exceed it.
 type target struct {
 	mu      sync.Mutex
 	waiting int
@@ -57,7 +56,6 @@
 	return slot.Answered
 }
 
-// runResult has the measurements of a run.
 type runResult struct {
 	mu            sync.Mutex
 	goodput       int
--- a/basilcross/slot/slot.go
+++ b/basilcross/slot/slot.go
@@ -1,6 +1,5 @@
-// Package slot limits the requests that one gateway sends to a target. The limit
-// adapts to the target's answers, so that gateways share the target's slots without
-// communicating with each other.
+// Package slot limits the requests that one gateway sends to a target. The limit adapts
+// to the target's answers, so that gateways share its slots without communicating.
 package slot
 
 import (
@@ -14,13 +13,13 @@
 const (
 	// NumPriorities is the number of priority classes; class 0 is the highest.
 	NumPriorities = 10
-	// classRatio is how many times as many admissions a class gets as the next lower
-	// one while both wait. No class starves.
+	// classRatio is how many times as many admissions a class gets as the next lower one
+	// while both wait, so that no class starves.
 	classRatio = 4.0
 
-	// urgentBelow is the first class that is bound by the limit strictly. Higher
-	// classes may exceed it by one request and ignore pauses: their requests are few,
-	// and a pause caused by pulls must not delay a confirmation.
+	// urgentBelow is the first class that is bound by the limit strictly. Higher classes
+	// may exceed it by one request and ignore pauses: their requests are few, and a pause
+	// caused by lower classes must not delay them.
 	urgentBelow = 3
 
 	// minLimit is the lowest limit; a shed multiplies the limit by shedFactor.
@@ -28,18 +27,16 @@
 	shedFactor = 0.8
 	// limitStep is what an answer adds to the limit while the limit is reached.
 	limitStep = 0.02
-	// initialLimit and initialStep apply to a target without history in this gateway,
-	// which may have just started and still be warming up. The limit rises by
-	// initialStep until the target sheds for the first time.
+	// initialLimit applies at first, and initialStep until the target sheds for the first
+	// time: it may have just started and still be warming up.
 	initialLimit = 1.0
 	initialStep  = 0.25
-	// slowFactor multiplies the limit if the recent latency exceeds slowRatio times
-	// the baseline. It is milder than shedFactor: an answer may be slow because of the
+	// slowFactor multiplies the limit if the recent latency exceeds slowRatio times the
+	// baseline. It is milder than shedFactor: an answer may be slow because of the
 	// request itself, while a shed is an explicit overload signal.
 	slowFactor = 0.95
 	slowRatio  = 6.0
-	// recentWeight and baselineWeight are the weights of an answer in the averages of
-	// the latency.
+	// recentWeight and baselineWeight are the weights of an answer in the averages.
 	recentWeight   = 0.1
 	baselineWeight = 0.01
 )
@@ -59,7 +56,6 @@
 
 // QueueFullError is returned if too many requests wait already.
 type QueueFullError struct {
-	// Waiting is how many requests wait.
 	Waiting int
 }
 
@@ -67,11 +63,10 @@
 	return fmt.Sprintf("slot: queue is full: %d requests wait", e.Waiting)
 }
 
-// WaitTooLongError is returned for a request that would wait too long to be answered
-// in time. Refusing it at once lets its caller retry elsewhere; admitted shortly before
-// its deadline, it would cost the target work whose result is useless.
+// WaitTooLongError is returned for a request that would wait too long to be answered in
+// time. Refusing it at once lets its caller retry elsewhere; admitted shortly before its
+// deadline, it would cost the target work whose result is useless.
 type WaitTooLongError struct {
-	// Wait is the expected time until the answer.
 	Wait time.Duration
 }
 
@@ -79,13 +74,13 @@
 	return "slot: expected time of " + e.Wait.String() + " until the answer exceeds the deadline"
 }
 
-// Limiter admits requests to one target. Set Slots and QueueLimit before the
-// first use; the zero value has one slot and no queue.
+// Limiter admits requests to one target. Set Slots and QueueLimit before the first use;
+// the zero value has one slot and no queue.
 //
-// The limit is a number of requests in flight, and may fall below one: then
-// one request is in flight at a time, with a pause after it, so that hundreds
-// of gateways can share three slots. It falls when the target sheds or answers
-// much later than usual, and rises slowly with every answer while it is reached.
+// The limit is a number of requests in flight, and may fall below one: then one request
+// is in flight at a time, with a pause after it, so that hundreds of gateways can share
+// three slots. It falls when the target sheds or answers much later than usual, and rises
+// slowly with every answer while it is reached.
 type Limiter struct {
 	// Slots is how many requests the target runs at a time.
 	Slots int
@@ -105,15 +100,12 @@
 	// seconds; lastAdmission is zero if no request waited after the last one.
 	admissionGap  float64
 	lastAdmission time.Time
-	// recentLatency and baselineLatency are averages over about 10 and 100 answers, in
-	// seconds.
+	// These latencies are averages over about 10 and 100 answers, in seconds.
 	recentLatency   float64
 	baselineLatency float64
-	// hasShed is set once the target has shed a request.
-	hasShed bool
+	hasShed         bool
 }
 
-// waiter is a queued request.
 type waiter struct {
 	// ready is closed when the request is admitted or dropped.
 	ready chan struct{}
@@ -190,7 +182,6 @@
 	}
 }
 
-// init sets the limit at the first use.
 func (l *Limiter) init() {
 	if l.limit == 0 {
 		l.limit = initialLimit
@@ -249,7 +240,6 @@
 	}
 }
 
-// hasCapacity reports whether a request of the class may be sent now.
 func (l *Limiter) hasCapacity(now time.Time, priority int) bool {
 	allowed := int(math.Floor(max(1, l.limit)))
 	if priority < urgentBelow {
@@ -268,7 +258,6 @@
 	return false
 }
 
-// admit admits as many waiters as the limit allows.
 func (l *Limiter) admit(now time.Time) {
 	for l.waiting > 0 {
 		class := l.nextClass(now)
@@ -286,7 +275,7 @@
 	}
 }
 
-// admitAfter schedules another call of admit, instead of an earlier scheduled one.
+// admitAfter schedules another call of admit, replacing an earlier scheduled one.
 func (l *Limiter) admitAfter(d time.Duration) {
 	if l.timer != nil {
 		l.timer.Stop()
@@ -349,8 +338,8 @@
 	l.admit(now)
 }
 
-// adjustLimit changes the limit by the result of a request. reached says whether the
-// limit was reached when the request ended.
+// adjustLimit changes the limit by the result of a request; reached is set if the limit
+// was reached when the request ended.
 func (l *Limiter) adjustLimit(r Result, took float64, reached bool) {
 	switch r {
 	case Shed:
@@ -390,8 +379,7 @@
 	Limit    float64
 	InFlight int
 	Waiting  int
-	// Latency is the recent average latency in seconds.
-	Latency float64
+	Latency  float64
 }
 
 // State returns the current state.
--- a/basilcross/slot/slot_test.go
+++ b/basilcross/slot/slot_test.go
@@ -112,7 +112,6 @@
 	})
 }
 
-// Guards against a request that waits although the queue is full.
 func TestFullQueueRejects(t *testing.T) {
 	l := &slot.Limiter{Slots: 1}
 	acquire(t, l, 5)
--- a/basilcross/table/table.go
+++ b/basilcross/table/table.go
@@ -98,7 +98,6 @@
 	return Put{Key: key, Value: value}, nil
 }
 
-// settleRetryDelay is the delay between two attempts of Settle.
 const settleRetryDelay = 100 * time.Millisecond
 
 // Settle retries a conditional transaction until its outcome is known.
@@ -127,8 +126,7 @@
 	}
 }
 
-// resolveConflict turns a conflict with an earlier attempt of the same
-// transaction into a commit.
+// resolveConflict turns a conflict with an earlier attempt into a commit.
 func resolveConflict(res Result, key, token string) Result {
 	if res.Committed {
 		return res
--- a/basilcross/zone/zone.go
+++ b/basilcross/zone/zone.go
@@ -70,8 +70,8 @@
 type Renewal struct {
 	Target     string
 	Generation uint64
-	// Standby asks for infrequent renewals only: another instance is the main
-	// renewer, and this one can replace it.
+	// Standby limits this instance to infrequent renewals: another one is the main
+	// renewer, which this one can replace.
 	Standby bool
 	// Urgent is set while another instance reports the target as failing: one
 	// renewal without a response is then enough to report the same.
