--- a/basilcross/hotkey/hotkey_test.go
+++ b/basilcross/hotkey/hotkey_test.go
@@ -19,7 +19,8 @@
 	// Output: linzer
 }
 
-// cluster simulates twelve gateways whose sketches are merged every five seconds.
+// cluster simulates twelve gateways whose sketches are merged every five seconds,
+// as zone leaders and the planner do.
 type cluster struct {
 	random   *rand.Rand
 	gateways [12]hotkey.Sketch
--- a/basilcross/ownership/outage_test.go
+++ b/basilcross/ownership/outage_test.go
@@ -70,9 +70,9 @@
 }
 
 // Guards against keys that are not served for too long after a target is lost, in
-// each way that the platform can report it. They must be served again at once if
-// the target is proved to hold nothing, and otherwise when its longest hold has
-// expired.
+// each way that the platform can report it; callers must retry until then. They
+// must be served again at once if the target is proved to hold nothing, and
+// otherwise when its longest hold has expired.
 func TestTimeUntilServedAgain(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/basilcross/slot/slot.go
+++ b/basilcross/slot/slot.go
@@ -27,8 +27,9 @@
 	shedFactor = 0.8
 	// limitStep is what an answer adds to the limit while the limit is reached.
 	limitStep = 0.02
-	// initialLimit applies at first, and initialStep until the target sheds for the first
-	// time: it may have just started and still be warming up.
+	// initialLimit applies to a target without history in this gateway, which may still
+	// be warming up. The limit rises by initialStep until the target sheds for the first
+	// time.
 	initialLimit = 1.0
 	initialStep  = 0.25
 	// slowFactor multiplies the limit if the recent latency exceeds slowRatio times the
