--- a/basilcross/egress/egress.go
+++ b/basilcross/egress/egress.go
@@ -11,7 +11,6 @@
 )
 
 const (
-	// defaultKeepAlive is the keep-alive interval if none is set.
 	defaultKeepAlive = 5 * time.Second
 	// defaultDialTimeout is the dial timeout if none is set.
 	defaultDialTimeout = 2 * time.Second
@@ -25,11 +24,11 @@
 	// kernel before the connection is aborted (TCP_USER_TIMEOUT); 0 leaves the default.
 	UserTimeout time.Duration
 	// DialTimeout bounds dialing, including the proxy's answer, unless the context ends
-	// earlier; 0 is two seconds.
+	// earlier; 0 means two seconds.
 	DialTimeout time.Duration
 	// KeepAliveInterval is the idle time after which a keep-alive probe is sent, and the
-	// time between probes; 0 is five seconds. Probes detect connections whose other end
-	// has disappeared without a reset.
+	// time between probes; 0 means five seconds. Probes detect connections whose other
+	// end has disappeared without a reset.
 	KeepAliveInterval time.Duration
 	// ResetOnClose closes connections with a reset, which discards unsent bytes.
 	// Otherwise bytes held back by a network partition would arrive when it heals.
@@ -41,7 +40,6 @@
 
 // ProxyError is returned if the proxy refuses to open a connection.
 type ProxyError struct {
-	// Address is the destination.
 	Address string
 	// Status is the HTTP status of the proxy's response.
 	Status int
@@ -92,7 +90,6 @@
 	return c, nil
 }
 
-// openTunnel requests a tunnel to the address from the proxy.
 func openTunnel(ctx context.Context, c net.Conn, address string) error {
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
--- a/basilcross/eviction/eviction.go
+++ b/basilcross/eviction/eviction.go
@@ -1,10 +1,10 @@
 // Package eviction decides when the seat of an unresponsive holder may be claimed.
 //
-// The steps are, in this order: an intent is written into the seat's row; f+1
-// other leaders confirm that they no longer extend the seat; the holder's lease
-// from the table and every extension promised to it before expire; then the seat
-// is claimed, on condition that the row is still the version with the intent. A
-// holder that renews meanwhile changes the row and keeps its seat.
+// The steps are, in this order: an intent is written into the seat's row; f+1 other
+// leaders confirm that they no longer extend the seat; the holder's lease from the
+// table and every earlier extension expire; then the seat is claimed, on condition
+// that the row is still the version with the intent. A holder that renews meanwhile
+// changes the row and keeps its seat.
 package eviction
 
 import (
@@ -34,8 +34,8 @@
 // Version is the row version that the attempt is against; zero before Begin.
 func (e *Eviction) Version() uint64 { return e.rowVersion }
 
-// Confirm records that a zone's leader refrains from extending the seat,
-// received at now, and that its earlier promises expire within left.
+// Confirm records that a zone's leader refrains from extending the seat, received
+// at now, and that its earlier extensions expire within left.
 func (e *Eviction) Confirm(now time.Time, zone string, version uint64, left time.Duration) {
 	if version == e.rowVersion && e.extensionsEnd != nil {
 		e.extensionsEnd[zone] = now.Add(lease.Wait(left))
--- a/basilcross/seat/hints.go
+++ b/basilcross/seat/announcements.go
@@ -6,21 +6,20 @@
 	"basilcross.example/basilcross/lease"
 )
 
-// maxAnnouncements is how many of a holder's last renewals are kept, including those
-// that never took effect.
+// maxAnnouncements is how many of a holder's last renewals are kept, including
+// those that never took effect.
 const maxAnnouncements = 8
 
-// Announcements are the renewals that a seat's holder announced, as received. A holder
-// announces a renewal when it sends it, so that others can know when its
-// authority ends even if it is cut off then. The zero value is empty.
+// Announcements are the renewals that a seat's holder announced, as received. A
+// holder announces a renewal when it sends it, so that others have the end of its
+// authority even if it is cut off then. The zero value is empty.
 type Announcements struct {
-	list []announcement
-	// receivedAt is when the last hint was received.
+	list       []announcement
 	receivedAt time.Time
 }
 
-// announcement is the time by which the authority from one renewal ends, as announced
-// by the holder. No two renewals of a term have the same number.
+// announcement is the end of the authority from one renewal, as the holder
+// announced it. No two renewals of a term have the same number.
 type announcement struct {
 	term     uint64
 	renewals uint64
@@ -46,7 +45,7 @@
 	h.list = append(h.list, announcement{term: term, renewals: renewals, end: end})
 }
 
-// ReceivedAt is when the last hint was received.
+// ReceivedAt is when the last announcement was received.
 func (h *Announcements) ReceivedAt() time.Time { return h.receivedAt }
 
 // Clone returns a copy that is not changed by Add.
@@ -54,8 +53,8 @@
 	return Announcements{list: append([]announcement(nil), h.list...), receivedAt: h.receivedAt}
 }
 
-// authorityEnd is when the authority from a renewal ends; ok is false if the
-// holder has not announced the renewal.
+// authorityEnd is when the authority from a renewal ends; ok is false if the holder
+// has not announced the renewal.
 func (h *Announcements) authorityEnd(term, renewals uint64) (end time.Time, ok bool) {
 	for _, kept := range h.list {
 		if kept.term == term && kept.renewals == renewals {
--- a/basilcross/seat/hints_test.go
+++ b/basilcross/seat/announcements_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// renewalSim simulates a holder whose writes and responses are delayed or lost,
-// and an observer that receives each hint at once, late, or never.
+// renewalSim simulates a holder whose writes and responses are delayed or lost, and
+// an observer that receives each announcement at once, late, or never.
 type renewalSim struct {
 	t      *testing.T
 	random *rand.Rand
@@ -73,10 +73,11 @@
 	})
 }
 
-// Guards against two holders at a time: if a hint of an earlier renewal were
-// applied to the one in the row, the seat would expire before its holder stops.
+// Guards against two holders at a time: if the announcement of an earlier renewal
+// were applied to the one in the row, the seat would expire before its holder
+// stops.
 func TestAnnouncedEndIsNotBeforeLeaseEnd(t *testing.T) {
-	hinted := 0
+	announced := 0
 	for n := range uint64(200) {
 		sim := &renewalSim{
 			t: t, random: rand.New(rand.NewPCG(n, 3)), now: time.Unix(1000, 0), table: &table.Memory{},
@@ -109,11 +110,11 @@
 				continue
 			}
 			if sim.observer.HasAnnouncement() {
-				hinted++
+				announced++
 			}
 			left := lease.New(sent, seat.LeaseDuration).Left(sim.now)
 			assert.Assert(t, left == 0, "seed %d: the renewal of row version %d is valid for %v more", n, version, left)
 		}
 	}
-	assert.Assert(t, hinted > 0)
+	assert.Assert(t, announced > 0)
 }
--- a/basilcross/seat/seat.go
+++ b/basilcross/seat/seat.go
@@ -14,7 +14,7 @@
 const LeaseDuration = 1200 * time.Millisecond
 
 // OutageLimit is how long the leaders of other zones may extend a holder that
-// can't renew in the table. A seat also stays empty for so long if too many
+// cannot renew in the table. A seat also stays empty for so long if too many
 // leaders fail at once to establish whether it is being extended.
 const OutageLimit = 3 * time.Minute
 
@@ -220,13 +220,13 @@
 }
 
 // AddAnnouncement records a renewal that the holder announced, received at now; see
-// Hints. With it a candidate need not wait for a whole LeaseDuration after its
-// own first read of the row.
+// Announcements. With it a candidate need not wait for a whole LeaseDuration after
+// its own first read of the row.
 func (s *Seat) AddAnnouncement(now time.Time, term, renewals uint64, left time.Duration) {
 	s.announcements.Add(now, term, renewals, left)
 }
 
-// SetAnnouncements replaces the hints by those that were received elsewhere.
+// SetAnnouncements replaces the announcements by those received elsewhere.
 func (s *Seat) SetAnnouncements(h Announcements) { s.announcements = h }
 
 // UnchangedFor returns the time since this instance first saw the last renewal
@@ -246,7 +246,7 @@
 }
 
 // Renew returns the write that keeps the seat for another LeaseDuration. Each
-// write has its own number, so that hints of one renewal are never applied to
+// write has its own number, so that one announcement is never applied to
 // another one, sent at another time.
 func (s *Seat) Renew(now time.Time, token string) (table.Transaction, error) {
 	s.renewalNumber = max(s.renewalNumber, s.record.Renewals) + 1
