--- a/gateway/authority/authority.go
+++ b/gateway/authority/authority.go
@@ -15,24 +15,24 @@
 	lastContact time.Time
 }
 
-// Extend applies the answer to a poll; length counts from when the poll was sent.
-func (c *Authority) Extend(sent time.Time, length time.Duration, received time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.lease = c.lease.Later(lease.New(sent, length))
-	c.lastContact = received
+// Extend applies the response to a poll; length counts from when the poll was sent.
+func (a *Authority) Extend(sent time.Time, length time.Duration, received time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.lease = a.lease.Later(lease.New(sent, length))
+	a.lastContact = received
 }
 
 // Lease returns the current authority.
-func (c *Authority) Lease() lease.Lease {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.lease
+func (a *Authority) Lease() lease.Lease {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.lease
 }
 
-// LastContact returns when the leader last answered.
-func (c *Authority) LastContact() time.Time {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.lastContact
+// LastContact returns when the leader's last response was received.
+func (a *Authority) LastContact() time.Time {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.lastContact
 }
--- a/gateway/entry/attempt.go
+++ b/gateway/entry/attempt.go
@@ -75,7 +75,7 @@
 		return f.chooseTarget(s, service)
 	}
 	sh, _ := service.ShardMap.Find(c.keyHash)
-	f.Heat.Add(c.service, c.key, sh.First, *c.kind.Rules.Weight)
+	f.Loads.Add(c.service, c.key, sh.First, *c.kind.Rules.Weight)
 	target := service.Targets[sh.Owner]
 	if target == nil || target.State == assignment.Lost {
 		return nil, newOwnerFailure(refusal.NoOwner, "the key has no owner at present")
@@ -97,8 +97,8 @@
 
 // send writes the request to the target and reads the response's header.
 func (f *Front) send(ctx context.Context, c *call, r *route, release func(slot.Result)) outcome {
-	overdue := overdueDelay(r.lane)
-	attemptCtx, cancel := f.attemptContext(ctx, c, overdue)
+	overdueAfter := overdueDelay(r.lane)
+	attemptCtx, cancel := f.attemptContext(ctx, c, overdueAfter)
 	body, length := c.newBodyReader()
 	c.streamSent = c.streamSent || !c.buffered
 	req := &pool.Request{
@@ -109,7 +109,7 @@
 		Body:          body,
 		ContentLength: length,
 		RequireFresh:  !c.kind.Idempotent,
-		OverdueAfter:  overdue,
+		OverdueAfter:  overdueAfter,
 		BeforeSend:    func(now time.Time) error { return f.checkAuthority(now, r) },
 	}
 	f.setTargetHeaders(req.Header, ctx, c, r)
@@ -140,13 +140,13 @@
 // attemptContext leaves time for a retry where one is allowed, so that an
 // unresponsive connection does not use up the whole deadline. The attempt times
 // out at twice the overdue delay.
-func (f *Front) attemptContext(ctx context.Context, c *call, overdue time.Duration) (context.Context, context.CancelFunc) {
+func (f *Front) attemptContext(ctx context.Context, c *call, overdueAfter time.Duration) (context.Context, context.CancelFunc) {
 	deadline, _ := ctx.Deadline()
 	left := time.Until(deadline)
 	if !c.kind.Idempotent || !c.buffered || left < 2*minAttemptTime {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, min(left/2, 2*overdue))
+	return context.WithTimeout(ctx, min(left/2, 2*overdueAfter))
 }
 
 // overdueDelay returns the time after which a target's response is overdue.
--- a/gateway/entry/entry.go
+++ b/gateway/entry/entry.go
@@ -25,7 +25,7 @@
 	View      *view.View
 	Authority *authority.Authority
 	Lanes     *lane.Set
-	Heat      *heat.Collector
+	Loads     *heat.Collector
 	Metrics   *Metrics
 	Log       *slog.Logger
 }
@@ -82,7 +82,6 @@
 	refused.Write(w)
 }
 
-// budget returns the retry budget of a service.
 func (f *Front) budget(service string) *retry.Budget {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -142,8 +141,8 @@
 	return attempt < *c.kind.Rules.Retries && f.budget(c.service).TryWithdraw()
 }
 
-// awaitOwner waits for a newer snapshot than the one of the failed attempt, or
-// for the next poll of the owner; false if the wait or ctx is over.
+// awaitOwner waits for a newer snapshot than that of the failed attempt, at most
+// for ownerPollInterval; false if ownerWaitEnd has passed or ctx has ended.
 func (f *Front) awaitOwner(ctx context.Context, c *call, snapshot *view.Snapshot) bool {
 	left := time.Until(c.ownerWaitEnd)
 	if left <= 0 {
--- a/gateway/evictor/evictor.go
+++ b/gateway/evictor/evictor.go
@@ -1,5 +1,5 @@
 // Package evictor executes evictions: it writes the intent, requests the other zones'
-// leaders to refrain from extensions, and reports when the seat may be taken.
+// leaders to refrain from extensions, and reports when the seat may be claimed.
 package evictor
 
 import (
@@ -41,14 +41,14 @@
 }
 
 // Step advances the eviction of a seat's holder and reports whether the seat may be
-// taken now. lock guards the seat; others are the other zones' seats.
+// claimed now. lock guards the seat; others are the other zones' seats.
 func (e *Evictor) Step(ctx context.Context, lock sync.Locker, s *seat.Seat, others []seat.Record) bool {
 	lock.Lock()
 	record, version := s.Record()
-	tableEnd := s.TableLeaseEnd()
-	limit := s.OutageLimitPassed(time.Now())
+	tableLeaseEnd := s.TableLeaseEnd()
+	outageLimitPassed := s.OutageLimitPassed(time.Now())
 	lock.Unlock()
-	if limit {
+	if outageLimitPassed {
 		return true
 	}
 	if record.Intent == "" {
@@ -56,7 +56,7 @@
 		return false
 	}
 	attempt := e.attemptFor(s.Name)
-	attempt.Begin(version, tableEnd)
+	attempt.Begin(version, tableLeaseEnd)
 	e.requestRefrain(ctx, attempt, s.Name, others)
 	return attempt.Complete(time.Now(), promise.EvictQuorum(len(others)+1))
 }
@@ -76,7 +76,7 @@
 }
 
 // writeIntent writes the intent into the seat's row. The next reader of the row
-// continues the eviction, so a lost answer costs only time.
+// continues the eviction, so a lost response costs only time.
 func (e *Evictor) writeIntent(ctx context.Context, lock sync.Locker, s *seat.Seat) {
 	lock.Lock()
 	tx, err := s.DeclareIntent(time.Now(), e.NewToken(), e.Instance)
--- a/gateway/follower/follower.go
+++ b/gateway/follower/follower.go
@@ -26,18 +26,18 @@
 )
 
 const (
-	// pollWait is how long the leader may delay the answer to a poll. It reduces the
-	// authority that the answer brings.
+	// pollWait is how long the leader may delay the response to a poll. It reduces
+	// the authority that the response brings.
 	pollWait = 450 * time.Millisecond
 	// pollTimeout bounds one poll.
 	pollTimeout = pollWait + 150*time.Millisecond
 	// retryDelay is the pause after a failed poll.
 	retryDelay = 60 * time.Millisecond
-	// authorityLossDelay is the time without an answer after which the loss is logged.
+	// authorityLossDelay is the time without a response after which the loss is logged.
 	authorityLossDelay = 1500 * time.Millisecond
 )
 
-// Loads returns the loads since the last call, for the report.
+// Loads adds up the loads of requests; Take returns those due for a report.
 type Loads interface {
 	Take(now time.Time) (shards []*control.ShardLoad, hot []*control.HotKey)
 }
@@ -126,7 +126,7 @@
 	return f.PeerAddresses[f.nextPeer%len(f.PeerAddresses)]
 }
 
-// poll sends one poll and reports whether the leader answered it.
+// poll sends one poll and reports whether the leader responded.
 func (f *Follower) poll(ctx context.Context) bool {
 	address := f.pollAddress()
 	if address == "" {
@@ -220,8 +220,8 @@
 	return out
 }
 
-// applyResponse applies an answer. The directive is applied before the authority, since
-// the old directive may be invalid under the new authority.
+// applyResponse applies the directive before the authority, since the old directive may
+// be invalid under the new authority.
 func (f *Follower) applyResponse(sent time.Time, address string, res *control.PollResponse) {
 	for _, u := range res.GetUpdates() {
 		if err := f.applyUpdate(u); err != nil {
--- a/gateway/lane/lane.go
+++ b/gateway/lane/lane.go
@@ -34,14 +34,14 @@
 	ejectedUntil time.Time
 }
 
-// RecordSuccess records an answered request, and resets the failures.
+// RecordSuccess records a request with a response, and resets the failures.
 func (l *Lane) RecordSuccess() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failures, l.ejections = 0, 0
 }
 
-// RecordFailure records a request without an answer, and reports whether the target
+// RecordFailure records a request without a response, and reports whether the target
 // was ejected for it.
 func (l *Lane) RecordFailure(now time.Time) bool {
 	l.mu.Lock()
@@ -76,13 +76,13 @@
 	lastOverdueAt     time.Time
 }
 
-// commonCauseWindow is the time within which overdue answers of two targets count as
+// commonCauseWindow is the time within which overdue responses of two targets count as
 // having a common cause.
 const commonCauseWindow = time.Second
 
-// handleOverdue is called when a target's answer is overdue. A single target has a fault
+// handleOverdue is called when a target's response is overdue. A single target has a fault
 // of its own. With two at a time something on the path to all of them has probably lost
-// the state of the open connections, so the connections to all targets are dropped;
+// the state of the open connections, so the connections to all targets are invalidated;
 // otherwise the first request to each would have to time out.
 func (s *Set) handleOverdue(id string, now time.Time) {
 	s.overdueMu.Lock()
@@ -134,7 +134,7 @@
 	return l
 }
 
-// Retain closes the lanes of targets that are not in the list.
+// Retain closes the lanes of all targets but the given ones.
 func (s *Set) Retain(targets map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/leader/heads.go
+++ b/gateway/leader/heads.go
@@ -19,10 +19,9 @@
 	"basilcross.example/gateway/view"
 )
 
-// headKeyPrefix is the prefix of the keys of all heads, the rows that a leader reads.
+// headKeyPrefix is the key prefix of all heads, the rows that a leader reads.
 const headKeyPrefix = "head/"
 
-// applyHeads applies the rows of one read of the heads.
 func (l *Leader) applyHeads(ctx context.Context, res table.Result) {
 	now := time.Now()
 	l.applySeats(now, res)
@@ -70,7 +69,6 @@
 	l.updateTerm(before)
 }
 
-// applyZoneSeat records a zone's seat as last read.
 func (l *Leader) applyZoneSeat(now time.Time, row table.Row) {
 	name, ok := seat.NameFromRowKey(row.Key)
 	if !ok || name == planner.SeatName {
--- a/gateway/leader/heartbeat.go
+++ b/gateway/leader/heartbeat.go
@@ -29,7 +29,7 @@
 	Leader *Leader
 }
 
-// Serve sends heartbeats until the context ends. It does not wait for the answers,
+// Serve sends heartbeats until the context ends. It does not wait for the responses,
 // so that an unreachable zone does not delay the heartbeats to the others.
 func (h *HeartbeatSender) Serve(ctx context.Context) error {
 	var group errgroup.Group
@@ -59,7 +59,8 @@
 
 // queueHeartbeat announces a renewal when it is sent, before its outcome is known.
 // Otherwise the other leaders would not receive a renewal that took effect just before
-// this zone was cut off, and would wait a whole seat.Hold longer. Callers hold the lock.
+// this zone was cut off, and would wait a whole seat.LeaseDuration longer. Callers hold
+// the lock.
 func (l *Leader) queueHeartbeat(sent time.Time) {
 	if !l.leading(sent) {
 		return
@@ -76,7 +77,7 @@
 	}
 }
 
-// heartbeat returns a heartbeat; nil if this instance does not lead.
+// heartbeat returns nil if this instance does not lead.
 func (l *Leader) heartbeat(now time.Time) *control.BeatRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/leader/heartbeat_test.go
+++ b/gateway/leader/heartbeat_test.go
@@ -32,15 +32,15 @@
 
 func (*recordingPlanner) Address() string { return "" }
 
-func (h *recordingPlanner) ReceiveHeartbeat(now time.Time, beat *control.BeatRequest) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if _, ok := h.receivedAt[beat.GetRenewals()]; !ok {
-		h.receivedAt[beat.GetRenewals()] = now
+func (p *recordingPlanner) ReceiveHeartbeat(now time.Time, beat *control.BeatRequest) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if _, ok := p.receivedAt[beat.GetRenewals()]; !ok {
+		p.receivedAt[beat.GetRenewals()] = now
 	}
 }
 
-// slowTable applies writes at once, delays the answers by 300 ms, and records when
+// slowTable applies writes at once, delays its responses by 300 ms, and records when
 // each renewal took effect.
 type slowTable struct {
 	table.Memory
@@ -68,7 +68,8 @@
 }
 
 // A renewal that took effect just before its zone was cut off must have been announced
-// to the other leaders; otherwise the zone's keys wait a whole seat.Hold longer.
+// to the other leaders; otherwise the zone's keys wait a whole seat.LeaseDuration
+// longer.
 func TestRenewalIsAnnouncedBeforeItTakesEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows := &slowTable{renewedAt: map[uint64]time.Time{}}
--- a/gateway/leader/leader.go
+++ b/gateway/leader/leader.go
@@ -1,5 +1,5 @@
 // Package leader leads an availability zone: it holds the zone's seat, reads the
-// configuration and assignments from the table, and answers the polls of the
+// configuration and assignments from the table, and responds to the polls of the
 // zone's instances.
 package leader
 
@@ -33,7 +33,7 @@
 	// candidateInterval is the time between two reads of the seat while the leader
 	// is unresponsive.
 	candidateInterval = 100 * time.Millisecond
-	// leaderTimeout is the time without an answer of the leader after which an
+	// leaderTimeout is the time without a response of the leader after which an
 	// instance reads the seat itself.
 	leaderTimeout = 650 * time.Millisecond
 	// rankDelay is the additional takeover delay per rank among the candidates.
@@ -46,7 +46,7 @@
 	plannerTimeout    = 600 * time.Millisecond
 	// retryInterval is the time between a failed renewal and the next.
 	retryInterval = 50 * time.Millisecond
-	// tableTimeout bounds one transaction; a later answer would bring less
+	// tableTimeout bounds one transaction; a later response would bring less
 	// authority than the wait costs.
 	tableTimeout = 800 * time.Millisecond
 )
@@ -84,7 +84,7 @@
 }
 
 // Leader leads the zone while its instance holds the seat, and is a candidate for
-// the seat otherwise.
+// the seat otherwise. Every instance has one; a zone.Leader is its state of one term.
 type Leader struct {
 	Options
 
@@ -102,7 +102,7 @@
 	heartbeats chan *control.BeatRequest
 	// renewalsSinceRead counts renewals since the heads were read; used by Serve only.
 	renewalsSinceRead int
-	// renewalInDoubt is set after a renewal without an answer; used by Serve only.
+	// renewalInDoubt is set after a renewal without a response; used by Serve only.
 	renewalInDoubt bool
 	// reportAcceptedAt is when the planner last accepted a report.
 	reportAcceptedAt time.Time
@@ -199,7 +199,7 @@
 // due, and reports whether the renewal took effect.
 func (l *Leader) renew(ctx context.Context) bool {
 	if l.renewalInDoubt {
-		// The renewal may have taken effect though its answer was lost. A read
+		// The renewal may have taken effect though its response was lost. A read
 		// shows its token, and the next renewal needs its row version.
 		l.transact(ctx, table.Transaction{})
 		l.renewalInDoubt = false
@@ -293,9 +293,9 @@
 	}
 }
 
-func (l *Leader) claim(ctx context.Context, how func(*seat.Seat, time.Time, string) (table.Transaction, error)) {
+func (l *Leader) claim(ctx context.Context, prepare func(*seat.Seat, time.Time, string) (table.Transaction, error)) {
 	l.mu.Lock()
-	tx, err := how(&l.seat, time.Now(), l.NewToken())
+	tx, err := prepare(&l.seat, time.Now(), l.NewToken())
 	l.mu.Unlock()
 	if err != nil {
 		l.Log.Error("prepare seat claim", "error", err)
@@ -308,14 +308,14 @@
 // it is complete. Candidates of lower rank begin later.
 func (l *Leader) advanceEviction(ctx context.Context) bool {
 	l.mu.Lock()
-	unchanged := l.seat.UnchangedFor(time.Now())
-	mayBegin := unchanged > evictor.SuspectAfter+l.rank()*rankDelay
+	unchangedFor := l.seat.UnchangedFor(time.Now())
+	mayBegin := unchangedFor > evictor.SuspectAfter+l.rank()*rankDelay
 	seats := l.otherSeats()
 	l.mu.Unlock()
 	return mayBegin && l.Evictor.Step(ctx, &l.mu, &l.seat, seats)
 }
 
-// otherSeats returns the records of the other zones' seats as last read.
+// otherSeats returns the other zones' seats as last read.
 func (l *Leader) otherSeats() []seat.Record {
 	var others []seat.Record
 	for name, s := range l.seats {
@@ -335,7 +335,7 @@
 }
 
 // mayClaim reports whether this candidate's takeover delay is over. The delays differ
-// by rank, so that the zone's instances don't all claim a free seat at once.
+// by rank, so that the zone's instances do not all claim a free seat at once.
 func (l *Leader) mayClaim(now time.Time) bool {
 	if !l.seat.Free() {
 		l.freeSince = time.Time{}
@@ -356,8 +356,8 @@
 	return 0
 }
 
-// Hint records the leader's renewal and the authority that it had left from the table.
-func (l *Leader) Hint(now time.Time, term, renewals uint64, left time.Duration) {
+// AddHint records the leader's renewal and the authority that it had left from the table.
+func (l *Leader) AddHint(now time.Time, term, renewals uint64, left time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seat.AddHint(now, term, renewals, left)
--- a/gateway/leader/outage.go
+++ b/gateway/leader/outage.go
@@ -104,7 +104,8 @@
 	return extended
 }
 
-// Extend promises another leader to take no part in its eviction for a seat.Hold.
+// Extend promises another leader to take no part in its eviction for a
+// seat.LeaseDuration.
 func (l *Leader) Extend(_ context.Context, req *control.ExtendRequest) (*control.ExtendResponse, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/leader/poll.go
+++ b/gateway/leader/poll.go
@@ -21,7 +21,7 @@
 // maxPollWait bounds the wait that a poll may request.
 const maxPollWait = time.Second
 
-// Poll answers an instance of the zone, once there is a change or its wait is over.
+// Poll responds to an instance of the zone once there is a change or its wait is over.
 func (l *Leader) Poll(ctx context.Context, req *control.PollRequest) (*control.PollResponse, error) {
 	if req.GetZone() != l.Zone {
 		return nil, twirp.InvalidArgumentError("zone", "this instance is in zone "+l.Zone)
@@ -36,7 +36,7 @@
 		return l.notLeading(), nil
 	}
 	for {
-		res, changed := l.tryAnswer(req)
+		res, changed := l.responseIfChanged(req)
 		if res != nil {
 			return res, nil
 		}
@@ -44,7 +44,7 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-timeout.C:
-			return l.answerAtTimeout(req), nil
+			return l.responseAtTimeout(req), nil
 		case <-changed:
 		}
 	}
@@ -116,9 +116,9 @@
 	return res
 }
 
-// tryAnswer returns the answer if there is a change to send, else the channel that is
-// closed at the next change.
-func (l *Leader) tryAnswer(req *control.PollRequest) (*control.PollResponse, <-chan struct{}) {
+// responseIfChanged returns the response if there is a change to send, else the channel
+// that is closed at the next change.
+func (l *Leader) responseIfChanged(req *control.PollRequest) (*control.PollResponse, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -136,7 +136,7 @@
 	return l.buildResponse(now, req), nil
 }
 
-func (l *Leader) answerAtTimeout(req *control.PollRequest) *control.PollResponse {
+func (l *Leader) responseAtTimeout(req *control.PollRequest) *control.PollResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -249,8 +249,8 @@
 // nudgeTimeout bounds one NudgeAll.
 const nudgeTimeout = 300 * time.Millisecond
 
-// NudgeAll requests every zone's leader to read the table at once. A lost nudge only
-// delays the update until that leader's next read.
+// NudgeAll makes every zone's leader read the table at once. A lost nudge only delays
+// the update until that leader's next read.
 func (l *Leader) NudgeAll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, nudgeTimeout)
 	defer cancel()
--- a/gateway/planner/decide.go
+++ b/gateway/planner/decide.go
@@ -41,7 +41,7 @@
 			continue
 		}
 		if err := b.add(ctx, decision, evicted); err != nil {
-			p.Log.Error("append assignment", "service", service.Name, "error", err)
+			p.Log.Error("prepare assignment", "service", service.Name, "error", err)
 			return
 		}
 	}
@@ -59,7 +59,7 @@
 // advanceEvictions advances the eviction of zones whose seat is neither renewed nor
 // claimed, and returns the zones for which it is complete.
 func (p *Planner) advanceEvictions(ctx context.Context) map[string]bool {
-	lost := map[string]bool{}
+	evicted := map[string]bool{}
 	var unused sync.Mutex
 	for name, z := range p.zoneSeats {
 		r, _ := z.Record()
@@ -70,10 +70,10 @@
 		}
 		complete := p.Evictor.Step(ctx, &unused, z, p.otherSeats(name))
 		if complete && time.Since(z.TableLeaseEnd()) > zoneEvictionDelay {
-			lost[name] = true
+			evicted[name] = true
 		}
 	}
-	return lost
+	return evicted
 }
 
 // applyHints copies the renewals that the zone's leader announced to its seat.
@@ -102,7 +102,6 @@
 	return others
 }
 
-// planInput collects the input of a service's next decision.
 func (p *Planner) planInput(now time.Time, doc *config.Document, service config.Service, evicted map[string]bool) plan.Input {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -232,7 +231,7 @@
 // requireTerm makes the write conditional on the zone's term being the one of the
 // report. Otherwise a leader could report a target as released and lose its seat,
 // and the next leader renew the target while this write reassigns its shards. With
-// the condition either the write fails or the new leader reads the new assignment.
+// the condition either the write fails or the next leader reads the new assignment.
 func (b *batch) requireTerm(zone string) {
 	b.planner.mu.Lock()
 	version := b.planner.reports[zone].req.GetTermVersion()
@@ -258,7 +257,6 @@
 	return nil
 }
 
-// logEvictions logs each evicted zone with the age of its leader's last heartbeat.
 func (b *batch) logEvictions() {
 	now := time.Now()
 	for _, z := range b.evicted {
@@ -277,7 +275,7 @@
 	if err := p.chain.PrepareAppend(&b.tx, audit.Record{
 		At: time.Now(), Actor: p.Instance, Subject: "assignment", Reason: strings.Join(b.causes, "; "),
 	}); err != nil {
-		p.Log.Error("add audit record of assignment", "error", err)
+		p.Log.Error("prepare audit record of assignment", "error", err)
 		return
 	}
 	b.tx.ReadPrefixes = []string{"head/"}
@@ -322,7 +320,7 @@
 	}
 }
 
-// nudgeLeaders requests every zone's leader to read the table at once.
+// nudgeLeaders makes every zone's leader read the table at once.
 func (p *Planner) nudgeLeaders(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, nudgeTimeout)
 	defer cancel()
--- a/gateway/planner/load.go
+++ b/gateway/planner/load.go
@@ -120,7 +120,6 @@
 	return q.newest
 }
 
-// longestDeadline returns the longest deadline of a service's request kinds.
 func longestDeadline(doc *config.Document, service string, now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for _, k := range doc.Kinds {
--- a/gateway/planner/planner.go
+++ b/gateway/planner/planner.go
@@ -33,7 +33,7 @@
 	// another leader claims the seat.
 	plannerTimeout = 700 * time.Millisecond
 	// readInterval is the time between two reads of the heads while every zone's
-	// leader sends heartbeats, fastReadInterval while one does not.
+	// leader sends heartbeats, fastReadInterval while one is unresponsive.
 	readInterval     = 2 * time.Second
 	fastReadInterval = 150 * time.Millisecond
 	// heartbeatTimeout is the time without heartbeats after which a zone's leader
@@ -48,7 +48,8 @@
 	// zoneEvictionDelay is how long an unresponsive zone's own candidates may claim
 	// its free seat before the whole zone counts as lost.
 	zoneEvictionDelay = 250 * time.Millisecond
-	// maxReportAge is the age of its last report at which a zone counts as not led.
+	// maxReportAge is the age of its last report after which a zone counts as
+	// having no leader.
 	maxReportAge = 4 * time.Second
 	tableTimeout = 800 * time.Millisecond
 	nudgeTimeout = 300 * time.Millisecond
@@ -75,7 +76,8 @@
 	Evictor             *evictor.Evictor
 }
 
-// Planner plans the assignments while its instance holds the planner's seat.
+// Planner plans the assignments while its instance holds the planner's seat. Every
+// instance has one.
 type Planner struct {
 	Options
 
@@ -170,7 +172,7 @@
 	return time.Time{}
 }
 
-// Report receives a zone leader's report.
+// Report applies a zone leader's report, if this instance plans.
 func (p *Planner) Report(_ context.Context, req *control.ReportRequest) (*control.ReportResponse, error) {
 	now := time.Now()
 	if !p.Planning(now) {
@@ -312,7 +314,6 @@
 	return false
 }
 
-// applyHeads applies the rows of one read of the heads.
 func (p *Planner) applyHeads(ctx context.Context, res table.Result) {
 	now := time.Now()
 	if row, ok := res.Row(audit.HeadKey(audit.System)); ok {
--- a/gateway/renewer/grants.go
+++ b/gateway/renewer/grants.go
@@ -74,7 +74,7 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		return s, fmt.Errorf("send order to %s: target answered %d", address, res.StatusCode)
+		return s, fmt.Errorf("send order to %s: target responded with status %d", address, res.StatusCode)
 	}
 	if err := json.NewDecoder(io.LimitReader(res.Body, maxStatusBytes)).Decode(&s); err != nil {
 		return s, fmt.Errorf("decode status of %s: %w", address, err)
--- a/gateway/renewer/renewer.go
+++ b/gateway/renewer/renewer.go
@@ -1,5 +1,5 @@
 // Package renewer sends targets their leases and grants, as the zone leader's
-// directive demands, and detects targets that do not answer.
+// directive requires, and detects unresponsive targets.
 package renewer
 
 import (
@@ -21,8 +21,8 @@
 const (
 	// renewInterval is the time between two renewals of a target.
 	renewInterval = 250 * time.Millisecond
-	// standbyInterval is that of a standby instance. If the other instance is lost,
-	// the lease may be expired for less than this.
+	// standbyInterval replaces renewInterval on a standby instance. If the other
+	// instance is lost, the target may lack a lease for less than this.
 	standbyInterval = time.Second
 	// retryInterval is the time between an unanswered renewal and the next.
 	retryInterval = 80 * time.Millisecond
@@ -34,7 +34,7 @@
 	// failingAfter is the number of consecutive unanswered renewals after which
 	// the target is reported as failing.
 	failingAfter = 2
-	// aliveTimeout is how long a target counts as alive after an answer.
+	// aliveTimeout is how long a target counts as alive after a response.
 	aliveTimeout = time.Second
 )
 
@@ -132,7 +132,6 @@
 	}
 }
 
-// makeAllDue makes every target due at once.
 func (r *Renewer) makeAllDue() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -296,7 +295,7 @@
 	}
 }
 
-// recordStatus records the answer to an order and reports whether another order should
+// recordStatus records the response to an order and reports whether another order should
 // follow at once, since the target did not apply the lease.
 func (r *Renewer) recordStatus(id string, o grant.Order, s grant.Status, now time.Time) bool {
 	r.mu.Lock()
