--- a/gateway/leader/leader.go
+++ b/gateway/leader/leader.go
@@ -360,7 +360,7 @@
 func (l *Leader) AddHint(now time.Time, term, renewals uint64, left time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.seat.AddHint(now, term, renewals, left)
+	l.seat.AddAnnouncement(now, term, renewals, left)
 }
 
 // broadcast wakes all polls that wait for a change. It is called with the lock held.
