--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -57,7 +57,7 @@
 	requestReadTimeout = time.Minute
 	// maxHeaderBytes limits the size of a request's header.
 	maxHeaderBytes = 32 << 10
-	// refreshInterval is how often the housekeeper runs.
+	// refreshInterval is the time between two runs of the housekeeper.
 	refreshInterval = time.Second
 	// handOverTimeout limits the writes that hand over the instance's seats.
 	handOverTimeout = time.Second
@@ -168,7 +168,7 @@
 	}}
 }
 
-// newExternalClient returns the client for the platform and targets' grant calls.
+// newExternalClient returns the client for the platform and for orders to targets.
 func newExternalClient(dialer *egress.Dialer) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext,
