--- a/gateway/broker/broker.go
+++ b/gateway/broker/broker.go
@@ -26,8 +26,7 @@
 	// several round-trip times between regions.
 	resendInterval = 50 * time.Millisecond
 	// queuedResendInterval replaces it once the scheduler has replied that the request
-	// is queued. The scheduler sends the result unasked, so that resending only
-	// covers the loss of that datagram.
+	// is queued: the scheduler sends the result too, and resending only covers its loss.
 	queuedResendInterval = 300 * time.Millisecond
 	// maxUnanswered is how many messages in a row without a reply mark a scheduler as
 	// unresponsive.
@@ -98,7 +97,7 @@
 
 // Acquire reserves a slot for a request. If the request names no target (its service
 // has no keys), those of the own zone are tried first, then those of the region, then
-// others: traffic between zones is charged, so a farther zone is used only if a nearer
+// others: traffic between zones is billed, so a farther zone is used only if a nearer
 // one would answer too late. The error is a *schedule.BusyError, a
 // *schedule.NoTargetError or the context's.
 func (b *Broker) Acquire(ctx context.Context, req schedule.Request) (*Reservation, error) {
--- a/gateway/broker/broker_test.go
+++ b/gateway/broker/broker_test.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// The callers of many requests go away. A request that stayed at its scheduler would
+// The callers of many requests disconnect. A request that stayed at its scheduler would
 // hold the only slot.
-func TestCanceledRequestIsWithdrawn(t *testing.T) {
+func TestCanceledRequestFreesItsSlot(t *testing.T) {
 	all := startInstances(t, "a", "b", "c")
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/gateway/broker/scheduler.go
+++ b/gateway/broker/scheduler.go
@@ -22,8 +22,7 @@
 	cancel      context.CancelFunc
 	reservation *dispatch.Reservation
 	reply       *peers.ReserveResponse
-	// repliedAt is when the reply was sent.
-	repliedAt time.Time
+	repliedAt   time.Time
 }
 
 // Receive handles a message about slots, and reports whether it was one.
@@ -82,7 +81,6 @@
 	})
 }
 
-// decodeReserveRequest returns the request of another instance's message.
 func decodeReserveRequest(now time.Time, m *peers.ReserveRequest) schedule.Request {
 	req := schedule.Request{
 		Service: m.Service, Kind: m.Kind, Target: m.Target, Zone: m.Zone, Priority: m.Priority, RejectLate: m.RejectLate,
@@ -114,7 +112,7 @@
 	}
 	b.mu.Lock()
 	if b.remoteRequests[key] != r {
-		// The request was withdrawn meanwhile.
+		// The request was canceled in the meantime.
 		b.mu.Unlock()
 		if res != nil {
 			res.Release(schedule.Abandoned)
@@ -159,7 +157,7 @@
 	b.oneWayDelays[key.from] = average + time.Duration(oneWayDelayWeight*float64(delay-average))
 }
 
-// releaseRemote releases the slot of another instance's request, or withdraws it.
+// releaseRemote releases the slot of another instance's request, or cancels it.
 func (b *Broker) releaseRemote(key remoteKey, result schedule.Result) {
 	b.mu.Lock()
 	r := b.remoteRequests[key]
--- a/gateway/channel/channel.go
+++ b/gateway/channel/channel.go
@@ -14,8 +14,8 @@
 	Address string
 	// Opened is when the connection was established.
 	Opened time.Time
-	// Target is the target that has identified itself on the connection; empty if it
-	// was not asked to. Only the holder of the channel may access it.
+	// Target is the ID that the target has returned on this connection, or empty. Only
+	// the holder of the channel may access it.
 	Target string
 
 	set *Set
@@ -28,8 +28,7 @@
 	// closing is set if the channel must not be used for further calls.
 	closing bool
 	// users counts the holder and those that wait for the channel.
-	users int
-	// lastUsed is when the channel was last released.
+	users    int
 	lastUsed time.Time
 }
 
@@ -50,7 +49,6 @@
 	return nil
 }
 
-// check returns the error why the channel cannot be used.
 func (c *Channel) check() error {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
--- a/gateway/coordinator/address_test.go
+++ b/gateway/coordinator/address_test.go
@@ -59,7 +59,6 @@
 	return f, list
 }
 
-// runCoordinator runs a coordinator for sharded services.
 func (f *fleet) runCoordinator(services ...string) {
 	t := f.t
 	t.Helper()
@@ -72,11 +71,11 @@
 	table := routing.New(config)
 	log := slog.New(slog.NewTextHandler(testLogWriter{t}, nil))
 	c := New(Options{
-		Self:     peers.Instance{Name: "one", Incarnation: "a", Cores: 1},
-		Store:    &platform.Store{Address: strings.TrimPrefix(store.URL, "http://"), HTTP: store.Client()},
-		Channels: &channel.Set{Dial: (&net.Dialer{}).DialContext},
-		Releases: &platform.GrantClient{HTTP: &http.Client{Transport: &http.Transport{}}},
-		Peers:    &peers.Peers{Log: log}, Roster: f.roster, Table: func() *routing.Table { return table },
+		Self:          peers.Instance{Name: "one", Incarnation: "a", Cores: 1},
+		Store:         &platform.Store{Address: strings.TrimPrefix(store.URL, "http://"), HTTP: store.Client()},
+		Channels:      &channel.Set{Dial: (&net.Dialer{}).DialContext},
+		ReleaseClient: &platform.GrantClient{HTTP: &http.Client{Transport: &http.Transport{}}},
+		Peers:         &peers.Peers{Log: log}, Roster: f.roster, Table: func() *routing.Table { return table },
 		Revisions: func() map[string]uint64 { return nil }, OnLeading: func(int, bool) {}, RestartFeeds: func() {},
 		OnUpdate: func(*peers.AssignmentUpdate) {}, OnOversizedUpdate: func() {}, Log: log, Joined: func() bool { return true },
 		Holds: ownership.Holds{Normal: 3200 * time.Millisecond, Long: 6 * time.Second, RenewInterval: 800 * time.Millisecond, AddressReuse: 2 * time.Second},
@@ -90,7 +89,6 @@
 	})
 }
 
-// testLogWriter writes the coordinator's log lines to the test's log.
 type testLogWriter struct{ t *testing.T }
 
 func (l testLogWriter) Write(line []byte) (int, error) {
@@ -101,7 +99,6 @@
 	return len(line), nil
 }
 
-// startTarget starts a target that listens at an address.
 func (f *fleet) startTarget(id, address string) *process {
 	f.t.Helper()
 	listener, err := net.Listen("tcp", address)
@@ -241,11 +238,11 @@
 	f.checkSingleHolder(4*time.Second, replacement, other)
 }
 
-// A release is not sent because the authority has expired for a moment, before the answer to a
+// A release is not sent because the authority has expired for a moment, before the response to a
 // write renews it. The release must be reported as unsent: otherwise the piece waits for its
 // outcome forever, and its keys have no owner for the rest of the term.
 func TestUnsentReleaseIsReported(t *testing.T) {
-	c := New(Options{Log: slog.New(slog.DiscardHandler), Releases: &platform.GrantClient{HTTP: http.DefaultClient}})
+	c := New(Options{Log: slog.New(slog.DiscardHandler), ReleaseClient: &platform.GrantClient{HTTP: http.DefaultClient}})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l := newLeadership(ctx, cancel, Lease{Term: 1}, 1)
@@ -255,7 +252,7 @@
 	assert.Equal(t, len(c.events), 1)
 }
 
-// Only the answers that the platform defines for orders that were not executed may count as
+// Only the responses that the platform defines for orders that were not executed may count as
 // such: a 421 of another target may come although the order was applied.
 func TestOutcomeOfOrders(t *testing.T) {
 	for _, c := range []struct {
--- a/gateway/coordinator/coordinator.go
+++ b/gateway/coordinator/coordinator.go
@@ -24,8 +24,7 @@
 
 const (
 	// stepInterval is the time between two checks for due orders and calls.
-	stepInterval = 40 * time.Millisecond
-	// heartbeatInterval is the time between two heartbeats.
+	stepInterval      = 40 * time.Millisecond
 	heartbeatInterval = 250 * time.Millisecond
 	// heartbeatTimeout is the time after the last heartbeat at which a coordinator
 	// counts as unresponsive, and the lease's row is read.
@@ -33,7 +32,7 @@
 	// baseFirstReadDelay is the longest delay between the start and the first read of
 	// the row, for an instance with one whole processor. The delay is inversely
 	// proportional to the share of a processor, at most maxFirstReadDelay. In a fleet
-	// that starts at once, a few strong instances read the row, and the others receive
+	// that starts at once, a few with many cores read the row, and the others receive
 	// the heartbeat of the one that leads.
 	baseFirstReadDelay = 150 * time.Millisecond
 	maxFirstReadDelay  = 1200 * time.Millisecond
@@ -45,15 +44,15 @@
 	// renewedReadInterval is the time to the next read after a read has shown that the
 	// holder renews the row.
 	renewedReadInterval = 1500 * time.Millisecond
-	// takeoverSpread is the random takeover delay per instance of the same strength, so
-	// that most see the first one succeed instead of writing too. Instances with
-	// less than the largest share of a processor wait weakTakeoverDelay longer: the
-	// coordinator sends all renewals, which can be more than a small instance can do.
-	takeoverSpread    = 10 * time.Millisecond
-	weakTakeoverDelay = 250 * time.Millisecond
+	// takeoverSpread is the random takeover delay per instance with as many cores, so that
+	// most see the first one succeed instead of writing too. Instances with fewer cores than
+	// others wait fewerCoresTakeoverDelay longer: the coordinator sends all renewals, which
+	// can be more than a small instance can do.
+	takeoverSpread          = 10 * time.Millisecond
+	fewerCoresTakeoverDelay = 250 * time.Millisecond
 	// memberTimeout is how long an instance counts as a member after its last message.
 	memberTimeout = 2 * time.Second
-	// inDoubtAfter is the time without an answer to a write after which longer holds
+	// inDoubtAfter is the time without a response to a write after which longer holds
 	// are granted: early enough for all targets to receive them within the rest of the
 	// lease.
 	inDoubtAfter = 800 * time.Millisecond
@@ -67,12 +66,12 @@
 type Options struct {
 	Self  peers.Instance
 	Store *platform.Store
-	// Channels are for grants, each of which belongs to one connection. Releases is for
-	// orders that any target at the address may receive.
-	Channels *channel.Set
-	Releases *platform.GrantClient
-	Peers    *peers.Peers
-	Roster   *roster.Roster
+	// Channels are for grants, each of which is bound to one connection. ReleaseClient is
+	// for releases, which any target at the address may receive.
+	Channels      *channel.Set
+	ReleaseClient *platform.GrantClient
+	Peers         *peers.Peers
+	Roster        *roster.Roster
 	// Table returns the routing table in force, or nil.
 	Table func() *routing.Table
 	// Revisions returns the newest revisions of this instance's mirrors, by table.
@@ -89,7 +88,7 @@
 	OnOversizedUpdate func()
 	Holds             ownership.Holds
 	Log               *slog.Logger
-	// Joined reports whether the other instances, if there are any, are known.
+	// Joined reports whether the list of other instances has been loaded.
 	Joined func() bool
 }
 
@@ -115,7 +114,7 @@
 	members map[string]time.Time
 }
 
-// leadership is the state of one term. Each term has its own, so that answers to orders
+// leadership is the state of one term. Each term has its own, so that responses to orders
 // of an earlier term can be recognized.
 type leadership struct {
 	lease    Lease
@@ -127,7 +126,7 @@
 	epochs *ownership.Epochs
 	// recorded holds the assignments in the store when the term began; nil until read.
 	recorded map[string]*ownership.Assignment
-	// storeClock is the store's clock in the answer that arrived at storeClockAt.
+	// storeClock is the store's clock in the response that arrived at storeClockAt.
 	storeClock   time.Duration
 	storeClockAt time.Time
 	reading      bool
@@ -178,8 +177,8 @@
 }
 
 // firstReadDelay returns the random delay before the first read of the lease. An instance
-// in whose list there is a stronger one waits long enough for that one to take over and
-// send a heartbeat.
+// that lists one with more cores waits long enough for that one to take over and send a
+// heartbeat.
 func firstReadDelay(self peers.Instance, all []peers.Instance) time.Duration {
 	longest := firstReadDelayLimit(self.Cores)
 	for _, i := range all {
@@ -357,22 +356,22 @@
 	c.acquireLease(ctx)
 }
 
-// takeoverDelay returns the random delay before an instance tries to take over. Its
-// range grows with the number of instances that are as strong.
+// takeoverDelay returns the random delay before an instance tries to take over. Its range
+// grows with the number of instances with as many cores.
 func takeoverDelay(self peers.Instance, all []peers.Instance) time.Duration {
-	equal, weak := 1, false
+	equal, hasFewer := 1, false
 	for _, i := range all {
 		if i.Name == self.Name {
 			continue
 		}
-		weak = weak || i.Cores > self.Cores
+		hasFewer = hasFewer || i.Cores > self.Cores
 		if i.Cores == self.Cores {
 			equal++
 		}
 	}
 	delay := rand.N(takeoverSpread * time.Duration(equal))
-	if weak {
-		delay += weakTakeoverDelay
+	if hasFewer {
+		delay += fewerCoresTakeoverDelay
 	}
 	return delay
 }
--- a/gateway/coordinator/lead.go
+++ b/gateway/coordinator/lead.go
@@ -62,16 +62,16 @@
 }
 
 const (
-	// handoverAfter is how long a term lasts before it is handed over to a stronger
-	// instance: by then all instances that started at the same time have reported.
+	// handoverAfter is how long a term lasts before it is handed over to an instance with
+	// more cores: by then all instances that started at the same time have reported.
 	handoverAfter = 1500 * time.Millisecond
 	// handoverCoresRatio is the ratio of processor shares above which a handover is worth
 	// its cost: all keys are granted again after it.
 	handoverCoresRatio = 1.5
 )
 
-// shouldHandOver reports whether a stronger instance is available to take over. When a
-// fleet starts, the strong instances are not known yet. A small instance that kept the
+// shouldHandOver reports whether an instance with more cores is available to take over:
+// when a fleet starts, the list of instances is incomplete. A small instance that kept the
 // lease would lose it as soon as many keys move: its lease writes would be delayed by the
 // grants that it renews.
 func (c *Coordinator) shouldHandOver(now time.Time) bool {
@@ -148,8 +148,8 @@
 	})
 }
 
-// storeTime returns a lower bound of the store's clock: its value in the answer, plus the
-// time since the answer arrived.
+// storeTime returns a lower bound of the store's clock: its value in the response, plus the
+// time since the response arrived.
 func (l *leadership) storeTime(now time.Time) time.Duration {
 	return l.storeClock + now.Sub(l.storeClockAt)
 }
@@ -160,11 +160,11 @@
 	recorded, announced := map[string]*ownership.Assignment{}, map[string]announcement{}
 	after := ""
 	for {
-		rows, err := c.Store.Range(ctx, AssignmentTable, "", after)
+		response, err := c.Store.Range(ctx, AssignmentTable, "", after)
 		if err != nil {
 			return nil, nil, 0, err
 		}
-		for _, r := range rows.Rows {
+		for _, r := range response.Rows {
 			a, err := ownership.Parse(r.Value)
 			if err != nil {
 				return nil, nil, 0, fmt.Errorf("assignment of service %s: %w", r.Key, err)
@@ -172,8 +172,8 @@
 			recorded[r.Key], announced[r.Key] = a, announcement{a, r.Revision}
 			after = r.Key
 		}
-		if !rows.More {
-			return recorded, announced, time.Duration(rows.Now), nil
+		if !response.More {
+			return recorded, announced, time.Duration(response.Now), nil
 		}
 	}
 }
@@ -208,8 +208,8 @@
 	}
 }
 
-// checkInDoubt makes the managers grant longer holds once a write has been without an
-// answer for inDoubtAfter.
+// checkInDoubt makes the managers grant longer holds once a write has been without a
+// response for inDoubtAfter.
 func (c *Coordinator) checkInDoubt(now time.Time) {
 	l := c.leadership
 	if !l.writing || l.inDoubt || now.Sub(l.writeStarted) < inDoubtAfter {
@@ -276,7 +276,7 @@
 	l.lease, l.revision = next, result.revision
 	if result.storeClock > 0 {
 		for _, manager := range l.managers {
-			// When the answer arrives, the store's clock is ahead of the value in it by no
+			// When the response arrives, the store's clock is ahead of the value in it by no
 			// more than the duration of the write.
 			manager.SetStoreClock(result.storeClockAt, result.storeClock+result.took)
 		}
@@ -330,7 +330,6 @@
 	l.nextHeartbeat = time.Time{}
 }
 
-// sendUpdate sends an update in as many datagrams as it has parts.
 func (c *Coordinator) sendUpdate(update *peers.AssignmentUpdate, changed []ownership.Piece) {
 	for part := range update.Parts {
 		u := *update
--- a/gateway/coordinator/lease.go
+++ b/gateway/coordinator/lease.go
@@ -34,7 +34,7 @@
 	clockDriftFactor = 1.03
 	// orderMargin is how long before the end of the lease the authority to send orders ends.
 	orderMargin = 100 * time.Millisecond
-	// hedgeDelay is the time after which a write without an answer is sent again on another
+	// hedgeDelay is the time after which a write without a response is sent again on another
 	// connection. The condition on the row's revision makes the write idempotent.
 	hedgeDelay = 500 * time.Millisecond
 	// retryDelay is the delay before a write is sent again after an attempt has failed.
@@ -49,7 +49,7 @@
 	Holder      string `json:"holder"`
 	Incarnation string `json:"life"`
 	LeaseMs     int64  `json:"leaseMs"`
-	// Seq numbers the holder's writes, to find out whether one without an answer took effect.
+	// Seq numbers the holder's writes, to find out whether one without a response took effect.
 	Seq int64 `json:"seq"`
 }
 
@@ -87,7 +87,6 @@
 	return now >= o.firstSeen+valid+orderMargin
 }
 
-// writeResult is the result of a conditional write.
 type writeResult struct {
 	ok bool
 	// revision is the revision of the write, or of the conflicting row, whose value is
@@ -96,8 +95,8 @@
 	current  Lease
 	// invalid is set if the store never accepts the transaction as it is.
 	invalid bool
-	// storeClock is the store's clock at the write, in an answer that arrived at
-	// storeClockAt; 0 without such an answer.
+	// storeClock is the store's clock at the write, in a response that arrived at
+	// storeClockAt; 0 without such a response.
 	storeClock   time.Duration
 	storeClockAt time.Time
 	took         time.Duration
@@ -114,15 +113,15 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan storeAnswer, 1)
+	responses := make(chan storeResponse, 1)
 	var group errgroup.Group
 	send := func() {
 		group.Go(func() error {
 			attemptCtx, cancelAttempt := context.WithTimeout(ctx, attemptTimeout)
 			defer cancelAttempt()
-			rows, err := c.Store.Transact(attemptCtx, tx)
+			response, err := c.Store.Transact(attemptCtx, tx)
 			select {
-			case answers <- storeAnswer{rows, err, time.Now()}:
+			case responses <- storeResponse{response, err, time.Now()}:
 			case <-ctx.Done():
 			}
 			return nil
@@ -138,8 +137,8 @@
 		case <-timer.C:
 			send()
 			timer.Reset(hedgeDelay)
-		case a := <-answers:
-			if result, final := c.evaluate(lease, a); final {
+		case r := <-responses:
+			if result, final := c.evaluate(lease, r); final {
 				result.took = time.Since(started)
 				return result
 			}
@@ -148,18 +147,17 @@
 	}
 }
 
-// storeAnswer is the outcome of one attempt, received at a time.
-type storeAnswer struct {
-	rows platform.Response
-	err  error
-	at   time.Time
+type storeResponse struct {
+	response platform.Response
+	err      error
+	at       time.Time
 }
 
-// evaluate returns what an answer proves, and whether that is final. A conflicting row with
-// this write's own Seq shows that an earlier attempt took effect, though its answer was lost.
-func (c *Coordinator) evaluate(lease *Lease, a storeAnswer) (result writeResult, final bool) {
+// evaluate returns what a response proves, and whether that is final. A conflicting row with
+// this write's own Seq shows that an earlier attempt took effect, though its response was lost.
+func (c *Coordinator) evaluate(lease *Lease, a storeResponse) (result writeResult, final bool) {
 	if a.err == nil {
-		return writeResult{ok: true, revision: a.rows.Revision, storeClock: time.Duration(a.rows.Now), storeClockAt: a.at}, true
+		return writeResult{ok: true, revision: a.response.Revision, storeClock: time.Duration(a.response.Now), storeClockAt: a.at}, true
 	}
 	var conflict *platform.ConflictError
 	var rejected *platform.RejectedError
--- a/gateway/coordinator/lease_test.go
+++ b/gateway/coordinator/lease_test.go
@@ -64,9 +64,9 @@
 	})
 }
 
-// The write of the lease takes effect, but its answer is lost. The condition of the retry then
+// The write of the lease takes effect, but its response is lost. The condition of the retry then
 // fails; the row's Seq shows that this write succeeded.
-func TestLeaseWriteWithLostAnswerSucceeds(t *testing.T) {
+func TestLeaseWriteWithLostResponseSucceeds(t *testing.T) {
 	store, c := newWithStore(t)
 	store.LoseResponses(1)
 	mine := Lease{Term: 1, Holder: "one", Incarnation: "a", LeaseMs: 2000, Seq: 1}
@@ -95,10 +95,9 @@
 	assert.Assert(t, boottime() >= first)
 }
 
-// The coordinator sends all renewals, which can be too much for a small instance. A small one
-// must wait until the strong ones had the chance to take over; among instances of the same
-// strength, the order is random.
-func TestStrongInstancesTakeOverFirst(t *testing.T) {
+// The coordinator sends all renewals, which can be too much for a small instance. It must wait
+// until those with more cores could take over; among equal ones the order is random.
+func TestInstancesWithMoreCoresTakeOverFirst(t *testing.T) {
 	all := map[string]peers.Instance{}
 	for i := range 40 {
 		name := "small" + strconv.Itoa(i)
@@ -107,8 +106,8 @@
 	all["strong"] = peers.Instance{Name: "strong", Cores: 0.8}
 	list := slices.Collect(maps.Values(all))
 	for range 100 {
-		assert.Assert(t, takeoverDelay(all["strong"], list) < weakTakeoverDelay)
-		assert.Assert(t, takeoverDelay(all["small7"], list) >= weakTakeoverDelay)
+		assert.Assert(t, takeoverDelay(all["strong"], list) < fewerCoresTakeoverDelay)
+		assert.Assert(t, takeoverDelay(all["small7"], list) >= fewerCoresTakeoverDelay)
 	}
 	delete(all, "strong")
 	assert.Assert(t, takeoverDelay(all["small7"], slices.Collect(maps.Values(all))) < 40*takeoverSpread)
@@ -173,7 +172,7 @@
 }
 
 // When a fleet starts, a small instance may become the coordinator. It must hand over once a
-// strong instance has reported and all keys are held, and not before.
+// instance with more cores has reported and all keys are held, and not before.
 func TestSmallCoordinatorHandsOver(t *testing.T) {
 	now := time.Now()
 	p := &peers.Peers{Log: slog.New(slog.DiscardHandler)}
--- a/gateway/coordinator/orders.go
+++ b/gateway/coordinator/orders.go
@@ -15,7 +15,7 @@
 	"basilcross.example/platform"
 )
 
-// orderTimeout bounds a grant. A grant without an answer counts as held from the moment at
+// orderTimeout bounds a grant. A grant without a response counts as held from the moment at
 // which its connection is reset, so it times out early.
 const orderTimeout = 450 * time.Millisecond
 
@@ -76,9 +76,9 @@
 // sent yet, sendGrant takes any channel to the address and binds the epoch to it.
 func (c *Coordinator) sendGrant(l *leadership, service string, o *ownership.Grant) (sent time.Time, err error) {
 	sent = time.Now()
-	takeCtx, cancelTake := context.WithTimeout(l.ctx, orderTimeout)
-	defer cancelTake()
-	ch, err := c.Channels.Acquire(takeCtx, o.Address, o.Channel)
+	acquireCtx, cancelAcquire := context.WithTimeout(l.ctx, orderTimeout)
+	defer cancelAcquire()
+	ch, err := c.Channels.Acquire(acquireCtx, o.Address, o.Channel)
 	if err != nil {
 		return sent, &unsentError{err}
 	}
@@ -118,7 +118,7 @@
 }
 
 // verifyTarget checks that the order's target is at the other end of the channel, if the
-// target of another sharded service could be: that one would accept the keys. One answer is
+// target of another sharded service could be: that one would accept the keys. One response is
 // valid for as long as the connection lasts. The error is a *wrongTargetError if another
 // target answers.
 func (c *Coordinator) verifyTarget(ctx context.Context, service string, ch *channel.Channel, o *ownership.Grant) error {
@@ -187,11 +187,11 @@
 	if !c.hasAuthority(l) {
 		event.OrderDropped.Log(c.Log, "term", l.lease.Term, "target", o.Owner.ID)
 		// The authority may still be renewed, so the outcome is reported: the piece must not
-		// wait for an answer forever.
+		// wait for a response forever.
 		c.enqueue(l.ctx, func() { manager.Released(time.Now(), o, "", ownership.Unsent) })
 		return
 	}
-	handover, err := c.Releases.Release(ctx, o.Address, o.Owner.ID, o.First, o.Last, o.Epoch)
+	handover, err := c.ReleaseClient.Release(ctx, o.Address, o.Owner.ID, o.First, o.Last, o.Epoch)
 	now := time.Now()
 	event.KeysReleased.Log(c.Log, "service", manager.Service, "target", o.Owner.ID, "first", o.First, "last", o.Last,
 		"epoch", o.Epoch, "handover", handover != "", "tookMs", now.Sub(sent).Milliseconds(),
@@ -208,7 +208,7 @@
 	return l.ctx.Err() == nil && boottime() < time.Duration(l.authorityEnd.Load())
 }
 
-// detectReplacedOwners reports to the manager the owners that are proved to have ended: those
+// detectReplacedOwners reports to the manager the owners that have certainly ended: those
 // whose address has a target of another service that was started later, and that leave orders
 // unanswered or are not listed any more. A refused connection proves nothing: a partition
 // that resets connections looks the same. Targets of the manager's own service at the
@@ -244,13 +244,13 @@
 func orderOutcome(err error) ownership.Outcome {
 	var stale *platform.StaleEpochError
 	var refused *platform.OrderError
-	var lost *channel.ClosedError
+	var closed *channel.ClosedError
 	var unsent *unsentError
 	var op *net.OpError
 	switch {
 	case err == nil:
 		return ownership.Done
-	case errors.As(err, &lost):
+	case errors.As(err, &closed):
 		return ownership.ChannelClosed
 	case errors.As(err, &unsent):
 		return ownership.Unsent
--- a/gateway/front/attempt.go
+++ b/gateway/front/attempt.go
@@ -70,7 +70,6 @@
 	c.lastRunTarget, c.lastRunAt = target, time.Now()
 }
 
-// owner returns the ID of the target that owns the request's key.
 func (f *Front) owner(c *call) (string, *refusal) {
 	a, newer := f.CurrentAssignment(c.service)
 	c.assignmentChanged = newer
@@ -85,7 +84,6 @@
 	return p.Owner, nil
 }
 
-// reservationRefused converts an error of the broker into a refusal.
 func (f *Front) reservationRefused(c *call, err error) *refusal {
 	var busy *schedule.BusyError
 	var none *schedule.NoTargetError
@@ -107,7 +105,6 @@
 	}
 }
 
-// send sends the request to the reserved target and reads the response.
 func (f *Front) send(ctx context.Context, c *call, reservation *broker.Reservation) (*targetResponse, *refusal) {
 	t := reservation.Target
 	start := time.Now()
@@ -168,7 +165,6 @@
 	return r
 }
 
-// exclude keeps further attempts away from the target.
 func (f *Front) exclude(c *call, id string) {
 	if c.excluded == nil {
 		c.excluded = map[string]bool{}
@@ -248,7 +244,6 @@
 		time.Until(c.deadline) > f.latency(c.route.Name)
 }
 
-// newTargetFailed returns the refusal for a failure response of a target.
 func newTargetFailed(res *http.Response) *refusal {
 	return &refusal{
 		status: http.StatusBadGateway, cause: "targetFailed", mayHaveRun: true, reachedTarget: true, targetStatus: res.StatusCode,
--- a/gateway/front/call.go
+++ b/gateway/front/call.go
@@ -75,8 +75,6 @@
 	startupPollInterval = 10 * time.Millisecond
 )
 
-// awaitStartup waits for the first configuration and the first targets, at most
-// until startupWait after the start.
 func (f *Front) awaitStartup(ctx context.Context) {
 	for waitUntil := f.started.Add(startupWait); f.Table() == nil || len(f.Roster.Load().Targets) == 0; {
 		if time.Now().After(waitUntil) {
@@ -178,7 +176,6 @@
 	return &refusal{status: http.StatusRequestTimeout, cause: "bodyNotRead", final: true, closeConnection: true}
 }
 
-// headerSize returns the approximate size of the request line and headers on the wire.
 func headerSize(r *http.Request) int64 {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + 20
 	for name, values := range r.Header {
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -21,21 +21,17 @@
 
 // Options configure a Front. All fields must be set.
 type Options struct {
-	// Headers are the platform's names of the headers.
 	Headers routing.HeaderNames
-	// Broker reserves slots at targets.
-	Broker *broker.Broker
-	Roster *roster.Roster
-	Pools  *Pools
+	Broker  *broker.Broker
+	Roster  *roster.Roster
+	Pools   *Pools
 	// Table returns the routing table in force; nil before the first configuration.
 	Table func() *routing.Table
-	// CurrentAssignment returns a service's assignment, nil if there is none, and a
-	// channel that is closed when there is a newer assignment.
+	// CurrentAssignment returns a service's assignment, or nil, and a channel that is
+	// closed when there is a newer one.
 	CurrentAssignment func(service string) (*ownership.Assignment, <-chan struct{})
-	// OwnerChangedSince reports whether a key's owner changed after a time.
 	OwnerChangedSince func(service string, key int, since time.Time) bool
-	// Loads records the work on each key.
-	Loads *Loads
+	Loads             *Loads
 	// RetryLimits returns the limits of retries in force.
 	RetryLimits func() RetryLimits
 	Metrics     *Metrics
@@ -63,7 +59,7 @@
 	abort             context.CancelFunc
 	mu                sync.Mutex
 	budgets           map[string]*retry.Budget
-	// latencies are the smoothed response times by route.
+	// latencies are the average response times by route.
 	latencies map[string]time.Duration
 }
 
@@ -97,7 +93,7 @@
 		}
 	}
 	if r.Context().Err() != nil {
-		f.Metrics.callerGone(c)
+		f.Metrics.recordCallerGone(c)
 		f.logRefused(c, refused, "callerGone")
 		panic(http.ErrAbortHandler)
 	}
@@ -122,8 +118,7 @@
 const (
 	// initialLatency is the estimate for a route without responses yet.
 	initialLatency = 200 * time.Millisecond
-	// latencySmoothing is the divisor of the newest response time's weight in the
-	// moving average.
+	// latencySmoothing is the inverse of the newest response time's weight.
 	latencySmoothing = 16
 )
 
@@ -138,7 +133,6 @@
 	return initialLatency
 }
 
-// recordLatency updates the average response time of a route.
 func (f *Front) recordLatency(route string, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/instance/catchup.go
+++ b/gateway/instance/catchup.go
@@ -18,8 +18,7 @@
 	catchUpInterval = 250 * time.Millisecond
 	// lagTolerance is how long a mirror may lag behind another instance's before
 	// it is fetched: usually the feed delivers the change a moment later.
-	lagTolerance = 300 * time.Millisecond
-	// peerCallTimeout bounds a call to another instance.
+	lagTolerance    = 300 * time.Millisecond
 	peerCallTimeout = 800 * time.Millisecond
 )
 
@@ -40,7 +39,7 @@
 // behind theirs, or could not be read from the store.
 type catchUp struct{ *Instance }
 
-// Serve compares the mirrors, and carries out copy requests, until the context ends.
+// Serve compares the mirrors, and executes copy requests, until the context ends.
 func (c *catchUp) Serve(ctx context.Context) error {
 	tick := time.NewTicker(catchUpInterval)
 	defer tick.Stop()
@@ -194,8 +193,7 @@
 	return 2
 }
 
-// applyPeerTable offers another instance's copy of a table to the mirror, which
-// applies it if it is newer.
+// applyPeerTable applies another instance's copy of a table if it is newer.
 func (c *catchUp) applyPeerTable(t *fleet.Table, from string) {
 	for _, m := range c.mirrors {
 		if m.Table != t.Name {
--- a/gateway/instance/forward.go
+++ b/gateway/instance/forward.go
@@ -68,13 +68,13 @@
 }
 
 // withPrevious returns changes joined with the ones kept before them, and keeps them.
-func (a *recentUpdates) withPrevious(table string, u mirror.ForwardedUpdate) mirror.ForwardedUpdate {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.byTable == nil {
-		a.byTable = map[string][]mirror.ForwardedUpdate{}
+func (r *recentUpdates) withPrevious(table string, u mirror.ForwardedUpdate) mirror.ForwardedUpdate {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.byTable == nil {
+		r.byTable = map[string][]mirror.ForwardedUpdate{}
 	}
-	list := a.byTable[table]
+	list := r.byTable[table]
 	if n := len(list); n > 0 && list[n-1].To != u.From {
 		list = nil
 	}
@@ -87,7 +87,7 @@
 	}
 	list = append(list, u)
 	list = list[max(0, len(list)-maxResentRows):]
-	a.byTable[table] = list
+	r.byTable[table] = list
 	joined := mirror.ForwardedUpdate{From: list[0].From, To: u.To, NewestChange: u.NewestChange}
 	for _, l := range list {
 		joined.Rows = append(joined.Rows, l.Rows...)
@@ -96,19 +96,19 @@
 }
 
 // receiveTableUpdate applies changes that another instance forwarded.
-func (s *replicator) receiveTableUpdate(from string, r *peers.TableUpdate) {
-	if r.Fetch {
-		s.requestIfBehind(from, r)
+func (s *replicator) receiveTableUpdate(from string, u *peers.TableUpdate) {
+	if u.Fetch {
+		s.requestIfBehind(from, u)
 		return
 	}
-	update := mirror.ForwardedUpdate{From: r.From, To: r.To, NewestChange: r.NewestChange}
-	for _, row := range r.Changes {
+	update := mirror.ForwardedUpdate{From: u.From, To: u.To, NewestChange: u.NewestChange}
+	for _, row := range u.Changes {
 		update.Rows = append(update.Rows, platform.Row{
-			Table: r.Table, Key: row.Key, Value: row.Value, Revision: row.Revision, Removed: row.Removed,
+			Table: u.Table, Key: row.Key, Value: row.Value, Revision: row.Revision, Removed: row.Removed,
 		})
 	}
 	for _, m := range s.polledMirrors {
-		if m.Table != r.Table {
+		if m.Table != u.Table {
 			continue
 		}
 		// If it leaves a gap, it is resent with the next update, or the gap is
@@ -119,19 +119,19 @@
 
 // requestIfBehind requests a feed reader's copy of a table whose rows it did not
 // send, if this instance is passive and its mirror is behind.
-func (s *replicator) requestIfBehind(from string, r *peers.TableUpdate) {
+func (s *replicator) requestIfBehind(from string, u *peers.TableUpdate) {
 	if !s.passive.Load() {
 		return
 	}
 	for _, m := range s.polledMirrors {
-		if m.Table == r.Table && m.Revision() < r.To {
+		if m.Table == u.Table && m.Revision() < u.To {
 			s.requestCopy(from, m)
 		}
 	}
 }
 
-// requestCopy queues the fetch of another instance's copy. If the queue is full the
-// request is dropped: the readers' heartbeats lead to another one.
+// requestCopy queues the fetch of another instance's copy. If the queue is full, the
+// request is dropped; a later heartbeat of a reader causes another one.
 func (s *replicator) requestCopy(from string, m *mirror.Mirror) {
 	select {
 	case s.copyRequests <- copyRequest{from, m}:
@@ -139,11 +139,9 @@
 	}
 }
 
-// copyRequest is a queued fetch of a table from another instance.
 type copyRequest struct {
 	from   string
 	mirror *mirror.Mirror
 }
 
-// maxCopyRequests bounds the queue of copy requests.
 const maxCopyRequests = 8
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -58,20 +58,19 @@
 	// renewalInterval is the time between two renewals of a grant.
 	renewalInterval = 800 * time.Millisecond
 	// configBatchDelay and targetBatchDelay are the pauses between polls of the
-	// feeds after an answer with changes. Targets start in groups, each with
+	// feeds after a response with changes. Targets start in groups, each with
 	// several changes while it warms up; the users allow 2 s for one that leaves.
 	configBatchDelay = 60 * time.Millisecond
 	// maxConfigBatchDelay bounds the pause while configurations change
 	// continuously: a quarter of the 2 s that the users allow until one is in force.
 	maxConfigBatchDelay = 480 * time.Millisecond
 	targetBatchDelay    = 400 * time.Millisecond
-	// minorDelay is the pause after an answer with warm-up progress only: half of
+	// minorDelay is the pause after a response with warm-up progress only: half of
 	// the time allowed for a target that leaves.
 	minorDelay = time.Second
 	// idleTimeout closes callers' idle connections. It is longer than the
 	// operators' limits, so that no request arrives while its connection is closed.
-	idleTimeout = 2 * time.Minute
-	// headerTimeout is how long a caller may take to send a request's header.
+	idleTimeout   = 2 * time.Minute
 	headerTimeout = 10 * time.Second
 	// maxHeaderBytes bounds the header that is read; the configuration's own limit
 	// is below.
@@ -133,7 +132,7 @@
 	i.buildMirrors()
 	i.coordinator = coordinator.New(coordinator.Options{
 		Self: i.peers.Self, Store: i.store,
-		Channels: &channel.Set{Dial: targetDialer.DialContext}, Releases: &platform.GrantClient{HTTP: newHTTPClient(targetDialer)},
+		Channels: &channel.Set{Dial: targetDialer.DialContext}, ReleaseClient: &platform.GrantClient{HTTP: newHTTPClient(targetDialer)},
 		RestartFeeds: i.replicator.restartFeeds,
 		Joined:       i.replicator.joined.Load,
 		OnLeading:    i.recordLeading, OnUpdate: i.applyAssignmentUpdate, OnOversizedUpdate: i.assignments.Refresh,
@@ -157,8 +156,7 @@
 	return i
 }
 
-// incarnationLength is the number of random characters that distinguish
-// incarnations of one instance name.
+// incarnationLength is the length in characters of the random incarnation ID.
 const incarnationLength = 8
 
 // longHoldMargin is how far a long hold stays below the platform's limit.
@@ -239,9 +237,8 @@
 }
 
 // Run serves until the context ends or a server fails, then shuts down: requests in
-// flight may finish until shortly before the stop timeout, and are abandoned then.
-// It returns an error if a listener cannot be opened, or if a server or the
-// supervisor fails.
+// flight may finish until shortly before the stop timeout. It returns an error if a
+// listener cannot be opened, or if a server or the supervisor fails.
 func (i *Instance) Run(ctx context.Context) error {
 	if err := i.peers.Listen(); err != nil {
 		return fmt.Errorf("listen for datagrams on %s: %w", i.settings.DatagramListen, err)
@@ -279,8 +276,7 @@
 	return errors.Join(err, group.Wait())
 }
 
-// supervisorTree returns the supervisor of all background tasks, which
-// restarts those that fail.
+// supervisorTree returns the supervisor, which restarts background tasks that fail.
 func (i *Instance) supervisorTree() *suture.Supervisor {
 	root := suture.New("gateway", suture.Spec{EventHook: func(e suture.Event) {
 		event.DutyFailed.Log(i.log, "detail", e.String())
--- a/gateway/instance/join.go
+++ b/gateway/instance/join.go
@@ -18,18 +18,16 @@
 	// may be starting too.
 	joinRetryDelay = 50 * time.Millisecond
 	// joinAttemptTimeout bounds an attempt. The next instance is queried too when one
-	// has not answered for joinHedgeDelay: the first may be dead.
+	// has not answered for joinHedgeDelay: it may have crashed.
 	joinAttemptTimeout = 300 * time.Millisecond
 	joinHedgeDelay     = 50 * time.Millisecond
-	// maxJoinSources bounds the instances that are queried in an attempt.
-	maxJoinSources = 3
+	maxJoinSources     = 3
 	// instanceListTimeout bounds the wait for the list of instances, and
 	// bootstrapListTimeout the same at the first start of the fleet: all instances
 	// write their rows at once then, and the store writes one after the other.
 	instanceListTimeout  = 250 * time.Millisecond
 	bootstrapListTimeout = 1500 * time.Millisecond
-	// listPollInterval is how often the wait checks for the list.
-	listPollInterval = 10 * time.Millisecond
+	listPollInterval     = 10 * time.Millisecond
 	// maxFirstCopyDelay is how long a mirror waits for another instance's copy before
 	// it reads the store.
 	maxFirstCopyDelay = bootstrapListTimeout + joinTimeout + 500*time.Millisecond
@@ -40,10 +38,10 @@
 // takes an instance up to eight calls, and a whole fleet may start at once.
 func (s *replicator) join(ctx context.Context) {
 	defer s.joined.Store(true)
-	known := s.awaitInstances(ctx)
+	listed := s.awaitInstances(ctx)
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	for known && ctx.Err() == nil && s.rank() >= readerCount(s.zoneSize()) {
+	for listed && ctx.Err() == nil && s.rank() >= readerCount(s.zoneSize()) {
 		if s.copyFromReaders(ctx) {
 			s.passive.Store(true)
 			// The readers send heartbeats as soon as they list this instance.
--- a/gateway/instance/metrics.go
+++ b/gateway/instance/metrics.go
@@ -8,8 +8,6 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// registerMetrics registers the instance's metrics. Gauges are computed when they
-// are collected.
 func (i *Instance) registerMetrics(r prometheus.Registerer) {
 	gauge := func(name, help string, value func() float64) {
 		r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
--- a/gateway/instance/reloader.go
+++ b/gateway/instance/reloader.go
@@ -53,7 +53,6 @@
 	return info.ModTime()
 }
 
-// errReloadUnsupported is logged when Settings.Reload is unset.
 var errReloadUnsupported = errors.New("settings cannot be reloaded: no reload function is set")
 
 // reload applies the settings read now, or keeps the old ones if any is invalid.
--- a/gateway/instance/replicator.go
+++ b/gateway/instance/replicator.go
@@ -24,9 +24,9 @@
 	// seconds until a change is in force, and the feed must be read in them too.
 	readerHeartbeatInterval = 300 * time.Millisecond
 	readerTimeout           = 1000 * time.Millisecond
-	// freshnessTTL is how long an answer of the store confirms that a mirror is fresh.
+	// freshnessTTL is how long a response of the store confirms that a mirror is fresh.
 	freshnessTTL = 1200 * time.Millisecond
-	// freshnessCheckDelay is how long a reader is without any confirmation before its
+	// freshnessCheckDelay is the time without any confirmation after which a reader's
 	// mirrors check their connection to the store.
 	freshnessCheckDelay = 600 * time.Millisecond
 	// takeoverDelayStep is the additional wait per rank before an instance becomes a
@@ -39,7 +39,7 @@
 
 // replicator has one or two instances of a zone, its feed readers, poll the store's
 // feeds and forward the changes to the others, which are passive: each call to the
-// store is billed. A reader sends heartbeats only while its mirrors are known to be
+// store is billed. A reader sends heartbeats only while its mirrors are confirmed to be
 // fresh. When all readers have timed out, passive instances become readers in order
 // of rank.
 type replicator struct {
@@ -88,8 +88,6 @@
 	return ctx.Err()
 }
 
-// check switches between reader and passive instance, and does what is due in that
-// role.
 func (s *replicator) check(now time.Time) {
 	if passive := s.shouldBePassive(now); passive != s.passive.Load() {
 		s.setPassive(passive)
@@ -112,8 +110,7 @@
 		s.nextHeartbeat = now.Add(readerHeartbeatInterval)
 		s.sendHeartbeat()
 	case !reliable && !s.nextHeartbeat.IsZero():
-		// Without revisions it withdraws this reader, so that passive instances need
-		// not wait for the timeout.
+		// Without revisions it withdraws this reader before the timeout.
 		s.nextHeartbeat = time.Time{}
 		s.sendToZone(&peers.Message{ReaderHeartbeat: &peers.ReaderHeartbeat{}})
 	}
@@ -139,7 +136,6 @@
 	return now.Sub(s.noReaderSince) < min(time.Duration(s.rank())*takeoverDelayStep, maxTakeoverDelay)
 }
 
-// readerCount returns the number of feed readers in a zone of a given size.
 func readerCount(size int) int {
 	if size <= maxSingleReaderZone {
 		return 1
@@ -147,10 +143,10 @@
 	return 2
 }
 
-// isFresh reports whether this instance's mirrors are known to be up to date. The
-// store may drop a reader's calls without an answer. The coordinator's heartbeats
+// isFresh reports whether this instance's mirrors are confirmed to be up to date. The
+// store may drop a reader's calls without a response. The coordinator's heartbeats
 // carry the revisions of its mirrors, and its lease confirms its connection to the
-// store. Without them the store's own answers are the confirmation.
+// store. Without them the store's own responses are the confirmation.
 func (s *replicator) isFresh(now time.Time) bool {
 	if s.coordinatorAlive() {
 		return true
@@ -165,14 +161,11 @@
 
 func (s *replicator) coordinatorAlive() bool { return s.coordinatorSeenWithin(readerTimeout) }
 
-// coordinatorSeenWithin reports whether the coordinator's last heartbeat is younger
-// than a duration.
 func (s *replicator) coordinatorSeenWithin(within time.Duration) bool {
 	at := s.lastHeartbeat.Load()
 	return at != nil && time.Since(*at) < within
 }
 
-// isCoordinator reports whether this instance coordinates, as far as it knows.
 func (s *replicator) isCoordinator() bool {
 	name := s.coordinatorName.Load()
 	return name != nil && *name == s.settings.Instance
@@ -347,8 +340,7 @@
 	return ""
 }
 
-// handleMessage handles heartbeats and updates of feed readers. It reports whether
-// the message was one.
+// handleMessage handles messages of feed readers, and reports whether m is one.
 func (s *replicator) handleMessage(m *peers.Message) bool {
 	switch {
 	case m.ReaderHeartbeat != nil:
@@ -381,8 +373,8 @@
 
 // compareDigest reloads the targets if they keep differing from those of the zone's
 // readers. A reader forwards what is a change to itself, and its feed reports only
-// the last of several changes to a row. A target that left and came back between two
-// answers is no change to one reader, while the other may have forwarded its removal.
+// the last of several changes to a row. A target that left and returned between two
+// responses is no change to one reader; the other may have forwarded its removal.
 func (s *replicator) compareDigest(r *peers.ReaderHeartbeat) {
 	equal := r.TargetsDigest == 0 || r.TargetsDigest == s.state.roster.Load().Digest
 	for _, m := range s.polledMirrors {
--- a/gateway/instance/replicator_test.go
+++ b/gateway/instance/replicator_test.go
@@ -149,8 +149,8 @@
 }
 
 // Guards against a passive instance that lacks a target for good. The target leaves
-// and comes back; one reader forwards its removal, while the other one's feed reports
-// only that it is there, which is no change.
+// and returns; one reader forwards its removal, while the other one's feed reports
+// only that it is listed, which is no change.
 func TestPassiveInstanceReloadsOnDigestMismatch(t *testing.T) {
 	fake := &standin.Store{}
 	server := httptest.NewServer(fake)
@@ -267,12 +267,12 @@
 	c := &catchUp{i}
 	i.liveSettings.Load().Seeds = []string{"10.0.0.1:1"}
 	assert.Equal(t, c.choosePeer(), "10.0.0.1:1")
-	known := map[string]peers.Instance{}
+	listed := map[string]peers.Instance{}
 	for _, step := range []struct{ name, zone, want string }{
 		{"f", "far", ""}, {"n", "near", "10.0.0.3:1"}, {"z", "local", "10.0.0.4:1"},
 	} {
-		known[step.name] = peers.Instance{Name: step.name, Zone: step.zone, Control: step.want, Datagram: "127.0.0.1:9"}
-		i.peers.SetInstances(known)
+		listed[step.name] = peers.Instance{Name: step.name, Zone: step.zone, Control: step.want, Datagram: "127.0.0.1:9"}
+		i.peers.SetInstances(listed)
 		if step.want != "" {
 			assert.Equal(t, c.choosePeer(), step.want)
 		}
--- a/gateway/instance/state.go
+++ b/gateway/instance/state.go
@@ -83,8 +83,7 @@
 	})
 }
 
-// applyConfig puts a newer configuration in force. Older ones and invalid ones are
-// ignored.
+// applyConfig puts a configuration in force, unless it is invalid or not newer.
 func (s *state) applyConfig(u mirror.Update) {
 	for _, r := range u.Rows {
 		if r.Key != platform.ConfigKey || r.Removed {
@@ -105,7 +104,6 @@
 	}
 }
 
-// applyTargets updates the roster, and logs which targets were added or are leaving.
 func (s *state) applyTargets(u mirror.Update) {
 	now := time.Now()
 	var added, leaving []*roster.Target
@@ -260,8 +258,8 @@
 	return a.assignment.With(u.Term, u.Pieces), false
 }
 
-// collectParts keeps the parts of an update until all have arrived, and then returns
-// the complete update; nil before.
+// collectParts keeps the parts of an update. It returns nil until all have arrived,
+// and then the complete update.
 func (s *state) collectParts(u *peers.AssignmentUpdate) *peers.AssignmentUpdate {
 	if s.updateParts == nil || s.updatePartsRevision != u.Revision {
 		s.updateParts, s.updatePartsRevision = map[int]*peers.AssignmentUpdate{}, u.Revision
--- a/gateway/instance/state_test.go
+++ b/gateway/instance/state_test.go
@@ -13,7 +13,6 @@
 	"gotest.tools/v3/assert"
 )
 
-// evenAssignment returns an assignment with n equal pieces of n owners.
 func evenAssignment(n int) *ownership.Assignment {
 	a := &ownership.Assignment{Service: "s", Term: 1}
 	for k := range n {
--- a/gateway/instance/tasks.go
+++ b/gateway/instance/tasks.go
@@ -16,9 +16,7 @@
 )
 
 const (
-	// reportInterval is the time between two reports to the coordinator.
-	reportInterval = 500 * time.Millisecond
-	// housekeepingInterval is the time between two runs of the housekeeper.
+	reportInterval       = 500 * time.Millisecond
 	housekeepingInterval = 2 * time.Second
 	// registerRetryDelay is the mean pause after this instance's row could not be
 	// written.
@@ -33,54 +31,54 @@
 
 // Serve writes the row, retrying until it is stored, and then waits until the
 // context ends.
-func (i *registrar) Serve(ctx context.Context) error {
-	row, err := json.Marshal(i.peers.Self)
+func (r *registrar) Serve(ctx context.Context) error {
+	row, err := json.Marshal(r.peers.Self)
 	if err != nil {
 		return err
 	}
 	tx := platform.Transaction{Set: []platform.Write{{
-		Table: coordinator.InstanceTable, Key: i.peers.Self.Name, Value: row,
+		Table: coordinator.InstanceTable, Key: r.peers.Self.Name, Value: row,
 	}}}
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
-		_, err := i.store.Transact(callCtx, tx)
+		_, err := r.store.Transact(callCtx, tx)
 		cancel()
 		if err == nil {
 			break
 		}
-		event.StoreCallFailed.Log(i.log, "call", "introduce", "error", err)
+		event.StoreCallFailed.Log(r.log, "call", "introduce", "error", err)
 		sleep(ctx, registerRetryDelay/2+rand.N(registerRetryDelay))
 	}
-	i.registered.Store(true)
+	r.registered.Store(true)
 	// Instances that registered earlier are read from the store; later ones do the
 	// same and announce themselves. A list that has the row of an earlier
 	// incarnation of this instance is complete.
-	if i.settings.Bootstrap || !i.awaitInstances(ctx) || i.peers.Find(i.peers.Self.Name).Name == "" {
-		i.instances.Refresh()
+	if r.settings.Bootstrap || !r.awaitInstances(ctx) || r.peers.Find(r.peers.Self.Name).Name == "" {
+		r.instances.Refresh()
 	}
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// announcer sends a hello to all known instances. They removed this one when its
+// announcer sends a hello to all listed instances. They removed this one when its
 // last incarnation ended, and it receives no updates from them until they list it
 // again. It does not wait for its row to be written: the store may be unreachable.
 type announcer struct{ *Instance }
 
-// helloDelays are the pauses before the hello is repeated: datagrams may get lost,
-// and other instances become known during the first seconds. In a large fleet that
+// helloDelays are the pauses before the hello is repeated: datagrams may get lost, and
+// other instances are added to the list during the first seconds. In a large fleet that
 // starts at once each repetition is a datagram from all to all, so there are few.
 var helloDelays = []time.Duration{900 * time.Millisecond, 2 * time.Second}
 
-// Serve sends the hello as soon as other instances are known, repeats it once, and
+// Serve sends the hello once the list of instances has arrived, repeats it once, and
 // again if this instance's row is still not in the store.
-func (g *announcer) Serve(ctx context.Context) error {
-	g.awaitInstances(ctx)
-	g.peers.Broadcast(&peers.Message{Hello: &g.peers.Self})
+func (a *announcer) Serve(ctx context.Context) error {
+	a.awaitInstances(ctx)
+	a.peers.Broadcast(&peers.Message{Hello: &a.peers.Self})
 	for n, delay := range helloDelays {
 		sleep(ctx, delay)
-		if n == 0 || !g.registered.Load() {
-			g.peers.Broadcast(&peers.Message{Hello: &g.peers.Self})
+		if n == 0 || !a.registered.Load() {
+			a.peers.Broadcast(&peers.Message{Hello: &a.peers.Self})
 		}
 	}
 	<-ctx.Done()
@@ -132,25 +130,23 @@
 	maxReportedLatencies = 12
 )
 
-// targetLatencies returns the latencies of a random selection of the targets of
-// sharded services.
+// targetLatencies returns those of a random selection of sharded services' targets.
 func (r *reporter) targetLatencies() []peers.TargetLatency {
 	routes := r.state.routes.Load()
 	if routes == nil {
 		return nil
 	}
 	var list []peers.TargetLatency
-	for _, s := range r.dispatcher.TargetLatencies() {
-		if service := routes.Service(s.Service); service == nil || !service.Sharded {
+	for _, l := range r.dispatcher.TargetLatencies() {
+		if service := routes.Service(l.Service); service == nil || !service.Sharded {
 			continue
 		}
-		list = append(list, peers.TargetLatency{Service: s.Service, Target: s.Target, Ms: int(s.Latency.Milliseconds())})
+		list = append(list, peers.TargetLatency{Service: l.Service, Target: l.Target, Ms: int(l.Latency.Milliseconds())})
 	}
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(len(list), maxReportedLatencies)]
 }
 
-// receive passes a datagram on to the parts that it is for.
 func (i *Instance) receive(m *peers.Message) {
 	if i.broker.Receive(m) || i.replicator.handleMessage(m) {
 		return
@@ -196,15 +192,14 @@
 
 // recordLeading records that this instance coordinates. While the store does not
 // answer, its lease does not confirm that its mirrors are fresh.
-func (i *Instance) recordLeading(members int, answers bool) {
+func (i *Instance) recordLeading(members int, storeAnswers bool) {
 	i.recordCoordinator(i.settings.Instance, members)
-	if !answers {
+	if !storeAnswers {
 		i.lastHeartbeat.Store(nil)
 	}
 }
 
-// recordCoordinator records the coordinator's name, the time of its heartbeat, and
-// the number of instances that report to it.
+// recordCoordinator records a heartbeat; members is the number of instances that report.
 func (i *Instance) recordCoordinator(name string, members int) {
 	now := time.Now()
 	i.coordinatorName.Store(&name)
@@ -244,7 +239,6 @@
 	return ctx.Err()
 }
 
-// readinessHandler serves the platform's readiness probe.
 func (i *Instance) readinessHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		status := http.StatusServiceUnavailable
@@ -259,7 +253,6 @@
 	})
 }
 
-// metricsHandler serves metrics, and profiles if they are enabled.
 func (i *Instance) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(i.registry, promhttp.HandlerOpts{}))
--- a/gateway/keys/keys.go
+++ b/gateway/keys/keys.go
@@ -117,7 +117,6 @@
 	}
 }
 
-// verify verifies the server's certificate against the current authority.
 func (f *Files) verify(state tls.ConnectionState) error {
 	_, pool, err := f.load()
 	if err != nil {
--- a/gateway/mirror/mirror.go
+++ b/gateway/mirror/mirror.go
@@ -17,7 +17,7 @@
 
 const (
 	// feedWait is how long the store holds a feed call open while nothing changes.
-	// It is long because each call is charged and keep-alive probes detect dead
+	// It is long because each call is billed and keep-alive probes detect dead
 	// connections.
 	feedWait = 25 * time.Second
 	// feedGrace is how much later than feedWait a response may arrive.
@@ -28,7 +28,7 @@
 	readTimeout = 1500 * time.Millisecond
 	// probeWait and probeGrace replace feedWait and feedGrace in the first feed
 	// call after a failure. The store may have accepted the call without ever
-	// answering it; a long wait could not be distinguished from a quiet table.
+	// answering it; a long wait could not be distinguished from a table without changes.
 	probeWait  = 300 * time.Millisecond
 	probeGrace = 1200 * time.Millisecond
 	// freshnessWait replaces feedWait while frequent responses are needed to show
@@ -84,15 +84,13 @@
 	// instances. It is not called while the mirror is passive.
 	Forward func(u ForwardedUpdate)
 
-	mu       sync.Mutex
-	rows     map[string]platform.Row
-	revision uint64
-	// newestChange is the revision of the newest applied change.
+	mu           sync.Mutex
+	rows         map[string]platform.Row
+	revision     uint64
 	newestChange uint64
 	loaded       bool
 	// failingSince is when store calls began to fail; zero after a successful one.
 	failingSince time.Time
-	// lastResponse is when the store last answered.
 	lastResponse time.Time
 	// checkingFreshness is set while feed calls are kept short by CheckFreshness.
 	checkingFreshness bool
@@ -138,7 +136,7 @@
 }
 
 // batchDelay returns the pause after a feed call that began at start. Calls that
-// repeatedly return changes at once are part of a burst: each response is charged,
+// repeatedly return changes at once are part of a burst: each response is billed,
 // and a longer pause collects more changes in one.
 func (m *Mirror) batchDelay(start time.Time, delay time.Duration) time.Duration {
 	if delay != m.BatchDelay || m.MaxBatchDelay == 0 || time.Since(start) > burstGap {
@@ -193,8 +191,8 @@
 	}
 }
 
-// sleepUntilRefresh sleeps for d or until Refresh is called, which happens when
-// another instance reports that the store is back.
+// sleepUntilRefresh sleeps for d or until Refresh is called: another instance may have
+// reported that the store is available again.
 func (m *Mirror) sleepUntilRefresh(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/gateway/mirror/mirror_test.go
+++ b/gateway/mirror/mirror_test.go
@@ -128,7 +128,7 @@
 }
 
 // The store accepts a feed call while it is unresponsive and never answers it. It
-// recovers soon and a configuration is written: waiting for the feed's usual half
+// recovers soon and a configuration is written: waiting for the feed's normal half
 // minute would leave the old one in force.
 func TestUnansweredFeedCallTimesOut(t *testing.T) {
 	fake, c := start(t, false)
--- a/gateway/peers/message.go
+++ b/gateway/peers/message.go
@@ -12,8 +12,7 @@
 	_ struct{} `cbor:",toarray"`
 
 	From string
-	// Incarnation identifies one start of the sender: another value under the same
-	// name means that the process was restarted.
+	// Incarnation is a random ID of one start of the sender.
 	Incarnation string
 	// Revisions are the newest revisions of the sender's mirrors, by table.
 	Revisions        map[string]uint64
@@ -86,7 +85,7 @@
 	DeadlineMs  int64
 }
 
-// ReserveResponse is the answer to a ReserveRequest: a target with its start time,
+// ReserveResponse is the response to a ReserveRequest: a target with its start time,
 // Queued, or a refusal (NoTarget, or WaitMs and QueueLength).
 type ReserveResponse struct {
 	_ struct{} `cbor:",toarray"`
@@ -152,7 +151,7 @@
 	Latencies []TargetLatency
 }
 
-// TargetLatency is a target's usual response time, in milliseconds.
+// TargetLatency is a target's normal response time, in milliseconds.
 type TargetLatency struct {
 	_ struct{} `cbor:",toarray"`
 
--- a/gateway/peers/peers.go
+++ b/gateway/peers/peers.go
@@ -32,7 +32,6 @@
 	conn           *net.UDPConn
 }
 
-// peer is an instance with its resolved datagram address.
 type peer struct {
 	instance Instance
 	addr     netip.AddrPort
@@ -104,7 +103,6 @@
 	delete(p.byZone, previous.instance.Zone)
 }
 
-// put resolves an instance's address and stores both.
 func (p *Peers) put(name string, i Instance) {
 	resolved, err := net.ResolveUDPAddr("udp4", i.Datagram)
 	if err != nil {
@@ -173,8 +171,8 @@
 	return list
 }
 
-// Send sends a message to one instance. Datagrams may be lost; a sender that needs an
-// answer retries.
+// Send sends a message to one instance. Datagrams may be lost; a sender that needs a
+// response retries.
 func (p *Peers) Send(to string, m *Message) { p.SendAll([]string{to}, m) }
 
 // SendAll sends a message to several instances.
--- a/gateway/settings/settings.go
+++ b/gateway/settings/settings.go
@@ -145,7 +145,7 @@
 		check(isAddress(p), "peers", p, "host:port")
 	}
 	check(s.PlatformURL == "" || len(s.Targets) == 0, "target", s.Targets, "nothing, since the platform lists the targets")
-	check(s.ReadTokenFile == "" || s.ChangeTokenFile != "", "change-token-file", s.ChangeTokenFile, "a file, since reading asks for a token")
+	check(s.ReadTokenFile == "" || s.ChangeTokenFile != "", "change-token-file", s.ChangeTokenFile, "a file, since reads require a token")
 	check(allOrNone(s.TLSCertFile, s.TLSKeyFile, s.TLSAuthorityFile), "tls-cert", s.TLSCertFile, "set together with --tls-key and --tls-authority, or none of them")
 	check(s.LogFormat == "json" || s.LogFormat == "text", "log-format", s.LogFormat, "json or text")
 	check(slices.Contains([]string{"debug", "info", "warn", "error"}, s.LogLevel), "log-level", s.LogLevel, "debug, info, warn or error")
