--- a/gateway/coordinator/address_test.go
+++ b/gateway/coordinator/address_test.go
@@ -117,7 +117,6 @@
 // crash closes the process's connections and its port.
 func (p *process) crash() { _ = p.server.Close() }
 
-// setListed adds a target to the roster, or removes it.
 func (f *fleet) setListed(p *process, listed bool) {
 	change := roster.Change{ID: p.ID}
 	if listed {
@@ -179,10 +178,10 @@
 
 // Two targets held the same keys for over two seconds. A renewal meant for a crashed target
 // had reached the one that started at its address. When the platform listed the second
-// target and removed the first one, that counted as proof that the first one's keys were
-// free, and they were granted to others before the second target's hold had expired. Keys
-// of a replaced target must stay at the address, since orders sent there may have reached
-// its replacement.
+// target and removed the first one, 11 ms later, that counted as proof that the first one's
+// keys were free, and after another 56 ms they were granted to others, before the second
+// target's hold had expired. Keys of a replaced target must stay at the address, since orders
+// sent there may have reached its replacement.
 func TestKeysOfReplacementTargetAreNotGrantedToOthers(t *testing.T) {
 	f, targets := startFleet(t, 3)
 	first := targets[0]
--- a/gateway/coordinator/coordinator.go
+++ b/gateway/coordinator/coordinator.go
@@ -88,7 +88,7 @@
 	OnOversizedUpdate func()
 	Holds             ownership.Holds
 	Log               *slog.Logger
-	// Joined reports whether the list of other instances has been loaded.
+	// Joined reports whether this instance has tried to load the list of other instances.
 	Joined func() bool
 }
 
@@ -276,7 +276,6 @@
 	}
 }
 
-// step does what is due: the work of a term, or the check for a lease that has ended.
 func (c *Coordinator) step(ctx context.Context) {
 	if c.leadership != nil {
 		c.lead(ctx)
--- a/gateway/front/call.go
+++ b/gateway/front/call.go
@@ -49,10 +49,8 @@
 	// that became known.
 	lastRunTarget string
 	lastRunAt     time.Time
-	// mayHaveRun is set once any target may have run the request.
-	mayHaveRun bool
-	// excluded has the IDs of the targets that no further attempt is sent to.
-	excluded map[string]bool
+	mayHaveRun    bool
+	excluded      map[string]bool
 	// assignmentChanged is closed when the service has a newer assignment.
 	assignmentChanged <-chan struct{}
 	ownerAttempts     int
@@ -70,8 +68,7 @@
 	// startupWait is how long after its start an instance delays requests until it
 	// has the configuration and the targets. Requests that instances starting
 	// together refuse would all be retried at the same moment.
-	startupWait = 900 * time.Millisecond
-	// startupPollInterval is how often the delayed requests check for them.
+	startupWait         = 900 * time.Millisecond
 	startupPollInterval = 10 * time.Millisecond
 )
 
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -100,8 +100,7 @@
 	f.writeRefusal(w, c, refused)
 }
 
-// budget returns the retry budget of a service, set to this instance's share of the
-// limits in force.
+// budget returns a service's retry budget, set to this instance's share of the limits.
 func (f *Front) budget(service string) *retry.Budget {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -186,8 +185,7 @@
 		c.excluded = nil
 	}
 	if !failed.reachedTarget {
-		// A request that no target received costs the targets nothing, so it needs no
-		// retry budget.
+		// A request that no target received costs the targets nothing.
 		return true
 	}
 	if !budget.TryWithdraw() {
@@ -198,8 +196,7 @@
 }
 
 const (
-	// maxSends limits all attempts, those that did not run included, such as refused
-	// connections.
+	// maxSends also limits attempts that did not run, such as refused connections.
 	maxSends = 8
 	// ownerWaitShare is the share of the route's objective for which a request waits
 	// for its key's next owner, at most maxOwnerWait. Then it is refused, and its
--- a/gateway/front/reply.go
+++ b/gateway/front/reply.go
@@ -32,8 +32,7 @@
 	final           bool
 	closeConnection bool
 	retryAfter      time.Duration
-	// targetStatus and queueLength are logged: the target's status, and the number of
-	// queued requests at a refusal by the scheduler.
+	// targetStatus and queueLength (of the scheduler that refused) are only logged.
 	targetStatus int
 	queueLength  int
 }
--- a/gateway/instance/forward.go
+++ b/gateway/instance/forward.go
@@ -95,7 +95,6 @@
 	return joined
 }
 
-// receiveTableUpdate applies changes that another instance forwarded.
 func (s *replicator) receiveTableUpdate(from string, u *peers.TableUpdate) {
 	if u.Fetch {
 		s.requestIfBehind(from, u)
@@ -117,8 +116,6 @@
 	}
 }
 
-// requestIfBehind requests a feed reader's copy of a table whose rows it did not
-// send, if this instance is passive and its mirror is behind.
 func (s *replicator) requestIfBehind(from string, u *peers.TableUpdate) {
 	if !s.passive.Load() {
 		return
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -72,8 +72,7 @@
 	// operators' limits, so that no request arrives while its connection is closed.
 	idleTimeout   = 2 * time.Minute
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes bounds the header that is read; the configuration's own limit
-	// is below.
+	// maxHeaderBytes is above the configuration's own limit.
 	maxHeaderBytes = 64 << 10
 )
 
@@ -312,8 +311,8 @@
 	resignTimeout = time.Second
 )
 
-// shutDown fails readiness, resigns as coordinator, waits until the platform sends
-// no new connections, and lets requests in flight finish.
+// shutDown waits until the platform sends no new connections, and then lets requests
+// in flight finish.
 func (i *Instance) shutDown(ctx context.Context, servers []*server) {
 	event.Stopping.Log(i.log)
 	ctx, cancel := context.WithTimeout(ctx, i.settings.StopTimeout-exitMargin)
--- a/gateway/instance/instance_test.go
+++ b/gateway/instance/instance_test.go
@@ -35,8 +35,7 @@
 	targets   map[string]*standin.Target
 	addresses map[string]string
 	requests  atomic.Int64
-	// cores is the CPU share in the settings of the instances that are started.
-	cores float64
+	cores     float64
 }
 
 func newFleet(t *testing.T) *fleet {
@@ -193,8 +192,7 @@
 	})
 }
 
-// assignment returns the sharded service's assignment in the store; an empty one if
-// there is none.
+// assignment returns the stored assignment; an empty one if there is none.
 func (f *fleet) assignment() *ownership.Assignment {
 	a, err := ownership.Parse(f.store.Row(coordinator.AssignmentTable, "lists").Value)
 	if err != nil {
@@ -238,7 +236,6 @@
 	f.configure(3, "other")
 	f.awaitResponse(one, "/menus/x", 0, "o1")
 	f.awaitResponse(two, "/menus/x", 0, "o1")
-	// An older version must not be applied.
 	f.configure(2, "menus")
 	f.configure(4, "other")
 	f.awaitResponse(one, "/menus/x", 0, "o1")
--- a/gateway/instance/replicator.go
+++ b/gateway/instance/replicator.go
@@ -202,7 +202,6 @@
 	backoffStep    = 200 * time.Millisecond
 )
 
-// backoff returns the first and the longest pause after failed calls to the store.
 func (s *replicator) backoff() (first, longest time.Duration) {
 	rank := s.rank()
 	if rank < readerCount(s.zoneSize()) {
@@ -353,8 +352,7 @@
 	return true
 }
 
-// receiveReaderHeartbeat records a feed reader's heartbeat. One without revisions
-// withdraws the reader.
+// receiveReaderHeartbeat records a heartbeat. One without revisions withdraws the reader.
 func (s *replicator) receiveReaderHeartbeat(from string, r *peers.ReaderHeartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/instance/settings.go
+++ b/gateway/instance/settings.go
@@ -41,8 +41,7 @@
 	Bootstrap      bool
 	LogLevel       string
 	Pprof          bool
-	// File is the settings file, and Reload reads all settings again.
-	// Both may be unset.
+	// File and Reload, which reads all settings again, may be unset.
 	File   string
 	Reload func() (Settings, error)
 }
@@ -103,8 +102,7 @@
 	return fmt.Sprintf("--%s = %q: want %s", e.Field, fmt.Sprint(e.Value), e.Want)
 }
 
-// Validate returns a FieldError for every invalid setting, joined; nil if there is
-// none.
+// Validate returns a *FieldError for each invalid setting, joined.
 func (s *Settings) Validate() error {
 	var errs []error
 	check := func(ok bool, field string, value any, want string) {
--- a/gateway/instance/tasks.go
+++ b/gateway/instance/tasks.go
@@ -18,9 +18,7 @@
 const (
 	reportInterval       = 500 * time.Millisecond
 	housekeepingInterval = 2 * time.Second
-	// registerRetryDelay is the mean pause after this instance's row could not be
-	// written.
-	registerRetryDelay = 500 * time.Millisecond
+	registerRetryDelay   = 500 * time.Millisecond
 	// registerTimeout bounds the write of that row: the store writes the rows of a
 	// fleet one after the other.
 	registerTimeout = 1500 * time.Millisecond
