--- a/gateway/broker/scheduler.go
+++ b/gateway/broker/scheduler.go
@@ -10,7 +10,6 @@
 	"basilcross.example/gateway/peers"
 )
 
-// remoteKey identifies a request of another instance.
 type remoteKey struct {
 	from, incarnation string
 	seq               uint64
@@ -96,7 +95,6 @@
 	return req
 }
 
-// reserveFor reserves a slot for another instance's request and sends the reply.
 func (b *Broker) reserveFor(ctx context.Context, key remoteKey, r *remoteRequest, req schedule.Request) {
 	res, err := b.Dispatcher.Acquire(ctx, req)
 	reply := &peers.ReserveResponse{Seq: key.seq}
--- a/gateway/channel/set.go
+++ b/gateway/channel/set.go
@@ -111,7 +111,6 @@
 	return c
 }
 
-// sweep closes idle channels and removes closed ones.
 func (s *Set) sweep() {
 	now := time.Now()
 	if now.Sub(s.lastSweep) < sweepInterval {
--- a/gateway/checksettings_test.go
+++ b/gateway/checksettings_test.go
@@ -9,8 +9,6 @@
 	"gotest.tools/v3/assert"
 )
 
-// runCheckSettings runs the command with a settings file of the lines, and returns its
-// output.
 func runCheckSettings(t *testing.T, lines string, args ...string) (string, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "settings.conf")
--- a/gateway/coordinator/address_test.go
+++ b/gateway/coordinator/address_test.go
@@ -135,8 +135,7 @@
 	}
 }
 
-// checkSingleHolder fails the test if two of the processes hold a key at the same time
-// within a duration.
+// checkSingleHolder fails the test if two processes hold the same key within d.
 func (f *fleet) checkSingleHolder(d time.Duration, processes ...*process) {
 	f.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
--- a/gateway/coordinator/orders.go
+++ b/gateway/coordinator/orders.go
@@ -231,8 +231,6 @@
 	}
 }
 
-// inheritedLogger returns a function that logs that the target at a piece's address inherits
-// its keys.
 func (c *Coordinator) inheritedLogger(service string) func(ownership.Piece, roster.Incarnation) {
 	return func(p ownership.Piece, to roster.Incarnation) {
 		event.KeysInherited.Log(c.Log, "service", service, "target", p.Owner, "address", p.Address,
--- a/gateway/front/attempt.go
+++ b/gateway/front/attempt.go
@@ -24,7 +24,6 @@
 	bufferLimit = 256 << 10
 )
 
-// targetResponse is a target's response to a request.
 type targetResponse struct {
 	head *http.Response
 	// body is the body's first bytes, at most bufferLimit.
--- a/gateway/instance/catchup.go
+++ b/gateway/instance/catchup.go
@@ -193,7 +193,6 @@
 	return 2
 }
 
-// applyPeerTable applies another instance's copy of a table if it is newer.
 func (c *catchUp) applyPeerTable(t *fleet.Table, from string) {
 	for _, m := range c.mirrors {
 		if m.Table != t.Name {
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -155,7 +155,6 @@
 	return i
 }
 
-// incarnationLength is the length in characters of the random incarnation ID.
 const incarnationLength = 8
 
 // longHoldMargin is how far a long hold stays below the platform's limit.
--- a/gateway/instance/join.go
+++ b/gateway/instance/join.go
@@ -54,7 +54,6 @@
 	s.assignments.Refresh()
 }
 
-// awaitInstances waits for the list of instances, and reports whether it has arrived.
 func (i *Instance) awaitInstances(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, i.listTimeout())
 	defer cancel()
--- a/gateway/instance/reloader.go
+++ b/gateway/instance/reloader.go
@@ -70,7 +70,6 @@
 		"retryRatio", next.RetryRatio, "retrySlack", next.RetrySlack, "needsRestart", needsRestart(r.settings, next))
 }
 
-// needsRestart reports whether a setting changed that is read only at the start.
 func needsRestart(started, next Settings) bool {
 	return started.CallersListen != next.CallersListen || started.ReadyListen != next.ReadyListen ||
 		started.ControlListen != next.ControlListen || started.DatagramListen != next.DatagramListen ||
--- a/gateway/instance/replicator.go
+++ b/gateway/instance/replicator.go
@@ -210,8 +210,7 @@
 	return passiveBackoff, maxReaderBackoff + time.Duration(rank)*backoffStep
 }
 
-// rank returns the number of the zone's instances that rank before this one as feed
-// readers.
+// rank returns how many of the zone's instances rank before this one as feed readers.
 func (s *replicator) rank() int {
 	n := 0
 	for _, i := range s.peers.Zone(s.settings.Zone) {
--- a/gateway/instance/state.go
+++ b/gateway/instance/state.go
@@ -35,7 +35,6 @@
 	updatePartsRevision uint64
 }
 
-// versionedAssignment is a service's assignment at a revision of its table.
 type versionedAssignment struct {
 	assignment *ownership.Assignment
 	revision   uint64
@@ -70,7 +69,6 @@
 	return changes
 }
 
-// ownerChangedSince reports whether a key got another owner after a time.
 func (s *state) ownerChangedSince(service string, key int, since time.Time) bool {
 	s.mu.Lock()
 	a := s.assignments[service]
@@ -210,7 +208,6 @@
 	event.AssignmentLoaded.Log(s.log, "service", service, "term", a.Term, "revision", revision, "pieces", len(a.Pieces))
 }
 
-// encodeAssignment returns the row of a service's assignment in force.
 func (s *state) encodeAssignment(service string) platform.Row {
 	s.mu.Lock()
 	a := s.assignments[service]
@@ -276,7 +273,6 @@
 	return &complete
 }
 
-// applyInstances applies a change of the instances' table, and returns all instances.
 func (s *state) applyInstances(u mirror.Update) map[string]peers.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/instance/tasks.go
+++ b/gateway/instance/tasks.go
@@ -166,8 +166,6 @@
 	i.coordinator.Receive(m)
 }
 
-// receiveCoordinatorHeartbeat records the coordinator's heartbeat. If it is the
-// first after a gap, a feed reader retries failing tables at once.
 func (i *Instance) receiveCoordinatorHeartbeat(m *peers.Message) {
 	wasAlive := i.replicator.coordinatorAlive()
 	i.recordCoordinator(m.From, m.Heartbeat.Members)
@@ -224,7 +222,6 @@
 	i.assignments.ApplyRow(platform.Row{Table: coordinator.AssignmentTable, Key: u.Service, Revision: u.Revision})
 }
 
-// housekeeper frees the connections and statistics of targets that are gone.
 type housekeeper struct{ *Instance }
 
 // Serve cleans up periodically until the context ends.
--- a/gateway/keys/keys_test.go
+++ b/gateway/keys/keys_test.go
@@ -20,7 +20,6 @@
 	"gotest.tools/v3/assert"
 )
 
-// authority signs certificates for tests.
 type authority struct {
 	t    *testing.T
 	cert *x509.Certificate
@@ -67,7 +66,6 @@
 	return f
 }
 
-// serve starts a server with the files of an instance, and returns its URL.
 func serve(t *testing.T, f *keys.Files) string {
 	t.Helper()
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
--- a/gateway/mirror/mirror.go
+++ b/gateway/mirror/mirror.go
@@ -286,7 +286,6 @@
 	m.InitialWait, m.passive = maxWait, !m.OnDemand
 }
 
-// awaitFirstLoad waits for Refresh or another instance's copy, for up to InitialWait.
 func (m *Mirror) awaitFirstLoad(ctx context.Context) {
 	timer := time.NewTimer(m.InitialWait)
 	defer timer.Stop()
