--- a/gateway/front/front_test.go
+++ b/gateway/front/front_test.go
@@ -133,7 +133,7 @@
 // shed responds that the request was not executed.
 func shed(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(platform.RequestID, r.Header.Get(platform.RequestID))
-	w.Header().Set(platform.NotRun, "1")
+	w.Header().Set(platform.NotExecuted, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
--- a/gateway/front/owner_test.go
+++ b/gateway/front/owner_test.go
@@ -82,7 +82,7 @@
 	f.startTarget("former", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		misdirected.Add(1)
 		w.Header().Set(platform.RequestID, r.Header.Get(platform.RequestID))
-		w.Header().Set(platform.NotRun, "1")
+		w.Header().Set(platform.NotExecuted, "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	}))
 	f.startTarget("next", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -114,7 +114,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(platform.RequestID, r.Header.Get(platform.RequestID))
 		if received.Add(1) == 1 {
-			w.Header().Set(platform.NotRun, "1")
+			w.Header().Set(platform.NotExecuted, "1")
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			return
 		}
@@ -146,7 +146,7 @@
 	f.startTarget("b", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.AfterFunc(400*time.Millisecond, func() { f.assign("a", "a") })
 		w.Header().Set(platform.RequestID, r.Header.Get(platform.RequestID))
-		w.Header().Set(platform.NotRun, "1")
+		w.Header().Set(platform.NotExecuted, "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	}))
 	f.assign("a", "a")
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -120,10 +120,10 @@
 	i.state.log = log
 	i.state.roster = &roster.Roster{}
 	i.state.zone = s.Zone
-	storeDialer := &egress.Dialer{Timeout: storeDialTimeout, UserTimeout: storeUserTimeout, KeepAliveInterval: keepAliveInterval}
+	storeDialer := &egress.Dialer{DialTimeout: storeDialTimeout, UserTimeout: storeUserTimeout, KeepAliveInterval: keepAliveInterval}
 	i.store = &platform.Store{Address: s.Store, HTTP: newHTTPClient(storeDialer)}
-	i.peerClient = newHTTPClient(&egress.Dialer{Timeout: storeDialTimeout, UserTimeout: storeUserTimeout, KeepAliveInterval: keepAliveInterval})
-	targetDialer := &egress.Dialer{Timeout: targetDialTimeout, UserTimeout: targetUserTimeout, KeepAliveInterval: keepAliveInterval, ResetOnClose: true}
+	i.peerClient = newHTTPClient(&egress.Dialer{DialTimeout: storeDialTimeout, UserTimeout: storeUserTimeout, KeepAliveInterval: keepAliveInterval})
+	targetDialer := &egress.Dialer{DialTimeout: targetDialTimeout, UserTimeout: targetUserTimeout, KeepAliveInterval: keepAliveInterval, ResetOnClose: true}
 	i.peers = &peers.Peers{Log: log, Receive: i.receive, Self: peers.Instance{
 		Name: s.Instance, Incarnation: rand.Text()[:incarnationLength], Zone: s.Zone, Datagram: s.DatagramListen, Control: s.ControlListen,
 		Cores: s.Cores,
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -25,15 +25,15 @@
 )
 
 const (
-	// keys is the number of different keys of a service, zipf their skew.
-	keys = 20_000
-	zipf = 1.05
+	// keyCount is the number of different keys of a service, zipf their skew.
+	keyCount     = 20_000
+	zipfExponent = 1.05
 	// zipfOffset flattens the head: the hottest key has about 1% of a service.
 	zipfOffset = 20
-	// patience is how much longer than the deadline a caller waits.
-	patience = 2 * time.Second
-	// balancerTries is how many gateways the balancer tries to connect to.
-	balancerTries = 3
+	// timeoutMargin is how much longer than the deadline a caller waits.
+	timeoutMargin = 2 * time.Second
+	// maxBalancerAttempts is how many gateways the balancer tries to connect to.
+	maxBalancerAttempts = 3
 )
 
 // Gateway is a way in, as the balancer sees it.
@@ -43,8 +43,8 @@
 	Ready   atomic.Bool
 }
 
-// Load sends requests to the gateways that are ready.
-type Load struct {
+// Generator sends requests to the gateways that are ready.
+type Generator struct {
 	Deployment deployment.Deployment
 	Gateways   []*Gateway
 	History    *judge.History
@@ -52,11 +52,11 @@
 	Seed       uint64
 
 	client *http.Client
-	next   atomic.Uint64
+	lastID atomic.Uint64
 }
 
 // Init prepares the load.
-func (l *Load) Init() {
+func (l *Generator) Init() {
 	l.client = &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 256,
 		IdleConnTimeout:     time.Minute,
@@ -66,9 +66,9 @@
 
 // Run sends with exponentially distributed gaps until the context ends, then
 // waits for the last answers.
-func (l *Load) Run(ctx context.Context) {
+func (l *Generator) Run(ctx context.Context) {
 	random := rand.New(rand.NewPCG(l.Seed, 1))
-	ranks := rand.NewZipf(random, zipf, zipfOffset, keys-1)
+	ranks := rand.NewZipf(random, zipfExponent, zipfOffset, keyCount-1)
 	var group sync.WaitGroup
 	defer group.Wait()
 	due := time.Now()
@@ -79,14 +79,14 @@
 			return
 		case <-time.After(time.Until(due)):
 		}
-		kind := l.pick(random.Float64())
+		kind := l.pickKind(random.Float64())
 		key := fmt.Sprintf("k%d", ranks.Uint64())
 		at := due
 		group.Go(func() { l.Call(kind, key, at) })
 	}
 }
 
-func (l *Load) pick(x float64) deployment.Kind {
+func (l *Generator) pickKind(x float64) deployment.Kind {
 	for _, k := range l.Deployment.Kinds {
 		if x -= k.Share; x < 0 {
 			return k
@@ -96,28 +96,28 @@
 }
 
 // Call sends one request through any gateway that is ready and records it.
-func (l *Load) Call(kind deployment.Kind, key string, due time.Time) judge.Call {
+func (l *Generator) Call(kind deployment.Kind, key string, due time.Time) judge.Call {
 	return l.call(l.Gateways, kind, key, due, false)
 }
 
 // Probe sends one request through one of some gateways. It is judged, but does
 // not count as load.
-func (l *Load) Probe(ways []*Gateway, kind deployment.Kind, key string) judge.Call {
+func (l *Generator) Probe(ways []*Gateway, kind deployment.Kind, key string) judge.Call {
 	return l.call(ways, kind, key, time.Now(), true)
 }
 
-func (l *Load) call(ways []*Gateway, kind deployment.Kind, key string, due time.Time, probe bool) judge.Call {
+func (l *Generator) call(ways []*Gateway, kind deployment.Kind, key string, due time.Time, probe bool) judge.Call {
 	c := judge.Call{
 		Probe:   probe,
-		Request: fmt.Sprintf("r%d", l.next.Add(1)),
+		Request: fmt.Sprintf("r%d", l.lastID.Add(1)),
 		Service: kind.Service,
 		Kind:    kind.Name,
 		Hash:    shard.Hash(kind.Service, key),
-		Key:     l.dividedKey(kind.Service, key),
+		Key:     l.checkedKey(kind.Service, key),
 		Write:   !kind.Idempotent,
 		Due:     due,
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), kind.Deadline+patience)
+	ctx, cancel := context.WithTimeout(context.Background(), kind.Deadline+timeoutMargin)
 	defer cancel()
 	time.Sleep(l.Deployment.CallerDelay)
 	l.send(ctx, ways, kind, key, &c)
@@ -129,10 +129,10 @@
 
 // send goes through the balancer, which tries another gateway only if it could
 // not connect at all.
-func (l *Load) send(ctx context.Context, ways []*Gateway, kind deployment.Kind, key string, c *judge.Call) {
+func (l *Generator) send(ctx context.Context, ways []*Gateway, kind deployment.Kind, key string, c *judge.Call) {
 	c.Outcome = judge.Unknown
-	for range balancerTries {
-		g := ready(ways)
+	for range maxBalancerAttempts {
+		g := readyGateway(ways)
 		if g == nil {
 			c.Outcome, c.Cause = judge.DidNotRun, "no gateway is ready"
 			return
@@ -140,7 +140,7 @@
 		c.Gateway = g.Name
 		err := l.sendTo(ctx, g, kind, key, c)
 		var op *net.OpError
-		var broken *brokenError
+		var broken *connectionBrokenError
 		if !errors.As(err, &broken) && errors.As(err, &op) && op.Op == "dial" {
 			continue
 		}
@@ -152,8 +152,8 @@
 	c.Outcome, c.Cause = judge.DidNotRun, "no gateway could be connected to"
 }
 
-// dividedKey is the key for the check of values; only divided services have one.
-func (l *Load) dividedKey(service, key string) string {
+// checkedKey is the key for the check of values; only divided services have one.
+func (l *Generator) checkedKey(service, key string) string {
 	for _, s := range l.Deployment.Services {
 		if s.Name == service && s.Sharded {
 			return key
@@ -162,7 +162,7 @@
 	return ""
 }
 
-func ready(ways []*Gateway) *Gateway {
+func readyGateway(ways []*Gateway) *Gateway {
 	start := rand.IntN(len(ways))
 	for i := range ways {
 		if g := ways[(start+i)%len(ways)]; g.Ready.Load() {
@@ -172,7 +172,7 @@
 	return nil
 }
 
-func (l *Load) sendTo(ctx context.Context, g *Gateway, kind deployment.Kind, key string, c *judge.Call) error {
+func (l *Generator) sendTo(ctx context.Context, g *Gateway, kind deployment.Kind, key string, c *judge.Call) error {
 	method, body := http.MethodGet, ""
 	if c.Write {
 		method, body = http.MethodPost, "a deposit of 35 EUR for "+key
@@ -190,7 +190,7 @@
 	req = req.WithContext(httptrace.WithClientTrace(ctx, trace))
 	res, err := l.client.Do(req)
 	if wrote && err != nil {
-		return &brokenError{cause: err}
+		return &connectionBrokenError{cause: err}
 	}
 	if err != nil {
 		return err
@@ -204,12 +204,12 @@
 	return nil
 }
 
-// brokenError is a failure after the request had been written.
-type brokenError struct{ cause error }
+// connectionBrokenError is a failure after the request had been written.
+type connectionBrokenError struct{ cause error }
 
-func (e *brokenError) Error() string { return e.cause.Error() }
+func (e *connectionBrokenError) Error() string { return e.cause.Error() }
 
-func (e *brokenError) Unwrap() error { return e.cause }
+func (e *connectionBrokenError) Unwrap() error { return e.cause }
 
 func classify(c *judge.Call, res *http.Response, content []byte) {
 	switch refusal.Outcome(res.Header.Get(refusal.OutcomeHeader)) {
@@ -219,9 +219,9 @@
 		c.Outcome = judge.Unknown
 	default:
 		c.Outcome = judge.Answered
-		var a target.Answer
+		var a target.Response
 		err := json.Unmarshal(content, &a)
-		c.Valid = err == nil && a.Request == c.Request && a.End
+		c.Valid = err == nil && a.Request == c.Request && a.Complete
 		c.Executed = res.StatusCode == http.StatusOK
 		c.Value = a.Value
 		return
@@ -232,13 +232,13 @@
 	}
 }
 
-// keyTries is how many keys KeyIn looks at, those of the load first.
-const keyTries = 200_000
+// maxKeysTried is how many keys KeyIn looks at, those of the load first.
+const maxKeysTried = 200_000
 
-// KeyIn returns a key of the service whose hash lies in the range; empty if
+// KeyInRange returns a key of the service whose hash lies in the range; empty if
 // none is found.
-func KeyIn(service string, first, last uint64) string {
-	for i := range keyTries {
+func KeyInRange(service string, first, last uint64) string {
+	for i := range maxKeysTried {
 		key := fmt.Sprintf("k%d", i)
 		if h := shard.Hash(service, key); first <= h && h <= last {
 			return key
--- a/standin/demo/demo.go
+++ b/standin/demo/demo.go
@@ -52,7 +52,7 @@
 func (f *fleet) runScenario(ctx context.Context, s *scenario.Scenario, out io.Writer) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	f.load = &caller.Load{Deployment: f.deployment, History: f.history, Rate: s.Load.RequestsPerSecond, Seed: s.Seed}
+	f.load = &caller.Generator{Deployment: f.deployment, History: f.history, Rate: s.Load.RequestsPerSecond, Seed: s.Seed}
 	for _, g := range f.gateways {
 		f.load.Gateways = append(f.load.Gateways, g.entry)
 	}
--- a/standin/demo/fault.go
+++ b/standin/demo/fault.go
@@ -78,7 +78,7 @@
 		_ = t.Start()
 	case "drainTarget":
 		f.history.AddLeaving(judge.Leaving{Target: fault.On, At: time.Now()})
-		f.store.Leave(fault.On, true)
+		f.store.SetLeaving(fault.On, true)
 	case "killGateway":
 		g.signal(syscall.SIGKILL)
 		return func() { _ = f.startGateway(g) }
@@ -115,10 +115,10 @@
 	case "storeDown":
 		return toggle(f.store.SetDown)
 	case "loseStoreAnswers":
-		return toggle(f.store.SetLose)
+		return toggle(f.store.SetLoseResponses)
 	case "storeSlow":
-		f.store.SetSlow(storeDelay)
-		return func() { f.store.SetSlow(0) }
+		f.store.SetDelay(storeDelay)
+		return func() { f.store.SetDelay(0) }
 	case "silenceConnections":
 		f.network.BlackholeConnections()
 	case "resetConnections":
@@ -265,7 +265,7 @@
 
 func (f *fleet) probeRange(ctx context.Context, gateways []*caller.Gateway, r lostRange, began time.Time) int {
 	kind := f.probeKind(r.service)
-	key := caller.KeyIn(r.service, r.first, r.last)
+	key := caller.KeyInRange(r.service, r.first, r.last)
 	if key == "" {
 		return 0
 	}
--- a/standin/demo/fleet.go
+++ b/standin/demo/fleet.go
@@ -59,7 +59,7 @@
 	network    *link.Network
 	targets    map[string]*target.Target
 	gateways   []*gateway
-	load       *caller.Load
+	load       *caller.Generator
 	configMu   sync.Mutex
 	closers    []func()
 	group      sync.WaitGroup
@@ -139,7 +139,7 @@
 		work[k.Name], write[k.Name] = k.Work, !k.Idempotent
 	}
 	for _, i := range f.deployment.TargetInstances() {
-		t := &target.Target{Name: i.Name, Service: i.Service, Fenced: !slices.Contains(f.unfenced, i.Name), Work: work, Write: write, History: f.history, Values: values}
+		t := &target.Target{Name: i.Name, Service: i.Service, Fenced: !slices.Contains(f.unfenced, i.Name), MeanWork: work, IsWrite: write, History: f.history, Values: values}
 		address, err := t.Listen()
 		if err != nil {
 			return err
@@ -147,7 +147,7 @@
 		f.targets[i.Name] = t
 		f.closers = append(f.closers, t.Kill)
 		f.network.AddAddress(address, i.Zone, false)
-		f.store.Add(platform.Instance{
+		f.store.AddInstance(platform.Instance{
 			ID: i.Name, Zone: i.Zone.Name, Region: i.Zone.Region, Address: address, Role: platform.TargetRole,
 			Service: i.Service.Name, Slots: i.Service.Slots, Fenced: t.Fenced,
 		})
@@ -204,7 +204,7 @@
 	f.group.Go(func() { f.network.Serve(proxy, g.egress) })
 	f.closers = append(f.closers, func() { _ = proxy.Close() })
 	f.network.AddAddress(g.controlAddress, i.Zone, true)
-	f.store.Add(platform.Instance{ID: i.Name, Zone: i.Zone.Name, Region: i.Zone.Region, Address: g.controlAddress, Role: platform.GatewayRole})
+	f.store.AddInstance(platform.Instance{ID: i.Name, Zone: i.Zone.Name, Region: i.Zone.Region, Address: g.controlAddress, Role: platform.GatewayRole})
 	g.flags = []string{
 		"--instance", i.Name, "--zone", i.Zone.Name, "--region", i.Zone.Region,
 		"--callers-listen", addresses[0], "--control-listen", g.controlAddress, "--admin-listen", g.adminAddress,
--- a/standin/experiment.go
+++ b/standin/experiment.go
@@ -48,7 +48,7 @@
 	}
 	var reports []*experiment.Report
 	for _, level := range l.Levels {
-		reports = append(reports, l.Play(level, seed), l.Bound(level, seed), l.KindsBound(level, seed), l.ArrivalOrder(level, seed))
+		reports = append(reports, l.Simulate(level, seed), l.Bound(level, seed), l.KindsBound(level, seed), l.ArrivalOrder(level, seed))
 	}
 	fmt.Fprintln(c.OutOrStdout(), l.Name)
 	experiment.WriteText(c.OutOrStdout(), reports)
--- a/standin/experiment/arrivalorder.go
+++ b/standin/experiment/arrivalorder.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// undecided is a play in which requests wait at the targets.
-type undecided struct {
-	events
+// fifoRun is a play in which requests wait at the targets.
+type fifoRun struct {
+	eventLoop
 	random  *rand.Rand
-	servers []*server
+	targets []*simTarget
 	busy    []int
 	waiting [][]*request
 	report  *Report
@@ -19,50 +19,50 @@
 // once, or to the one with the fewest under way, and waits there in order of arrival
 // until its deadline. Nobody comes back.
 func (l *Load) ArrivalOrder(level float64, seed uint64) *Report {
-	u := &undecided{random: rand.New(rand.NewPCG(seed, 23)), servers: l.servers(), report: l.newReport("arrivalOrder", level)}
-	u.busy, u.waiting = make([]int, len(u.servers)), make([][]*request, len(u.servers))
+	u := &fifoRun{random: rand.New(rand.NewPCG(seed, 23)), targets: l.simTargets(), report: l.newReport("arrivalOrder", level)}
+	u.busy, u.waiting = make([]int, len(u.targets)), make([][]*request, len(u.targets))
 	for _, r := range l.requests(level, seed) {
-		u.after(r.at+r.transit, func() {
-			u.report.came(r)
+		u.after(r.arrival+r.oneWayDelay, func() {
+			u.report.recordArrival(r)
 			n := r.target
 			if n < 0 {
-				n = u.fewest()
+				n = u.leastLoaded()
 			}
-			if u.random.Float64() < u.servers[n].ShedShare {
-				u.report.refused(r)
+			if u.random.Float64() < u.targets[n].ShedShare {
+				u.report.recordRefusal(r)
 				return
 			}
 			u.waiting[n] = append(u.waiting[n], r)
-			u.begin(n)
+			u.startWaiting(n)
 		})
 	}
 	u.run()
 	return u.report
 }
 
-// begin has a target work on what waits there, as far as it has slots.
-func (u *undecided) begin(n int) {
-	for u.busy[n] < u.servers[n].Slots && len(u.waiting[n]) > 0 {
+// startWaiting has a target work on what waits there, as far as it has slots.
+func (u *fifoRun) startWaiting(n int) {
+	for u.busy[n] < u.targets[n].Slots && len(u.waiting[n]) > 0 {
 		r := u.waiting[n][0]
 		u.waiting[n] = u.waiting[n][1:]
-		if u.now > r.at+millis(r.kind.Deadline) {
-			u.report.refused(r)
+		if u.now > r.arrival+millis(r.kind.Deadline) {
+			u.report.recordRefusal(r)
 			continue
 		}
-		u.report.waited(r, u.now-r.at-r.transit)
+		u.report.recordQueueTime(r, u.now-r.arrival-r.oneWayDelay)
 		u.busy[n]++
-		u.after(time.Duration(float64(r.work)*u.servers[n].slowness(u.now)), func() {
+		u.after(time.Duration(float64(r.work)*u.targets[n].slownessAt(u.now)), func() {
 			u.busy[n]--
-			u.report.answered(r, u.now+r.transit)
-			u.begin(n)
+			u.report.recordResponse(r, u.now+r.oneWayDelay)
+			u.startWaiting(n)
 		})
 	}
 }
 
-// fewest returns the target with the fewest requests.
-func (u *undecided) fewest() int {
+// leastLoaded returns the target with the fewest requests.
+func (u *fifoRun) leastLoaded() int {
 	best := 0
-	for n := range u.servers {
+	for n := range u.targets {
 		if u.busy[n]+len(u.waiting[n]) < u.busy[best]+len(u.waiting[best]) {
 			best = n
 		}
--- a/standin/experiment/arrivals.go
+++ b/standin/experiment/arrivals.go
@@ -9,46 +9,46 @@
 // could know of it.
 type request struct {
 	kind *Kind
-	// number is the kind's.
-	number  uint32
-	at      time.Duration
-	work    time.Duration
-	transit time.Duration
+	// kindNumber is the kind's.
+	kindNumber  uint32
+	arrival     time.Duration
+	work        time.Duration
+	oneWayDelay time.Duration
 	// target is the only one that will do; -1 if any will.
-	target int
-	atOnce bool
+	target           int
+	retryImmediately bool
 }
 
-// server is one target.
-type server struct {
+// simTarget is one target.
+type simTarget struct {
 	Target
-	// share of the requests of a divided service.
-	share float64
+	// requestShare of the requests of a divided service.
+	requestShare float64
 }
 
-// slowness is how long the server needs for the work of an average one.
-func (s *server) slowness(at time.Duration) float64 {
-	if s.SlowFor > 0 && at >= millis(s.SlowFrom) && at < millis(s.SlowFrom+s.SlowFor) {
-		return s.Slowness * s.SlowTimes
+// slownessAt is how long the server needs for the work of an average one.
+func (s *simTarget) slownessAt(at time.Duration) float64 {
+	if s.SlowDuration > 0 && at >= millis(s.SlowFrom) && at < millis(s.SlowFrom+s.SlowDuration) {
+		return s.Slowness * s.SlowFactor
 	}
 	return s.Slowness
 }
 
-// servers returns the targets of a load. Keys are shared out by what each can do.
-func (l *Load) servers() []*server {
-	var list []*server
+// simTargets returns the targets of a load. Keys are shared out by what each can do.
+func (l *Load) simTargets() []*simTarget {
+	var list []*simTarget
 	can := 0.0
 	for _, t := range l.Targets {
 		for range t.Count {
-			s := &server{Target: t, share: float64(t.Slots) / t.Slowness}
-			can += s.share
+			s := &simTarget{Target: t, requestShare: float64(t.Slots) / t.Slowness}
+			can += s.requestShare
 			list = append(list, s)
 		}
 	}
 	for i, s := range list {
-		s.share = s.share / can * (1 - l.BusyShare)
+		s.requestShare = s.requestShare / can * (1 - l.HotTargetShare)
 		if i == 0 {
-			s.share += l.BusyShare
+			s.requestShare += l.HotTargetShare
 		}
 	}
 	return list
@@ -57,39 +57,39 @@
 // requests draws what comes at a level of load.
 func (l *Load) requests(level float64, seed uint64) []*request {
 	random := rand.New(rand.NewPCG(seed, 17))
-	servers := l.servers()
+	servers := l.simTargets()
 	rate := level * l.capacity()
 	var list []*request
 	for at := 0.0; ; {
-		at += random.ExpFloat64() / (rate * l.burst(at))
+		at += random.ExpFloat64() / (rate * l.burstFactor(at))
 		if at > float64(l.Seconds) {
 			return list
 		}
-		n := l.draw(random)
+		n := l.drawKind(random)
 		k := &l.Kinds[n]
-		r := &request{kind: k, number: uint32(n + 1), at: millis(at * 1000), target: -1, atOnce: random.Float64() < l.AtOnce}
-		r.work = millis(k.Work * (1 + k.Spread*(2*random.Float64()-1)))
-		r.transit = millis(l.Transits[random.IntN(len(l.Transits))])
-		if l.Divided {
-			r.target = pick(servers, random.Float64())
+		r := &request{kind: k, kindNumber: uint32(n + 1), arrival: millis(at * 1000), target: -1, retryImmediately: random.Float64() < l.ImmediateRetryShare}
+		r.work = millis(k.MeanWork * (1 + k.Spread*(2*random.Float64()-1)))
+		r.oneWayDelay = millis(l.OneWayDelays[random.IntN(len(l.OneWayDelays))])
+		if l.Sharded {
+			r.target = pickTarget(servers, random.Float64())
 		}
 		list = append(list, r)
 	}
 }
 
-// burst is how many times as many requests as usual come.
-func (l *Load) burst(at float64) float64 {
+// burstFactor is how many times as many requests as usual come.
+func (l *Load) burstFactor(at float64) float64 {
 	times := 1.0
 	for _, b := range l.Bursts {
-		if at*1000 >= b.At && at*1000 < b.At+b.For {
-			times *= b.Times
+		if at*1000 >= b.Start && at*1000 < b.Start+b.Duration {
+			times *= b.Factor
 		}
 	}
 	return times
 }
 
-// draw returns the number of a kind, by their shares.
-func (l *Load) draw(random *rand.Rand) int {
+// drawKind returns the number of a kind, by their shares.
+func (l *Load) drawKind(random *rand.Rand) int {
 	sum := 0.0
 	for _, k := range l.Kinds {
 		sum += k.Share
@@ -103,9 +103,9 @@
 	return len(l.Kinds) - 1
 }
 
-func pick(servers []*server, at float64) int {
+func pickTarget(servers []*simTarget, at float64) int {
 	for n, s := range servers {
-		if at -= s.share; at < 0 {
+		if at -= s.requestShare; at < 0 {
 			return n
 		}
 	}
--- a/standin/experiment/events.go
+++ b/standin/experiment/events.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// events runs what is to happen, in order of time, and of those at the same time
+// eventLoop runs what is to happen, in order of time, and of those at the same time
 // in the order in which they were put in. The zero value is empty.
-type events struct {
+type eventLoop struct {
 	now   time.Duration
-	list  eventList
+	queue eventHeap
 	count int
 }
 
 type event struct {
-	at    time.Duration
-	order int
-	do    func()
+	at  time.Duration
+	seq int
+	fn  func()
 }
 
 // after has something happen later.
-func (e *events) after(d time.Duration, do func()) {
+func (e *eventLoop) after(d time.Duration, do func()) {
 	e.count++
-	heap.Push(&e.list, event{e.now + max(0, d), e.count, do})
+	heap.Push(&e.queue, event{e.now + max(0, d), e.count, do})
 }
 
 // run goes on until nothing is to happen any more.
-func (e *events) run() {
-	for len(e.list) > 0 {
-		next := heap.Pop(&e.list).(event)
+func (e *eventLoop) run() {
+	for len(e.queue) > 0 {
+		next := heap.Pop(&e.queue).(event)
 		e.now = next.at
-		next.do()
+		next.fn()
 	}
 }
 
-type eventList []event
+type eventHeap []event
 
-func (l eventList) Len() int { return len(l) }
-func (l eventList) Less(i, j int) bool {
+func (l eventHeap) Len() int { return len(l) }
+func (l eventHeap) Less(i, j int) bool {
 	if l[i].at != l[j].at {
 		return l[i].at < l[j].at
 	}
-	return l[i].order < l[j].order
+	return l[i].seq < l[j].seq
 }
-func (l eventList) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
-func (l *eventList) Push(x any)   { *l = append(*l, x.(event)) }
-func (l *eventList) Pop() any {
+func (l eventHeap) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
+func (l *eventHeap) Push(x any)   { *l = append(*l, x.(event)) }
+func (l *eventHeap) Pop() any {
 	old := *l
 	last := old[len(old)-1]
 	*l = old[:len(old)-1]
--- a/standin/experiment/load.go
+++ b/standin/experiment/load.go
@@ -18,19 +18,19 @@
 	Seconds int    `json:"seconds"`
 	// Levels are the loads to play, as shares of what the targets can do.
 	Levels []float64 `json:"levels"`
-	// Divided requests have one target each; others may go to any one.
-	Divided bool `json:"divided"`
-	// BusyShare of all requests goes to one target of a divided service, beside
+	// Sharded requests have one target each; others may go to any one.
+	Sharded bool `json:"divided"`
+	// HotTargetShare of all requests goes to one target of a divided service, beside
 	// its own part.
-	BusyShare float64  `json:"busyShare"`
-	Targets   []Target `json:"targets"`
-	Kinds     []Kind   `json:"kinds"`
-	// Transits are the times of a message to and from the instances by which
+	HotTargetShare float64  `json:"busyShare"`
+	Targets        []Target `json:"targets"`
+	Kinds          []Kind   `json:"kinds"`
+	// OneWayDelays are the times of a message to and from the instances by which
 	// callers come, one for each instance.
-	Transits []float64 `json:"transitsMs"`
-	Bursts   []Burst   `json:"bursts"`
-	// AtOnce is the share of callers that repeat at once, whatever they are told.
-	AtOnce float64 `json:"atOnceShare"`
+	OneWayDelays []float64 `json:"transitsMs"`
+	Bursts       []Burst   `json:"bursts"`
+	// ImmediateRetryShare is the share of callers that repeat at once, whatever they are told.
+	ImmediateRetryShare float64 `json:"atOnceShare"`
 }
 
 // Target is a group of equal targets.
@@ -42,33 +42,33 @@
 	// ShedShare is the share of requests that they refuse by chance.
 	ShedShare float64 `json:"shedShare"`
 	// SlowFrom and SlowFor are when they need SlowTimes as long.
-	SlowFrom  float64 `json:"slowFromMs"`
-	SlowFor   float64 `json:"slowForMs"`
-	SlowTimes float64 `json:"slowTimes"`
+	SlowFrom     float64 `json:"slowFromMs"`
+	SlowDuration float64 `json:"slowForMs"`
+	SlowFactor   float64 `json:"slowTimes"`
 }
 
 // Kind is a kind of request.
 type Kind struct {
 	Name  string  `json:"name"`
 	Share float64 `json:"share"`
-	// Work is the mean for an average target, Spread the most by which it
+	// MeanWork is the mean for an average target, Spread the most by which it
 	// differs, as a share of it.
-	Work      float64 `json:"workMs"`
+	MeanWork  float64 `json:"workMs"`
 	Spread    float64 `json:"spread"`
 	Worth     float64 `json:"worth"`
 	LateWorth float64 `json:"lateWorth"`
 	Priority  int     `json:"priority"`
 	Objective float64 `json:"objectiveMs"`
 	Deadline  float64 `json:"deadlineMs"`
-	// Retries is how often a caller comes back that was refused.
-	Retries int `json:"retries"`
+	// MaxRetries is how often a caller comes back that was refused.
+	MaxRetries int `json:"retries"`
 }
 
 // Burst is a time with more requests than usual.
 type Burst struct {
-	At    float64 `json:"atMs"`
-	For   float64 `json:"forMs"`
-	Times float64 `json:"times"`
+	Start    float64 `json:"atMs"`
+	Duration float64 `json:"forMs"`
+	Factor   float64 `json:"times"`
 }
 
 // FieldError says which field of a load cannot be used, and why.
@@ -116,10 +116,10 @@
 	for i, v := range l.Levels {
 		check(v > 0, fmt.Sprintf("levels[%d]", i), "a number above 0")
 	}
-	check(0 <= l.BusyShare && l.BusyShare < 1, "busyShare", "a share below 1")
-	check(l.BusyShare == 0 || l.Divided, "busyShare", "a divided service")
-	check(0 <= l.AtOnce && l.AtOnce <= 1, "atOnceShare", "a share")
-	check(len(l.Transits) > 0, "transitsMs", "at least one")
+	check(0 <= l.HotTargetShare && l.HotTargetShare < 1, "busyShare", "a share below 1")
+	check(l.HotTargetShare == 0 || l.Sharded, "busyShare", "a divided service")
+	check(0 <= l.ImmediateRetryShare && l.ImmediateRetryShare <= 1, "atOnceShare", "a share")
+	check(len(l.OneWayDelays) > 0, "transitsMs", "at least one")
 	check(len(l.Targets) > 0, "targets", "at least one")
 	for i, t := range l.Targets {
 		at := fmt.Sprintf("targets[%d].", i)
@@ -127,14 +127,14 @@
 		check(t.Slots > 0, at+"slots", "a number above 0")
 		check(t.Slowness > 0, at+"slowness", "a number above 0")
 		check(0 <= t.ShedShare && t.ShedShare < 1, at+"shedShare", "a share below 1")
-		check(t.SlowFor == 0 || t.SlowTimes > 0, at+"slowTimes", "a number above 0")
+		check(t.SlowDuration == 0 || t.SlowFactor > 0, at+"slowTimes", "a number above 0")
 	}
 	check(len(l.Kinds) > 0, "kinds", "at least one")
 	for i, k := range l.Kinds {
 		at := fmt.Sprintf("kinds[%d].", i)
 		check(k.Name != "", at+"name", "a name")
 		check(k.Share > 0, at+"share", "a number above 0")
-		check(k.Work > 0, at+"workMs", "a number above 0")
+		check(k.MeanWork > 0, at+"workMs", "a number above 0")
 		check(0 <= k.Spread && k.Spread < 1, at+"spread", "a share below 1")
 		check(k.Worth > 0, at+"worth", "a number above 0")
 		check(0 <= k.LateWorth && k.LateWorth <= k.Worth, at+"lateWorth", "at most worth")
@@ -142,7 +142,7 @@
 		check(k.Deadline >= k.Objective, at+"deadlineMs", "at least objectiveMs")
 	}
 	for i, b := range l.Bursts {
-		check(b.Times > 0, fmt.Sprintf("bursts[%d].times", i), "a number above 0")
+		check(b.Factor > 0, fmt.Sprintf("bursts[%d].times", i), "a number above 0")
 	}
 	return errors.Join(errs...)
 }
@@ -152,7 +152,7 @@
 func (l *Load) capacity() float64 {
 	work, shares := 0.0, 0.0
 	for _, k := range l.Kinds {
-		work += k.Share * k.Work / 1000
+		work += k.Share * k.MeanWork / 1000
 		shares += k.Share
 	}
 	can := 0.0
--- a/standin/experiment/play.go
+++ b/standin/experiment/play.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// lookEvery is how often waiting requests are looked at without any slot being
+	// admitInterval is how often waiting requests are looked at without any slot being
 	// given back.
-	lookEvery = 25 * time.Millisecond
-	// mostSends bounds the targets that one attempt is sent to.
-	mostSends = 3
-	// returnShare of the time that a caller has left is the longest that it waits
+	admitInterval = 25 * time.Millisecond
+	// maxTargetsPerAttempt bounds the targets that one attempt is sent to.
+	maxTargetsPerAttempt = 3
+	// retryWaitDivisor of the time that a caller has left is the longest that it waits
 	// before it comes back.
-	returnShare = 3
-	// soonestReturn is the least that callers are told.
-	soonestReturn = 50 * time.Millisecond
-	// connect is how long one that repeats at once needs to come back.
-	connect = 5 * time.Millisecond
+	retryWaitDivisor = 3
+	// minRetryAfter is the least that callers are told.
+	minRetryAfter = 50 * time.Millisecond
+	// reconnectDelay is how long one that repeats at once needs to come back.
+	reconnectDelay = 5 * time.Millisecond
 )
 
-// play is one run of a load against the product's schedule.
-type play struct {
-	events
-	schedule schedule.Scheduler
-	random   *rand.Rand
-	servers  []*server
-	queues   []*targetQueue
-	names    map[string]int
-	waiting  map[*schedule.Ticket]*attempt
-	// order has those that wait, the oldest first; some have left.
-	order   []*schedule.Ticket
-	looking bool
-	report  *Report
+// schedulerRun is one run of a load against the product's schedule.
+type schedulerRun struct {
+	eventLoop
+	scheduler   schedule.Scheduler
+	random      *rand.Rand
+	targets     []*simTarget
+	queues      []*targetQueue
+	targetIndex map[string]int
+	waiting     map[*schedule.Ticket]*attempt
+	// ticketQueue has those that wait, the oldest first; some have left.
+	ticketQueue  []*schedule.Ticket
+	admissionDue bool
+	report       *Report
 }
 
 // targetQueue is what a target works on, and what waits there.
@@ -49,112 +49,112 @@
 
 // attempt is one of a caller's.
 type attempt struct {
-	r        *request
-	number   int
-	at       time.Duration
-	excluded map[string]bool
-	queued   time.Duration
-	ticket   *schedule.Ticket
+	req       *request
+	retries   int
+	started   time.Duration
+	excluded  map[string]bool
+	submitted time.Duration
+	ticket    *schedule.Ticket
 }
 
-// epoch is the moment at which plays begin.
-var epoch = time.Unix(1_000_000, 0)
+// startTime is the moment at which plays begin.
+var startTime = time.Unix(1_000_000, 0)
 
-// Play plays a load at a level against the product's schedule.
-func (l *Load) Play(level float64, seed uint64) *Report {
-	p := &play{
-		random: rand.New(rand.NewPCG(seed, 23)), servers: l.servers(), names: map[string]int{},
+// Simulate plays a load at a level against the product's schedule.
+func (l *Load) Simulate(level float64, seed uint64) *Report {
+	p := &schedulerRun{
+		random: rand.New(rand.NewPCG(seed, 23)), targets: l.simTargets(), targetIndex: map[string]int{},
 		waiting: map[*schedule.Ticket]*attempt{}, report: l.newReport("schedule", level),
 	}
-	list := make([]*roster.Target, 0, len(p.servers))
-	for n, s := range p.servers {
+	list := make([]*roster.Target, 0, len(p.targets))
+	for n, s := range p.targets {
 		id := fmt.Sprintf("t%03d", n)
-		p.names[id] = n
+		p.targetIndex[id] = n
 		list = append(list, &roster.Target{ID: id, Service: "s", Zone: "z", Slots: s.Slots, Started: 1})
 		p.queues = append(p.queues, &targetQueue{})
 	}
 	known := &roster.Roster{}
-	known.Replace(epoch.Add(-time.Hour), list, 1)
-	p.schedule.Roster = known
+	known.Replace(startTime.Add(-time.Hour), list, 1)
+	p.scheduler.Roster = known
 	for _, r := range l.requests(level, seed) {
-		p.after(r.at, func() {
-			p.report.came(r)
-			p.come(&attempt{r: r, at: r.at})
+		p.after(r.arrival, func() {
+			p.report.recordArrival(r)
+			p.startAttempt(&attempt{req: r, started: r.arrival})
 		})
 	}
 	p.run()
 	return p.report
 }
 
-func (p *play) time() time.Time { return epoch.Add(p.now) }
+func (p *schedulerRun) clock() time.Time { return startTime.Add(p.now) }
 
-// come is a caller's attempt: its instance asks whoever decides.
-func (p *play) come(a *attempt) { p.after(a.r.transit, func() { p.enter(a) }) }
+// startAttempt is a caller's attempt: its instance asks whoever decides.
+func (p *schedulerRun) startAttempt(a *attempt) { p.after(a.req.oneWayDelay, func() { p.submit(a) }) }
 
-func (p *play) enter(a *attempt) {
+func (p *schedulerRun) submit(a *attempt) {
 	r := schedule.Request{
-		Service: "s", Kind: a.r.number, Zone: "z", Excluded: a.excluded, Priority: a.r.kind.Priority,
-		Objective:   epoch.Add(a.at + millis(a.r.kind.Objective)),
-		Deadline:    epoch.Add(a.r.at + millis(a.r.kind.Deadline)),
-		OneWayDelay: a.r.transit,
+		Service: "s", Kind: a.req.kindNumber, Zone: "z", Excluded: a.excluded, Priority: a.req.kind.Priority,
+		Objective:   startTime.Add(a.started + millis(a.req.kind.Objective)),
+		Deadline:    startTime.Add(a.req.arrival + millis(a.req.kind.Deadline)),
+		OneWayDelay: a.req.oneWayDelay,
 	}
-	if a.r.target >= 0 {
-		r.Target = fmt.Sprintf("t%03d", a.r.target)
+	if a.req.target >= 0 {
+		r.Target = fmt.Sprintf("t%03d", a.req.target)
 	}
-	t, err := p.schedule.Submit(p.time(), r)
+	t, err := p.scheduler.Submit(p.clock(), r)
 	if err != nil {
-		p.refuse(a, err)
+		p.handleRefusal(a, err)
 		return
 	}
-	a.ticket, a.queued = t, p.now
+	a.ticket, a.submitted = t, p.now
 	if t.Target != nil {
 		p.send(a)
 		return
 	}
 	p.waiting[t] = a
-	p.order = append(p.order, t)
-	p.expireAt(t)
-	p.look()
+	p.ticketQueue = append(p.ticketQueue, t)
+	p.scheduleExpiry(t)
+	p.scheduleAdmission()
 }
 
-func (p *play) expireAt(t *schedule.Ticket) {
-	p.after(t.WaitUntil.Sub(p.time()), func() {
+func (p *schedulerRun) scheduleExpiry(t *schedule.Ticket) {
+	p.after(t.WaitUntil.Sub(p.clock()), func() {
 		a := p.waiting[t]
 		if a == nil {
 			return
 		}
-		if err := p.schedule.Expire(p.time(), t); err != nil {
+		if err := p.scheduler.Expire(p.clock(), t); err != nil {
 			delete(p.waiting, t)
-			p.refuse(a, err)
+			p.handleRefusal(a, err)
 			return
 		}
-		p.expireAt(t)
+		p.scheduleExpiry(t)
 	})
 }
 
-// look admits waiting requests from time to time, as long as there are any.
-func (p *play) look() {
-	if p.looking {
+// scheduleAdmission admits waiting requests from time to time, as long as there are any.
+func (p *schedulerRun) scheduleAdmission() {
+	if p.admissionDue {
 		return
 	}
-	p.looking = true
-	p.after(lookEvery, func() {
-		p.looking = false
+	p.admissionDue = true
+	p.after(admitInterval, func() {
+		p.admissionDue = false
 		seen := map[string]bool{}
-		p.order = slices.DeleteFunc(p.order, func(t *schedule.Ticket) bool { return p.waiting[t] == nil })
-		for _, t := range slices.Clone(p.order) {
+		p.ticketQueue = slices.DeleteFunc(p.ticketQueue, func(t *schedule.Ticket) bool { return p.waiting[t] == nil })
+		for _, t := range slices.Clone(p.ticketQueue) {
 			if !seen[t.Request.Target] {
 				seen[t.Request.Target] = true
-				p.admitted(p.schedule.Admit(p.time(), t))
+				p.sendAdmitted(p.scheduler.Admit(p.clock(), t))
 			}
 		}
 		if len(p.waiting) > 0 {
-			p.look()
+			p.scheduleAdmission()
 		}
 	})
 }
 
-func (p *play) admitted(placed []*schedule.Ticket) {
+func (p *schedulerRun) sendAdmitted(placed []*schedule.Ticket) {
 	for _, t := range placed {
 		a := p.waiting[t]
 		delete(p.waiting, t)
@@ -163,73 +163,73 @@
 }
 
 // send has the request go by its instance to the target.
-func (p *play) send(a *attempt) {
+func (p *schedulerRun) send(a *attempt) {
 	t := a.ticket
-	p.report.waited(a.r, p.now-a.queued)
-	n := p.names[t.Target.ID]
-	p.after(2*a.r.transit, func() {
-		s, q := p.servers[n], p.queues[n]
+	p.report.recordQueueTime(a.req, p.now-a.submitted)
+	n := p.targetIndex[t.Target.ID]
+	p.after(2*a.req.oneWayDelay, func() {
+		s, q := p.targets[n], p.queues[n]
 		if p.random.Float64() < s.ShedShare {
-			p.shed(a, t)
+			p.handleShed(a, t)
 			return
 		}
 		if q.busy < s.Slots {
-			p.work(a, n)
+			p.execute(a, n)
 			return
 		}
-		q.waiting = append(q.waiting, func() { p.work(a, n) })
+		q.waiting = append(q.waiting, func() { p.execute(a, n) })
 	})
 }
 
-func (p *play) work(a *attempt, n int) {
-	s, q := p.servers[n], p.queues[n]
+func (p *schedulerRun) execute(a *attempt, n int) {
+	s, q := p.targets[n], p.queues[n]
 	q.busy++
-	p.after(time.Duration(float64(a.r.work)*s.slowness(p.now)), func() {
+	p.after(time.Duration(float64(a.req.work)*s.slownessAt(p.now)), func() {
 		q.busy--
 		if len(q.waiting) > 0 {
 			next := q.waiting[0]
 			q.waiting = q.waiting[1:]
 			next()
 		}
-		p.report.answered(a.r, p.now+a.r.transit)
-		p.after(2*a.r.transit, func() {
-			p.admitted(p.schedule.Release(p.time(), a.ticket, schedule.Answered))
+		p.report.recordResponse(a.req, p.now+a.req.oneWayDelay)
+		p.after(2*a.req.oneWayDelay, func() {
+			p.sendAdmitted(p.scheduler.Release(p.clock(), a.ticket, schedule.Answered))
 		})
 	})
 }
 
-// shed is a target's refusal; the request goes to another one.
-func (p *play) shed(a *attempt, t *schedule.Ticket) {
-	p.after(2*a.r.transit, func() {
-		p.admitted(p.schedule.Release(p.time(), t, schedule.Shed))
+// handleShed is a target's refusal; the request goes to another one.
+func (p *schedulerRun) handleShed(a *attempt, t *schedule.Ticket) {
+	p.after(2*a.req.oneWayDelay, func() {
+		p.sendAdmitted(p.scheduler.Release(p.clock(), t, schedule.Shed))
 		excluded := map[string]bool{t.Target.ID: true}
 		for id := range a.excluded {
 			excluded[id] = true
 		}
-		if len(excluded) >= mostSends {
-			p.refuse(a, nil)
+		if len(excluded) >= maxTargetsPerAttempt {
+			p.handleRefusal(a, nil)
 			return
 		}
-		p.enter(&attempt{r: a.r, number: a.number, at: a.at, excluded: excluded})
+		p.submit(&attempt{req: a.req, retries: a.retries, started: a.started, excluded: excluded})
 	})
 }
 
-// refuse tells the caller, which comes back if it may.
-func (p *play) refuse(a *attempt, why error) {
+// handleRefusal tells the caller, which comes back if it may.
+func (p *schedulerRun) handleRefusal(a *attempt, why error) {
 	var busy *schedule.BusyError
-	wait := soonestReturn
+	wait := minRetryAfter
 	if errors.As(why, &busy) {
 		wait = max(wait, busy.Wait)
 	}
-	told := p.now + a.r.transit
-	left := a.r.at + millis(a.r.kind.Deadline) - told
-	if a.r.atOnce {
-		wait = connect
+	told := p.now + a.req.oneWayDelay
+	left := a.req.arrival + millis(a.req.kind.Deadline) - told
+	if a.req.retryImmediately {
+		wait = reconnectDelay
 	}
-	wait = min(wait, left/returnShare)
-	if a.number == a.r.kind.Retries || left <= 0 {
-		p.report.refused(a.r)
+	wait = min(wait, left/retryWaitDivisor)
+	if a.retries == a.req.kind.MaxRetries || left <= 0 {
+		p.report.recordRefusal(a.req)
 		return
 	}
-	p.after(told+wait-p.now, func() { p.come(&attempt{r: a.r, number: a.number + 1, at: p.now}) })
+	p.after(told+wait-p.now, func() { p.startAttempt(&attempt{req: a.req, retries: a.retries + 1, started: p.now}) })
 }
--- a/standin/experiment/plot.go
+++ b/standin/experiment/plot.go
@@ -21,10 +21,10 @@
 	lines := map[string]plotter.XYs{}
 	var ways []string
 	for _, r := range reports {
-		if lines[r.Way] == nil {
-			ways = append(ways, r.Way)
+		if lines[r.Strategy] == nil {
+			ways = append(ways, r.Strategy)
 		}
-		lines[r.Way] = append(lines[r.Way], plotter.XY{X: r.Level, Y: r.InTime()})
+		lines[r.Strategy] = append(lines[r.Strategy], plotter.XY{X: r.Level, Y: r.InTimeShare()})
 	}
 	p := plot.New()
 	p.Title.Text = title
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -27,11 +27,11 @@
 	Table   table.Memory
 	Objects object.Memory
 
-	mu   sync.Mutex
-	down bool
-	slow time.Duration
-	lose bool
-	list []listing
+	mu            sync.Mutex
+	down          bool
+	delay         time.Duration
+	loseResponses bool
+	listings      []listing
 }
 
 type listing struct {
@@ -47,38 +47,38 @@
 	s.down = down
 }
 
-// SetSlow delays every call.
-func (s *Store) SetSlow(d time.Duration) {
+// SetDelay delays every call.
+func (s *Store) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = d
+	s.delay = d
 }
 
-// SetLose loses the answers to writes after they have taken effect.
-func (s *Store) SetLose(lose bool) {
+// SetLoseResponses loses the answers to writes after they have taken effect.
+func (s *Store) SetLoseResponses(lose bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = lose
+	s.loseResponses = lose
 }
 
-// Add lists an instance.
-func (s *Store) Add(i platform.Instance) {
+// AddInstance lists an instance.
+func (s *Store) AddInstance(i platform.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.list = append(s.list, listing{Instance: i, listed: time.Now()})
+	s.listings = append(s.listings, listing{Instance: i, listed: time.Now()})
 }
 
-// Leave marks an instance as leaving, or takes the mark back.
-func (s *Store) Leave(id string, leaving bool) {
+// SetLeaving marks an instance as leaving, or takes the mark back.
+func (s *Store) SetLeaving(id string, leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := range s.list {
-		if s.list[i].ID != id {
+	for i := range s.listings {
+		if s.listings[i].ID != id {
 			continue
 		}
-		s.list[i].leaving = time.Time{}
+		s.listings[i].leaving = time.Time{}
 		if leaving {
-			s.list[i].leaving = time.Now()
+			s.listings[i].leaving = time.Now()
 		}
 	}
 }
@@ -89,7 +89,7 @@
 	defer s.mu.Unlock()
 	var out []platform.Instance
 	shown := time.Now().Add(-listLag)
-	for _, l := range s.list {
+	for _, l := range s.listings {
 		i := l.Instance
 		i.Leaving = !l.leaving.IsZero() && l.leaving.Before(shown)
 		out = append(out, i)
@@ -100,7 +100,7 @@
 // ServeHTTP serves the platform's calls.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	down, slow, lose := s.down, s.slow, s.lose
+	down, slow, lose := s.down, s.delay, s.loseResponses
 	s.mu.Unlock()
 	if down {
 		panic(http.ErrAbortHandler)
@@ -108,17 +108,17 @@
 	time.Sleep(slow)
 	switch {
 	case r.URL.Path == platform.TransactPath:
-		s.transact(w, r, lose)
+		s.serveTransact(w, r, lose)
 	case r.URL.Path == platform.InstancesPath:
-		s.instances(w, r)
+		s.serveInstances(w, r)
 	case strings.HasPrefix(r.URL.Path, platform.ObjectPath):
-		s.object(w, r, strings.TrimPrefix(r.URL.Path, platform.ObjectPath))
+		s.serveObject(w, r, strings.TrimPrefix(r.URL.Path, platform.ObjectPath))
 	default:
 		http.NotFound(w, r)
 	}
 }
 
-func (s *Store) transact(w http.ResponseWriter, r *http.Request, lose bool) {
+func (s *Store) serveTransact(w http.ResponseWriter, r *http.Request, lose bool) {
 	var tx table.Transaction
 	if err := json.NewDecoder(r.Body).Decode(&tx); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -128,10 +128,10 @@
 	if err != nil || lose && len(tx.Puts) > 0 {
 		panic(http.ErrAbortHandler)
 	}
-	answer(w, res)
+	writeJSON(w, res)
 }
 
-func (s *Store) instances(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveInstances(w http.ResponseWriter, r *http.Request) {
 	content, err := json.Marshal(s.Instances())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -141,7 +141,7 @@
 	http.ServeContent(w, r, "", time.Time{}, bytes.NewReader(content))
 }
 
-func (s *Store) object(w http.ResponseWriter, r *http.Request, name string) {
+func (s *Store) serveObject(w http.ResponseWriter, r *http.Request, name string) {
 	if r.Method == http.MethodPut {
 		content, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -161,7 +161,7 @@
 	_, _ = w.Write(content)
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	// A failed write is the other end's loss, as it would be in life.
 	_ = json.NewEncoder(w).Encode(v)
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -26,22 +26,22 @@
 const (
 	// RequestHeader carries the caller's unique name of a request.
 	RequestHeader = "X-Request-Id"
-	// queuePerSlot is how many requests wait for each slot before it sheds.
-	queuePerSlot = 4
-	// coldFor is how long a started target is slow, by coldFactor.
-	coldFor    = 2 * time.Second
-	coldFactor = 3
+	// maxQueuePerSlot is how many requests wait for each slot before it sheds.
+	maxQueuePerSlot = 4
+	// warmupTime is how long a started target is slow, by coldFactor.
+	warmupTime   = 2 * time.Second
+	warmupFactor = 3
 )
 
-// Answer is the body of an answer; Filler makes its length vary.
-type Answer struct {
+// Response is the body of an answer; Filler makes its length vary.
+type Response struct {
 	Request string `json:"request"`
 	Target  string `json:"target"`
 	Filler  string `json:"filler"`
 	// Value is the key's value, the name of the last write.
 	Value string `json:"value"`
-	// End shows that the answer is whole.
-	End bool `json:"end"`
+	// Complete shows that the answer is whole.
+	Complete bool `json:"end"`
 }
 
 // Target is one server. Create it with New, then Start.
@@ -50,10 +50,10 @@
 	Service deployment.Service
 	// Fenced targets check grants.
 	Fenced bool
-	// Work is the mean time of a request, by kind.
-	Work    map[string]time.Duration
-	Write   map[string]bool
-	History *judge.History
+	// MeanWork is the mean time of a request, by kind.
+	MeanWork map[string]time.Duration
+	IsWrite  map[string]bool
+	History  *judge.History
 	// Values outlive the targets, as the users' own storage does.
 	Values *Values
 
@@ -66,8 +66,8 @@
 	slots   chan struct{}
 	waiting atomic.Int32
 	// cache keeps values while the key is owned under one epoch.
-	cache  map[string]cached
-	orders atomic.Int64
+	cache      map[string]cachedValue
+	orderCount atomic.Int64
 }
 
 // Listen takes an address for the target's whole life.
@@ -95,7 +95,7 @@
 		})
 	}
 	t.guard = guard
-	t.cache = map[string]cached{}
+	t.cache = map[string]cachedValue{}
 	t.started = time.Now()
 	t.server = &http.Server{Handler: t.handler(guard), ReadHeaderTimeout: time.Minute}
 	server := t.server
@@ -160,11 +160,11 @@
 	guard.Flush(time.Now())
 }
 
-// Orders returns how many orders the target has taken.
-func (t *Target) Orders() int64 { return t.orders.Load() }
+// OrderCount returns how many orders the target has taken.
+func (t *Target) OrderCount() int64 { return t.orderCount.Load() }
 
-// pause blocks while the target is frozen.
-func (t *Target) pause() {
+// waitWhileFrozen blocks while the target is frozen.
+func (t *Target) waitWhileFrozen() {
 	t.mu.Lock()
 	frozen := t.frozen
 	t.mu.Unlock()
@@ -175,19 +175,19 @@
 
 func (t *Target) handler(guard *grant.Guard) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+grant.Path, func(w http.ResponseWriter, r *http.Request) { t.order(w, r, guard) })
-	mux.HandleFunc("/{service}/{kind}/{key}", func(w http.ResponseWriter, r *http.Request) { t.request(w, r, guard) })
+	mux.HandleFunc("POST "+grant.Path, func(w http.ResponseWriter, r *http.Request) { t.handleOrder(w, r, guard) })
+	mux.HandleFunc("/{service}/{kind}/{key}", func(w http.ResponseWriter, r *http.Request) { t.handleRequest(w, r, guard) })
 	return mux
 }
 
-func (t *Target) order(w http.ResponseWriter, r *http.Request, guard *grant.Guard) {
+func (t *Target) handleOrder(w http.ResponseWriter, r *http.Request, guard *grant.Guard) {
 	var o grant.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	t.pause()
-	t.orders.Add(1)
+	t.waitWhileFrozen()
+	t.orderCount.Add(1)
 	_ = json.NewEncoder(w).Encode(guard.Apply(time.Now(), o))
 }
 
@@ -196,40 +196,40 @@
 	w.WriteHeader(http.StatusConflict)
 }
 
-// work is one request on its way through the target.
-type work struct {
+// execution is one request on its way through the target.
+type execution struct {
 	run       judge.Run
 	key       string
 	value     string
 	admission *grant.Admission
 }
 
-func (t *Target) request(w http.ResponseWriter, r *http.Request, guard *grant.Guard) {
-	t.pause()
+func (t *Target) handleRequest(w http.ResponseWriter, r *http.Request, guard *grant.Guard) {
+	t.waitWhileFrozen()
 	kind := r.PathValue("kind")
-	j := &work{key: r.PathValue("key"), run: judge.Run{
+	j := &execution{key: r.PathValue("key"), run: judge.Run{
 		Request: r.Header.Get(RequestHeader),
 		Target:  t.Name,
 		Service: t.Service.Name,
 		Hash:    shard.Hash(t.Service.Name, r.PathValue("key")),
-		Write:   t.Write[kind],
+		Write:   t.IsWrite[kind],
 	}}
 	j.run.Unfenced = t.Service.Sharded && !t.Fenced
-	if t.Service.Sharded && t.Fenced && !j.enter(w, r, guard) {
+	if t.Service.Sharded && t.Fenced && !j.admit(w, r, guard) {
 		return
 	}
 	if j.admission != nil {
 		defer j.admission.Done()
 	}
-	if !t.takeSlot(r.Context()) {
+	if !t.acquireSlot(r.Context()) {
 		refuse(w, grant.Shed)
 		return
 	}
 	defer func() { <-t.slots }()
-	if !t.labour(r.Context(), kind) {
+	if !t.simulateWork(r.Context(), kind) {
 		return
 	}
-	t.pause()
+	t.waitWhileFrozen()
 	if err := t.commit(j); err != nil {
 		var refused *grant.RefusedError
 		if errors.As(err, &refused) {
@@ -237,10 +237,10 @@
 		}
 		return
 	}
-	t.reply(w, j)
+	t.respond(w, j)
 }
 
-func (j *work) enter(w http.ResponseWriter, r *http.Request, guard *grant.Guard) bool {
+func (j *execution) admit(w http.ResponseWriter, r *http.Request, guard *grant.Guard) bool {
 	j.run.Epoch, _ = strconv.ParseUint(r.Header.Get(grant.EpochHeader), 10, 64)
 	admission, err := guard.Admit(time.Now(), j.run.Hash, j.run.Epoch)
 	var refused *grant.RefusedError
@@ -252,8 +252,8 @@
 	return true
 }
 
-func (t *Target) takeSlot(ctx context.Context) bool {
-	if int(t.waiting.Add(1)) > t.Service.Slots*queuePerSlot {
+func (t *Target) acquireSlot(ctx context.Context) bool {
+	if int(t.waiting.Add(1)) > t.Service.Slots*maxQueuePerSlot {
 		t.waiting.Add(-1)
 		return false
 	}
@@ -266,12 +266,12 @@
 	}
 }
 
-// labour takes the kind's time, exponentially distributed around its mean.
-func (t *Target) labour(ctx context.Context, kind string) bool {
-	mean := t.Work[kind]
+// simulateWork takes the kind's time, exponentially distributed around its mean.
+func (t *Target) simulateWork(ctx context.Context, kind string) bool {
+	mean := t.MeanWork[kind]
 	t.mu.Lock()
-	if time.Since(t.started) < coldFor {
-		mean *= coldFactor
+	if time.Since(t.started) < warmupTime {
+		mean *= warmupFactor
 	}
 	t.mu.Unlock()
 	took := time.Duration(float64(mean) * (0.5 + mathrand.ExpFloat64()/2))
@@ -283,11 +283,11 @@
 	}
 }
 
-func (t *Target) commit(j *work) error {
+func (t *Target) commit(j *execution) error {
 	effect := func(now time.Time) {
 		j.run.At = now
 		t.History.AddRun(j.run)
-		t.touch(j)
+		t.accessValue(j)
 	}
 	if j.admission != nil {
 		return j.admission.Commit(effect)
@@ -296,9 +296,9 @@
 	return nil
 }
 
-// touch reads or writes the key's value. The target trusts its memory as long
+// accessValue reads or writes the key's value. The target trusts its memory as long
 // as it owns the key, which is what sole ownership is for.
-func (t *Target) touch(j *work) {
+func (t *Target) accessValue(j *execution) {
 	if !t.Service.Sharded {
 		return
 	}
@@ -306,7 +306,7 @@
 	defer t.mu.Unlock()
 	known, ok := t.cache[j.key]
 	if !ok || known.epoch != j.run.Epoch || !t.Fenced {
-		known = cached{epoch: j.run.Epoch, value: t.Values.get(j.key)}
+		known = cachedValue{epoch: j.run.Epoch, value: t.Values.get(j.key)}
 	}
 	if j.run.Write {
 		known.value = j.run.Request
@@ -316,13 +316,13 @@
 	j.value = known.value
 }
 
-func (t *Target) reply(w http.ResponseWriter, j *work) {
+func (t *Target) respond(w http.ResponseWriter, j *execution) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(Answer{
-		Request: j.run.Request,
-		Target:  t.Name,
-		Value:   j.value,
-		Filler:  strings.Repeat("x", int(j.run.Hash%900)),
-		End:     true,
+	_ = json.NewEncoder(w).Encode(Response{
+		Request:  j.run.Request,
+		Target:   t.Name,
+		Value:    j.value,
+		Filler:   strings.Repeat("x", int(j.run.Hash%900)),
+		Complete: true,
 	})
 }
--- a/standin/target/values.go
+++ b/standin/target/values.go
@@ -9,8 +9,8 @@
 	values map[string]string
 }
 
-// cached is a value as a target has it in memory.
-type cached struct {
+// cachedValue is a value as a target has it in memory.
+type cachedValue struct {
 	epoch uint64
 	value string
 }
