--- a/gateway/broker/broker_test.go
+++ b/gateway/broker/broker_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// The callers of many requests go away. A request that stayed at its scheduler would
+// The callers of many requests disconnect. A request that stayed at its scheduler would
 // hold the only slot.
 func TestCanceledRequestFreesItsSlot(t *testing.T) {
 	all := startInstances(t, "a", "b", "c")
--- a/gateway/coordinator/address_test.go
+++ b/gateway/coordinator/address_test.go
@@ -59,7 +59,6 @@
 	return f, list
 }
 
-// runCoordinator runs a coordinator for sharded services.
 func (f *fleet) runCoordinator(services ...string) {
 	t := f.t
 	t.Helper()
@@ -90,7 +89,6 @@
 	})
 }
 
-// testLogWriter writes the coordinator's log lines to the test's log.
 type testLogWriter struct{ t *testing.T }
 
 func (l testLogWriter) Write(line []byte) (int, error) {
@@ -101,7 +99,6 @@
 	return len(line), nil
 }
 
-// startTarget starts a target that listens at an address.
 func (f *fleet) startTarget(id, address string) *process {
 	f.t.Helper()
 	listener, err := net.Listen("tcp", address)
@@ -120,7 +117,6 @@
 // crash closes the process's connections and its port.
 func (p *process) crash() { _ = p.server.Close() }
 
-// setListed adds a target to the roster, or removes it.
 func (f *fleet) setListed(p *process, listed bool) {
 	change := roster.Change{ID: p.ID}
 	if listed {
@@ -139,8 +135,7 @@
 	}
 }
 
-// checkSingleHolder fails the test if two of the processes hold a key at the same time
-// within a duration.
+// checkSingleHolder fails the test if two processes hold the same key within d.
 func (f *fleet) checkSingleHolder(d time.Duration, processes ...*process) {
 	f.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -182,10 +177,10 @@
 
 // Two targets held the same keys for over two seconds. A renewal meant for a crashed target
 // had reached the one that started at its address. When the platform listed the second
-// target and removed the first one, that counted as proof that the first one's keys were
-// free, and they were granted to others before the second target's hold had expired. Keys
-// of a replaced target must stay at the address, since orders sent there may have reached
-// its replacement.
+// target and removed the first one, 11 ms later, that counted as proof that the first one's
+// keys were free, and after another 56 ms they were granted to others, before the second
+// target's hold had expired. Keys of a replaced target must stay at the address, since orders
+// sent there may have reached its replacement.
 func TestKeysOfReplacementTargetAreNotGrantedToOthers(t *testing.T) {
 	f, targets := startFleet(t, 3)
 	first := targets[0]
@@ -241,7 +236,7 @@
 	f.checkSingleHolder(4*time.Second, replacement, other)
 }
 
-// A release is not sent because the authority has expired for a moment, before the answer to a
+// A release is not sent because the authority has expired for a moment, before the response to a
 // write renews it. The release must be reported as unsent: otherwise the piece waits for its
 // outcome forever, and its keys have no owner for the rest of the term.
 func TestUnsentReleaseIsReported(t *testing.T) {
@@ -255,7 +250,7 @@
 	assert.Equal(t, len(c.events), 1)
 }
 
-// Only the answers that the platform defines for orders that were not executed may count as
+// Only the responses that the platform defines for orders that were not executed may count as
 // such: a 421 of another target may come although the order was applied.
 func TestOutcomeOfOrders(t *testing.T) {
 	for _, c := range []struct {
--- a/gateway/front/call.go
+++ b/gateway/front/call.go
@@ -49,10 +49,8 @@
 	// that became known.
 	lastRunTarget string
 	lastRunAt     time.Time
-	// mayHaveRun is set once any target may have run the request.
-	mayHaveRun bool
-	// excluded has the IDs of the targets that no further attempt is sent to.
-	excluded map[string]bool
+	mayHaveRun    bool
+	excluded      map[string]bool
 	// assignmentChanged is closed when the service has a newer assignment.
 	assignmentChanged <-chan struct{}
 	ownerAttempts     int
@@ -70,13 +68,10 @@
 	// startupWait is how long after its start an instance delays requests until it
 	// has the configuration and the targets. Requests that instances starting
 	// together refuse would all be retried at the same moment.
-	startupWait = 900 * time.Millisecond
-	// startupPollInterval is how often the delayed requests check for them.
+	startupWait         = 900 * time.Millisecond
 	startupPollInterval = 10 * time.Millisecond
 )
 
-// awaitStartup waits for the first configuration and the first targets, at most
-// until startupWait after the start.
 func (f *Front) awaitStartup(ctx context.Context) {
 	for waitUntil := f.started.Add(startupWait); f.Table() == nil || len(f.Roster.Load().Targets) == 0; {
 		if time.Now().After(waitUntil) {
@@ -178,7 +173,6 @@
 	return &refusal{status: http.StatusRequestTimeout, cause: "bodyNotRead", final: true, closeConnection: true}
 }
 
-// headerSize returns the approximate size of the request line and headers on the wire.
 func headerSize(r *http.Request) int64 {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + 20
 	for name, values := range r.Header {
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -21,21 +21,17 @@
 
 // Options configure a Front. All fields must be set.
 type Options struct {
-	// Headers are the platform's names of the headers.
 	Headers routing.HeaderNames
-	// Broker reserves slots at targets.
-	Broker *broker.Broker
-	Roster *roster.Roster
-	Pools  *Pools
+	Broker  *broker.Broker
+	Roster  *roster.Roster
+	Pools   *Pools
 	// Table returns the routing table in force; nil before the first configuration.
 	Table func() *routing.Table
-	// CurrentAssignment returns a service's assignment, nil if there is none, and a
-	// channel that is closed when there is a newer assignment.
+	// CurrentAssignment returns a service's assignment, or nil, and a channel that is
+	// closed when there is a newer one.
 	CurrentAssignment func(service string) (*ownership.Assignment, <-chan struct{})
-	// OwnerChangedSince reports whether a key's owner changed after a time.
 	OwnerChangedSince func(service string, key int, since time.Time) bool
-	// Loads records the work on each key.
-	Loads *Loads
+	Loads             *Loads
 	// RetryLimits returns the limits of retries in force.
 	RetryLimits func() RetryLimits
 	Metrics     *Metrics
@@ -63,7 +59,7 @@
 	abort             context.CancelFunc
 	mu                sync.Mutex
 	budgets           map[string]*retry.Budget
-	// latencies are the smoothed response times by route.
+	// latencies are the average response times by route.
 	latencies map[string]time.Duration
 }
 
@@ -104,8 +100,7 @@
 	f.writeRefusal(w, c, refused)
 }
 
-// budget returns the retry budget of a service, set to this instance's share of the
-// limits in force.
+// budget returns a service's retry budget, set to this instance's share of the limits.
 func (f *Front) budget(service string) *retry.Budget {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -122,8 +117,7 @@
 const (
 	// initialLatency is the estimate for a route without responses yet.
 	initialLatency = 200 * time.Millisecond
-	// latencySmoothing is the divisor of the newest response time's weight in the
-	// moving average.
+	// latencySmoothing is the inverse of the newest response time's weight.
 	latencySmoothing = 16
 )
 
@@ -138,7 +132,6 @@
 	return initialLatency
 }
 
-// recordLatency updates the average response time of a route.
 func (f *Front) recordLatency(route string, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,8 +185,7 @@
 		c.excluded = nil
 	}
 	if !failed.reachedTarget {
-		// A request that no target received costs the targets nothing, so it needs no
-		// retry budget.
+		// A request that no target received costs the targets nothing.
 		return true
 	}
 	if !budget.TryWithdraw() {
@@ -204,8 +196,7 @@
 }
 
 const (
-	// maxSends limits all attempts, those that did not run included, such as refused
-	// connections.
+	// maxSends also limits attempts that did not run, such as refused connections.
 	maxSends = 8
 	// ownerWaitShare is the share of the route's objective for which a request waits
 	// for its key's next owner, at most maxOwnerWait. Then it is refused, and its
--- a/gateway/front/front_test.go
+++ b/gateway/front/front_test.go
@@ -74,21 +74,19 @@
 	}))
 }
 
-// addTarget adds a target to the roster.
 func (f *fixture) addTarget(id, address string) {
 	f.targets = append(f.targets, &roster.Target{ID: id, Started: 1, Service: "s", Zone: "z", Slots: 3, Address: address})
 	f.roster.Replace(time.Now(), f.targets, 1)
 }
 
-// startTarget starts a server with the handler and adds it as a target.
 func (f *fixture) startTarget(id string, h http.Handler) {
 	server := httptest.NewServer(h)
 	f.t.Cleanup(server.Close)
 	f.addTarget(id, strings.TrimPrefix(server.URL, "http://"))
 }
 
-// startRawTarget adds a target that writes the bytes that answer returns for the request's ID.
-func (f *fixture) startRawTarget(id string, answer func(requestID string) string) {
+// startRawTarget adds a target that writes the bytes that response returns for a request's ID.
+func (f *fixture) startRawTarget(id string, response func(requestID string) string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(f.t, err)
 	f.t.Cleanup(func() { _ = l.Close() })
@@ -104,7 +102,7 @@
 				if err != nil {
 					return
 				}
-				_, _ = io.WriteString(c, answer(r.Header.Get(platform.RequestID)))
+				_, _ = io.WriteString(c, response(r.Header.Get(platform.RequestID)))
 			}()
 		}
 	}()
@@ -225,7 +223,7 @@
 }
 
 func TestUnusableResponsesBecome502(t *testing.T) {
-	for name, answer := range map[string]string{
+	for name, response := range map[string]string{
 		"unsigned":  "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 2\r\n\r\nok",
 		"cut":       "HTTP/1.1 200 OK\r\n%s: %s\r\n" + platform.Signature + ": s\r\nContent-Length: 20\r\n\r\nok",
 		"nonsense":  "%s nonsense %s\r\n\r\n",
@@ -234,7 +232,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			f.setRoutes(5 * time.Second)
-			f.startRawTarget("a", func(id string) string { return fmt.Sprintf(answer, platform.RequestID, id) })
+			f.startRawTarget("a", func(id string) string { return fmt.Sprintf(response, platform.RequestID, id) })
 			res, body := f.call(t.Context(), http.MethodPost, "/book/x", "")
 			assert.Equal(t, res.StatusCode, http.StatusBadGateway, body)
 		})
--- a/gateway/front/owner_test.go
+++ b/gateway/front/owner_test.go
@@ -58,7 +58,6 @@
 	f.newer = make(chan struct{})
 }
 
-// get sends a request for the key and returns the response's status.
 func (f *shardedFixture) get(t *testing.T, key int) int {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, f.server.URL+"/keyed/x", http.NoBody)
--- a/gateway/front/reply.go
+++ b/gateway/front/reply.go
@@ -32,8 +32,7 @@
 	final           bool
 	closeConnection bool
 	retryAfter      time.Duration
-	// targetStatus and queueLength are logged: the target's status, and the number of
-	// queued requests at a refusal by the scheduler.
+	// targetStatus and queueLength (of the scheduler that refused) are only logged.
 	targetStatus int
 	queueLength  int
 }
@@ -56,7 +55,6 @@
 	return r.status
 }
 
-// writeRefusal responds to the caller with a refusal.
 func (f *Front) writeRefusal(w http.ResponseWriter, c *call, r *refusal) {
 	status := r.responseStatus()
 	h := w.Header()
@@ -91,7 +89,6 @@
 		"retryAfterMs", r.retryAfter.Milliseconds())
 }
 
-// writeResponse forwards the target's response to the caller.
 func (f *Front) writeResponse(w http.ResponseWriter, c *call, response *targetResponse) {
 	h := w.Header()
 	for name, values := range response.head.Header {
--- a/gateway/instance/state.go
+++ b/gateway/instance/state.go
@@ -35,7 +35,6 @@
 	updatePartsRevision uint64
 }
 
-// versionedAssignment is a service's assignment at a revision of its table.
 type versionedAssignment struct {
 	assignment *ownership.Assignment
 	revision   uint64
@@ -70,7 +69,6 @@
 	return changes
 }
 
-// ownerChangedSince reports whether a key got another owner after a time.
 func (s *state) ownerChangedSince(service string, key int, since time.Time) bool {
 	s.mu.Lock()
 	a := s.assignments[service]
@@ -83,8 +81,7 @@
 	})
 }
 
-// applyConfig puts a newer configuration in force. Older ones and invalid ones are
-// ignored.
+// applyConfig puts a configuration in force, unless it is invalid or not newer.
 func (s *state) applyConfig(u mirror.Update) {
 	for _, r := range u.Rows {
 		if r.Key != platform.ConfigKey || r.Removed {
@@ -105,7 +102,6 @@
 	}
 }
 
-// applyTargets updates the roster, and logs which targets were added or are leaving.
 func (s *state) applyTargets(u mirror.Update) {
 	now := time.Now()
 	var added, leaving []*roster.Target
@@ -212,7 +208,6 @@
 	event.AssignmentLoaded.Log(s.log, "service", service, "term", a.Term, "revision", revision, "pieces", len(a.Pieces))
 }
 
-// encodeAssignment returns the row of a service's assignment in force.
 func (s *state) encodeAssignment(service string) platform.Row {
 	s.mu.Lock()
 	a := s.assignments[service]
@@ -260,8 +255,8 @@
 	return a.assignment.With(u.Term, u.Pieces), false
 }
 
-// collectParts keeps the parts of an update until all have arrived, and then returns
-// the complete update; nil before.
+// collectParts keeps the parts of an update. It returns nil until all have arrived,
+// and then the complete update.
 func (s *state) collectParts(u *peers.AssignmentUpdate) *peers.AssignmentUpdate {
 	if s.updateParts == nil || s.updatePartsRevision != u.Revision {
 		s.updateParts, s.updatePartsRevision = map[int]*peers.AssignmentUpdate{}, u.Revision
@@ -278,7 +273,6 @@
 	return &complete
 }
 
-// applyInstances applies a change of the instances' table, and returns all instances.
 func (s *state) applyInstances(u mirror.Update) map[string]peers.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
