--- a/standin/demo/fault.go
+++ b/standin/demo/fault.go
@@ -214,7 +214,7 @@
 // readyGateway returns a ready gateway outside of a zone, or the first one if there is none.
 func (f *fleet) readyGateway(zone string) *gateway {
 	for _, g := range f.gateways {
-		if g.Zone.Name != zone && g.entry.Ready.Load() {
+		if g.Zone.Name != zone && g.endpoint.Ready.Load() {
 			return g
 		}
 	}
@@ -227,7 +227,7 @@
 	var gateways []*caller.Gateway
 	for _, g := range f.gateways {
 		if g.Zone.Name != zone {
-			gateways = append(gateways, g.entry)
+			gateways = append(gateways, g.endpoint)
 		}
 	}
 	ctx, cancel := context.WithDeadline(ctx, began.Add(probeTimeout))
@@ -283,7 +283,7 @@
 		case <-tick.C:
 		}
 		group.Go(func() {
-			c := f.load.Probe(gateways, kind, key)
+			c := f.generator.Probe(gateways, kind, key)
 			if c.Outcome == judge.Answered {
 				select {
 				case answered <- c.Done:
@@ -336,7 +336,7 @@
 
 func (f *fleet) allGatewaysHave(version uint64) bool {
 	for _, g := range f.gateways {
-		if !g.entry.Ready.Load() || f.network.IsCut(g.Zone.Name, link.PlatformZone) {
+		if !g.endpoint.Ready.Load() || f.network.IsCut(g.Zone.Name, link.PlatformZone) {
 			continue
 		}
 		var s status
--- a/standin/demo/fleet.go
+++ b/standin/demo/fleet.go
@@ -35,7 +35,7 @@
 // gateway is a gateway process with its egress proxy, its flags and its addresses.
 type gateway struct {
 	deployment.Instance
-	entry          *caller.Gateway
+	endpoint       *caller.Gateway
 	egress         *link.Egress
 	flags          []string
 	adminAddress   string
@@ -59,7 +59,7 @@
 	network    *link.Network
 	targets    map[string]*target.Target
 	gateways   []*gateway
-	load       *caller.Generator
+	generator  *caller.Generator
 	configMu   sync.Mutex
 	closers    []func()
 	group      sync.WaitGroup
@@ -136,7 +136,7 @@
 	work, write := map[string]time.Duration{}, map[string]bool{}
 	values := &target.Values{}
 	for _, k := range f.deployment.Kinds {
-		work[k.Name], write[k.Name] = k.Work, !k.Idempotent
+		work[k.Name], write[k.Name] = k.MeanWork, !k.Idempotent
 	}
 	for _, i := range f.deployment.TargetInstances() {
 		t := &target.Target{Name: i.Name, Service: i.Service, Fenced: !slices.Contains(f.unfenced, i.Name), MeanWork: work, IsWrite: write, History: f.history, Values: values}
@@ -199,7 +199,7 @@
 		return err
 	}
 	g := &gateway{Instance: i, adminAddress: addresses[2], controlAddress: addresses[1]}
-	g.entry = &caller.Gateway{Name: i.Name, Address: addresses[0]}
+	g.endpoint = &caller.Gateway{Name: i.Name, Address: addresses[0]}
 	g.egress = &link.Egress{Zone: i.Zone}
 	f.group.Go(func() { f.network.Serve(proxy, g.egress) })
 	f.closers = append(f.closers, func() { _ = proxy.Close() })
@@ -239,7 +239,7 @@
 	f.group.Go(func() {
 		_ = c.Wait()
 		_ = log.Close()
-		g.entry.Ready.Store(false)
+		g.endpoint.Ready.Store(false)
 		g.mu.Lock()
 		g.process = nil
 		g.killed = !c.ProcessState.Exited()
