--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller simulates the users' callers with open-loop load: requests are sent
-// when they are due, whether or not earlier ones are done.
+// Package caller simulates the users' callers with open-loop load: requests are sent when
+// they are due, whether or not earlier ones are done.
 package caller
 
 import (
@@ -43,8 +43,7 @@
 	Ready   atomic.Bool
 }
 
-// Generator sends Rate requests per second, on average, to ready gateways. Call Init
-// before use.
+// Generator sends Rate requests per second, on average, to ready gateways. Call Init before use.
 type Generator struct {
 	Deployment deployment.Deployment
 	Gateways   []*Gateway
@@ -65,7 +64,7 @@
 	}}
 }
 
-// Run sends requests with exponentially distributed gaps until the context ends, then
+// Run sends requests with exponentially distributed gaps until the context ends, and then
 // waits for the last responses.
 func (gen *Generator) Run(ctx context.Context) {
 	random := rand.New(rand.NewPCG(gen.Seed, 1))
@@ -128,8 +127,7 @@
 	return c
 }
 
-// send sends a request through the load balancer, which tries another gateway only
-// if it can't connect to one.
+// send sends a request as a load balancer, which tries another gateway only if it can't connect.
 func (gen *Generator) send(ctx context.Context, gateways []*Gateway, kind deployment.Kind, key string, c *judge.Call) {
 	c.Outcome = judge.Unknown
 	for range maxBalancerAttempts {
@@ -164,7 +162,6 @@
 	return ""
 }
 
-// readyGateway returns a random ready gateway, or nil.
 func readyGateway(gateways []*Gateway) *Gateway {
 	start := rand.IntN(len(gateways))
 	for i := range gateways {
@@ -214,7 +211,6 @@
 
 func (e *connectionBrokenError) Unwrap() error { return e.cause }
 
-// classify sets the call's outcome from the response.
 func classify(c *judge.Call, res *http.Response, content []byte) {
 	switch refusal.Outcome(res.Header.Get(refusal.OutcomeHeader)) {
 	case refusal.DidNotRun:
@@ -239,8 +235,7 @@
 // maxKeysTried is how many keys KeyInRange tries, those of the load first.
 const maxKeysTried = 200_000
 
-// KeyInRange returns a key of the service whose hash lies in [first, last], or "" if
-// none is found.
+// KeyInRange returns a key of the service whose hash lies in [first, last], or "" if none is found.
 func KeyInRange(service string, first, last uint64) string {
 	for i := range maxKeysTried {
 		key := fmt.Sprintf("k%d", i)
--- a/standin/demo/demo.go
+++ b/standin/demo/demo.go
@@ -48,18 +48,17 @@
 	return f.runScenario(ctx, s, out)
 }
 
-// runScenario runs the load and the faults of a scenario on a fleet that is running.
 func (f *fleet) runScenario(ctx context.Context, s *scenario.Scenario, out io.Writer) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	f.load = &caller.Generator{Deployment: f.deployment, History: f.history, Rate: s.Load.RequestsPerSecond, Seed: s.Seed}
+	f.generator = &caller.Generator{Deployment: f.deployment, History: f.history, Rate: s.Load.RequestsPerSecond, Seed: s.Seed}
 	for _, g := range f.gateways {
-		f.load.Gateways = append(f.load.Gateways, g.entry)
+		f.generator.Gateways = append(f.generator.Gateways, g.endpoint)
 	}
-	f.load.Init()
+	f.generator.Init()
 	var background sync.WaitGroup
 	background.Go(func() { f.pollGateways(ctx) })
-	if err := f.await(ctx, "a ready gateway", func() bool { return f.load.Gateways[0].Ready.Load() }); err != nil {
+	if err := f.await(ctx, "a ready gateway", func() bool { return f.generator.Gateways[0].Ready.Load() }); err != nil {
 		return nil, err
 	}
 	began := time.Now()
@@ -68,7 +67,7 @@
 	defer stopLoad()
 	background.Go(func() { f.printProgress(loadCtx, began, out) })
 	results := f.scheduleFaults(ctx, s, began, out)
-	f.load.Run(loadCtx)
+	f.generator.Run(loadCtx)
 	faults := results()
 	used := f.usage().since(before)
 	stale := f.staleGateways(ctx)
@@ -146,7 +145,7 @@
 }
 
 func (f *fleet) pollGateway(g *gateway) {
-	g.entry.Ready.Store(g.get("/readyz", nil) == nil)
+	g.endpoint.Ready.Store(g.get("/readyz", nil) == nil)
 	var s status
 	if g.get("/v1/status", &s) != nil {
 		return
--- a/standin/demo/fault.go
+++ b/standin/demo/fault.go
@@ -172,13 +172,12 @@
 	}
 }
 
-// lostRange is a range of hashes whose owner a fault makes unavailable.
 type lostRange struct {
 	service     string
 	first, last uint64
 }
 
-// lostRanges returns the ranges whose owners the fault makes unavailable or drains.
+// lostRanges returns the hash ranges whose owners the fault makes unavailable or drains.
 func (f *fleet) lostRanges(fault scenario.Fault) []lostRange {
 	var owners []string
 	switch fault.Do {
@@ -214,7 +213,7 @@
 // readyGateway returns a ready gateway outside of a zone, or the first one if there is none.
 func (f *fleet) readyGateway(zone string) *gateway {
 	for _, g := range f.gateways {
-		if g.Zone.Name != zone && g.entry.Ready.Load() {
+		if g.Zone.Name != zone && g.endpoint.Ready.Load() {
 			return g
 		}
 	}
@@ -227,7 +226,7 @@
 	var gateways []*caller.Gateway
 	for _, g := range f.gateways {
 		if g.Zone.Name != zone {
-			gateways = append(gateways, g.entry)
+			gateways = append(gateways, g.endpoint)
 		}
 	}
 	ctx, cancel := context.WithDeadline(ctx, began.Add(probeTimeout))
@@ -283,7 +282,7 @@
 		case <-tick.C:
 		}
 		group.Go(func() {
-			c := f.load.Probe(gateways, kind, key)
+			c := f.generator.Probe(gateways, kind, key)
 			if c.Outcome == judge.Answered {
 				select {
 				case answered <- c.Done:
@@ -336,7 +335,7 @@
 
 func (f *fleet) allGatewaysHave(version uint64) bool {
 	for _, g := range f.gateways {
-		if !g.entry.Ready.Load() || f.network.IsCut(g.Zone.Name, link.PlatformZone) {
+		if !g.endpoint.Ready.Load() || f.network.IsCut(g.Zone.Name, link.PlatformZone) {
 			continue
 		}
 		var s status
--- a/standin/demo/fleet.go
+++ b/standin/demo/fleet.go
@@ -35,7 +35,7 @@
 // gateway is a gateway process with its egress proxy, its flags and its addresses.
 type gateway struct {
 	deployment.Instance
-	entry          *caller.Gateway
+	endpoint       *caller.Gateway
 	egress         *link.Egress
 	flags          []string
 	adminAddress   string
@@ -59,13 +59,12 @@
 	network    *link.Network
 	targets    map[string]*target.Target
 	gateways   []*gateway
-	load       *caller.Generator
+	generator  *caller.Generator
 	configMu   sync.Mutex
 	closers    []func()
 	group      sync.WaitGroup
 }
 
-// buildGateway compiles the gateway into the folder and returns the path of the binary.
 func buildGateway(folder string) (string, error) {
 	binary := filepath.Join(folder, "basilcross-gateway")
 	out, err := exec.Command("go", "build", "-o", binary, "basilcross.example/gateway").CombinedOutput()
@@ -136,7 +135,7 @@
 	work, write := map[string]time.Duration{}, map[string]bool{}
 	values := &target.Values{}
 	for _, k := range f.deployment.Kinds {
-		work[k.Name], write[k.Name] = k.Work, !k.Idempotent
+		work[k.Name], write[k.Name] = k.MeanWork, !k.Idempotent
 	}
 	for _, i := range f.deployment.TargetInstances() {
 		t := &target.Target{Name: i.Name, Service: i.Service, Fenced: !slices.Contains(f.unfenced, i.Name), MeanWork: work, IsWrite: write, History: f.history, Values: values}
@@ -199,7 +198,7 @@
 		return err
 	}
 	g := &gateway{Instance: i, adminAddress: addresses[2], controlAddress: addresses[1]}
-	g.entry = &caller.Gateway{Name: i.Name, Address: addresses[0]}
+	g.endpoint = &caller.Gateway{Name: i.Name, Address: addresses[0]}
 	g.egress = &link.Egress{Zone: i.Zone}
 	f.group.Go(func() { f.network.Serve(proxy, g.egress) })
 	f.closers = append(f.closers, func() { _ = proxy.Close() })
@@ -239,7 +238,7 @@
 	f.group.Go(func() {
 		_ = c.Wait()
 		_ = log.Close()
-		g.entry.Ready.Store(false)
+		g.endpoint.Ready.Store(false)
 		g.mu.Lock()
 		g.process = nil
 		g.killed = !c.ProcessState.Exited()
@@ -300,7 +299,6 @@
 	} `json:"leader"`
 }
 
-// configVersionKey is the key of the configuration in status.Versions.
 const configVersionKey = "$config"
 
 // configure submits the first configuration and waits until every shard has an owner.
@@ -319,7 +317,6 @@
 	})
 }
 
-// allShardsOwned reports whether every shard of every sharded service has an owner.
 func (f *fleet) allShardsOwned() bool {
 	for _, s := range f.deployment.Services {
 		var a struct {
--- a/standin/demo/report.go
+++ b/standin/demo/report.go
@@ -257,7 +257,6 @@
 	}
 }
 
-// checkExpectations adds each unmet expectation to Unmet.
 func (r *Report) checkExpectations(e scenario.Expect) {
 	unmet := func(format string, args ...any) { r.Unmet = append(r.Unmet, fmt.Sprintf(format, args...)) }
 	if n := r.Violations.Total(); n > 0 && (e.Violations == nil || n > *e.Violations) {
--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -34,7 +34,7 @@
 	Region string
 }
 
-// Service is a set of targets; Slots and Shards are those of a target and of the service.
+// Service is a set of targets. Slots is the number per target, Shards that of the whole service.
 type Service struct {
 	Name    string
 	Sharded bool
@@ -43,13 +43,13 @@
 	Shards  int
 }
 
-// Kind is a kind of request with its share of the load and its mean execution time.
+// Kind is a kind of request, with its share of the load and its mean processing time.
 type Kind struct {
 	Name       string
 	Service    string
 	Idempotent bool
 	Share      float64
-	Work       time.Duration
+	MeanWork   time.Duration
 	Deadline   time.Duration
 	Priority   int
 }
@@ -82,11 +82,11 @@
 			{Name: "menus", Sharded: true, Targets: 20, Slots: 3, Shards: 80},
 		},
 		Kinds: []Kind{
-			{Name: "slots", Service: "booking", Idempotent: true, Share: 0.25, Work: 6 * time.Millisecond, Deadline: 2 * time.Second, Priority: 4},
-			{Name: "booking", Service: "booking", Share: 0.10, Work: 15 * time.Millisecond, Deadline: 3 * time.Second, Priority: 0},
-			{Name: "menus", Service: "menus", Idempotent: true, Share: 0.40, Work: 5 * time.Millisecond, Deadline: 2 * time.Second, Priority: 5},
-			{Name: "lists", Service: "menus", Idempotent: true, Share: 0.15, Work: 8 * time.Millisecond, Deadline: 2 * time.Second, Priority: 2},
-			{Name: "entry", Service: "menus", Share: 0.10, Work: 10 * time.Millisecond, Deadline: 3 * time.Second, Priority: 1},
+			{Name: "slots", Service: "booking", Idempotent: true, Share: 0.25, MeanWork: 6 * time.Millisecond, Deadline: 2 * time.Second, Priority: 4},
+			{Name: "booking", Service: "booking", Share: 0.10, MeanWork: 15 * time.Millisecond, Deadline: 3 * time.Second, Priority: 0},
+			{Name: "menus", Service: "menus", Idempotent: true, Share: 0.40, MeanWork: 5 * time.Millisecond, Deadline: 2 * time.Second, Priority: 5},
+			{Name: "lists", Service: "menus", Idempotent: true, Share: 0.15, MeanWork: 8 * time.Millisecond, Deadline: 2 * time.Second, Priority: 2},
+			{Name: "entry", Service: "menus", Share: 0.10, MeanWork: 10 * time.Millisecond, Deadline: 3 * time.Second, Priority: 1},
 		},
 		ZoneDelay: 500 * time.Microsecond, RegionDelay: 8 * time.Millisecond, CallerDelay: 3 * time.Millisecond,
 		LinkBytesPerSecond: linkBytesPerSecond, Gateways: 12, StoreZone: "graz",
@@ -102,11 +102,11 @@
 			{Name: "archive", Sharded: true, Targets: 20, Slots: 4, Shards: 80},
 		},
 		Kinds: []Kind{
-			{Name: "lookup", Service: "rates", Idempotent: true, Share: 0.45, Work: 4 * time.Millisecond, Deadline: 2 * time.Second, Priority: 1},
-			{Name: "confirmation", Service: "rates", Share: 0.10, Work: 15 * time.Millisecond, Deadline: 3 * time.Second, Priority: 0},
-			{Name: "residuals", Service: "archive", Idempotent: true, Share: 0.25, Work: 12 * time.Millisecond, Deadline: 4 * time.Second, Priority: 5},
-			{Name: "record", Service: "archive", Share: 0.10, Work: 10 * time.Millisecond, Deadline: 3 * time.Second, Priority: 1},
-			{Name: "pull", Service: "archive", Idempotent: true, Share: 0.10, Work: 60 * time.Millisecond, Deadline: 8 * time.Second, Priority: 9},
+			{Name: "lookup", Service: "rates", Idempotent: true, Share: 0.45, MeanWork: 4 * time.Millisecond, Deadline: 2 * time.Second, Priority: 1},
+			{Name: "confirmation", Service: "rates", Share: 0.10, MeanWork: 15 * time.Millisecond, Deadline: 3 * time.Second, Priority: 0},
+			{Name: "residuals", Service: "archive", Idempotent: true, Share: 0.25, MeanWork: 12 * time.Millisecond, Deadline: 4 * time.Second, Priority: 5},
+			{Name: "record", Service: "archive", Share: 0.10, MeanWork: 10 * time.Millisecond, Deadline: 3 * time.Second, Priority: 1},
+			{Name: "pull", Service: "archive", Idempotent: true, Share: 0.10, MeanWork: 60 * time.Millisecond, Deadline: 8 * time.Second, Priority: 9},
 		},
 		ZoneDelay: 1400 * time.Microsecond, RegionDelay: 8 * time.Millisecond, CallerDelay: time.Millisecond,
 		LinkBytesPerSecond: linkBytesPerSecond, Gateways: 12, StoreZone: "north",
@@ -167,7 +167,7 @@
 			Rules: config.Rules{
 				Deadline: config.Ptr(config.Duration(k.Deadline)),
 				Priority: config.Ptr(k.Priority),
-				Weight:   config.Ptr(float64(k.Work) / float64(5*time.Millisecond)),
+				Weight:   config.Ptr(float64(k.MeanWork) / float64(5*time.Millisecond)),
 			},
 		})
 	}
@@ -182,7 +182,7 @@
 	}
 	demand := map[string]float64{}
 	for _, k := range d.Kinds {
-		demand[k.Service] += k.Share * k.Work.Seconds()
+		demand[k.Service] += k.Share * k.MeanWork.Seconds()
 	}
 	capacity := 0.0
 	for service, n := range demand {
--- a/standin/experiment.go
+++ b/standin/experiment.go
@@ -10,12 +10,13 @@
 	"github.com/spf13/cobra"
 )
 
-const usageExperiment = `Simulate loads with the product's scheduler of slots, in virtual time.
+const usageExperiment = `Simulate loads with the product's slot scheduler, in virtual time.
 
 Each load is a file; standin/experiment/loads has examples. For each level of a load, the
-table shows the results of each kind of request with the product's scheduler, with a queue
-that knows all future requests and their work (bound), and without a scheduler
-(arrivalOrder). --plot writes an SVG file for each load.
+table shows the results of each kind of request with the product's scheduler (schedule), with
+an oracle that sees all future requests and their work (bound), or only the mean and spread
+of the work of their kinds (kindsBound), and without a scheduler (arrivalOrder). --plot writes
+an SVG file for each load.
 
 Examples:
   go run ./standin experiment standin/experiment/loads/mixed-divided.json
@@ -25,7 +26,7 @@
 	var seed uint64
 	var plots string
 	c := &cobra.Command{
-		Use: "experiment LOAD...", Short: "Simulate loads with the scheduler of slots",
+		Use: "experiment LOAD...", Short: "Simulate loads with the slot scheduler",
 		Long: usageExperiment, Args: cobra.MinimumNArgs(1),
 	}
 	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the random load")
--- a/standin/experiment/arrivalorder.go
+++ b/standin/experiment/arrivalorder.go
@@ -15,9 +15,9 @@
 	report  *Report
 }
 
-// ArrivalOrder simulates a load without a scheduler: each request is sent at once to
-// its target, or to the one with the fewest requests, and waits there in order of
-// arrival until its deadline. Callers don't retry.
+// ArrivalOrder simulates a load without a scheduler: each request is sent at once to its
+// target, or to the one with the fewest executing and waiting requests, and waits there in
+// order of arrival until its deadline. Callers don't retry.
 func (l *Load) ArrivalOrder(level float64, seed uint64) *Report {
 	f := &fifoRun{random: rand.New(rand.NewPCG(seed, 23)), targets: l.simTargets(), report: l.newReport("arrivalOrder", level)}
 	f.busy, f.waiting = make([]int, len(f.targets)), make([][]*request, len(f.targets))
@@ -59,7 +59,6 @@
 	}
 }
 
-// leastLoaded returns the target with the fewest executing and waiting requests.
 func (f *fifoRun) leastLoaded() int {
 	best := 0
 	for n := range f.targets {
--- a/standin/experiment/arrivals.go
+++ b/standin/experiment/arrivals.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// request is one generated request, with its work, which only oracles (see
-// Load.Bound) may read in advance.
+// request is one generated request. Its work is known in advance only to oracles; see Load.Bound.
 type request struct {
 	kind *Kind
 	// kindNumber is the kind's index + 1.
@@ -19,7 +18,6 @@
 	retryImmediately bool
 }
 
-// simTarget is one simulated target.
 type simTarget struct {
 	Target
 	// requestShare is the target's share of a sharded service's requests.
@@ -34,7 +32,7 @@
 	return t.Slowness
 }
 
-// simTargets returns the targets of a load. Requests are divided in proportion to capacity.
+// simTargets returns the targets of a load. Requests are distributed by capacity, except HotTargetShare.
 func (l *Load) simTargets() []*simTarget {
 	var list []*simTarget
 	capacity := 0.0
--- a/standin/experiment/bound.go
+++ b/standin/experiment/bound.go
@@ -23,8 +23,7 @@
 	reservesSlots bool
 	// servesLate gives slots that no request in time can use to late requests.
 	servesLate bool
-	// estimatesWork uses the kind's mean work plus margin times its spread, instead
-	// of the request's actual work.
+	// estimatesWork replaces a request's work by its kind's mean plus margin times the spread.
 	estimatesWork bool
 	margin        float64
 }
@@ -40,8 +39,8 @@
 	return l.bestOf("bound", level, seed, policies)
 }
 
-// KindsBound is like Bound, but sees only the mean and spread of a kind's work, not a
-// single request's, which no scheduler can predict. Some policies serve late requests.
+// KindsBound is like Bound, but sees only the mean and spread of a kind's work, not that of a
+// single request, which no scheduler can predict. Some policies serve late requests.
 func (l *Load) KindsBound(level float64, seed uint64) *Report {
 	var policies []policy
 	for _, before := range []orderFunc{byWorth, byObjective, newestFirst} {
@@ -56,7 +55,6 @@
 	return l.bestOf("kindsBound", level, seed, policies)
 }
 
-// bestOf returns the report of the policy with the highest worth.
 func (l *Load) bestOf(strategy string, level float64, seed uint64, policies []policy) *Report {
 	var best *Report
 	for _, p := range policies {
@@ -67,8 +65,7 @@
 	return best
 }
 
-// oracleRun simulates a policy. Requests are grouped by target; without sharding, all
-// are in group 0.
+// oracleRun simulates a policy. Requests are grouped by target; without sharding, all are in group 0.
 type oracleRun struct {
 	eventLoop
 	policy
@@ -183,7 +180,6 @@
 	o.waiting[g] = kept
 }
 
-// expectedEnd returns when a request that starts now is expected to end.
 func (o *oracleRun) expectedEnd(r *request, slow float64) time.Duration {
 	return o.now + time.Duration(float64(o.expectedWork(r))*slow)
 }
--- a/standin/experiment/eventloop.go
+++ b/standin/experiment/eventloop.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// eventLoop runs functions in order of virtual time; those due at the same time run
-// in the order in which they were added. The zero value is an empty loop at time 0.
+// eventLoop runs functions in order of virtual time; those due at the same time run in the
+// order in which they were added. The zero value is an empty loop at time 0.
 type eventLoop struct {
 	now   time.Duration
 	queue eventHeap
@@ -25,7 +25,6 @@
 	heap.Push(&e.queue, event{e.now + max(0, d), e.count, fn})
 }
 
-// run runs events until none is left.
 func (e *eventLoop) run() {
 	for len(e.queue) > 0 {
 		next := heap.Pop(&e.queue).(event)
@@ -36,18 +35,18 @@
 
 type eventHeap []event
 
-func (l eventHeap) Len() int { return len(l) }
-func (l eventHeap) Less(i, j int) bool {
-	if l[i].at != l[j].at {
-		return l[i].at < l[j].at
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
+	if h[i].at != h[j].at {
+		return h[i].at < h[j].at
 	}
-	return l[i].seq < l[j].seq
+	return h[i].seq < h[j].seq
 }
-func (l eventHeap) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
-func (l *eventHeap) Push(x any)   { *l = append(*l, x.(event)) }
-func (l *eventHeap) Pop() any {
-	old := *l
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	*l = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
--- a/standin/experiment/experiment_test.go
+++ b/standin/experiment/experiment_test.go
@@ -15,7 +15,6 @@
 	"gotest.tools/v3/golden"
 )
 
-// readLoads reads all loads in the folder loads.
 func readLoads(t *testing.T) []*Load {
 	t.Helper()
 	files, err := filepath.Glob("loads/*.json")
@@ -58,8 +57,8 @@
 	}
 }
 
-// withoutMessageDelay returns the load with nearly no network delay, which the
-// scheduler can't influence and the bounds don't include.
+// withoutMessageDelay nearly removes the network delay, which the scheduler can't influence
+// and the bounds don't include.
 func withoutMessageDelay(l *Load) *Load {
 	copied := *l
 	copied.OneWayDelays = slices.Repeat([]float64{0.01}, len(l.OneWayDelays))
--- a/standin/experiment/load.go
+++ b/standin/experiment/load.go
@@ -48,7 +48,7 @@
 	SlowFactor   float64 `json:"slowTimes"`
 }
 
-// Kind is a kind of request, with its share of the load and what an answer is worth.
+// Kind is a kind of request, with its share of the load and what a response is worth.
 type Kind struct {
 	Name  string  `json:"name"`
 	Share float64 `json:"share"`
@@ -98,7 +98,7 @@
 	}
 	l, err := Parse(text)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", file, err)
+		return nil, fmt.Errorf("load file %s: %w", file, err)
 	}
 	return l, nil
 }
@@ -148,8 +148,7 @@
 	return errors.Join(errs...)
 }
 
-// capacity returns how many requests per second the targets can serve if the work is
-// distributed evenly.
+// capacity returns the requests per second that the targets can serve if work is distributed evenly.
 func (l *Load) capacity() float64 {
 	work, shares := 0.0, 0.0
 	for _, k := range l.Kinds {
--- a/standin/experiment/plot.go
+++ b/standin/experiment/plot.go
@@ -9,7 +9,6 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The size of a plot.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
--- a/standin/experiment/simulate.go
+++ b/standin/experiment/simulate.go
@@ -12,15 +12,13 @@
 )
 
 const (
-	// admitInterval is how often waiting requests are rescheduled even if no slot is
-	// released.
+	// admitInterval is how often waiting requests are rescheduled even if no slot is released.
 	admitInterval = 25 * time.Millisecond
 	// maxTargetsPerAttempt limits the targets that one attempt is sent to.
 	maxTargetsPerAttempt = 3
-	// retryWaitDivisor limits the wait before a retry to a third of the time left
-	// until the deadline.
+	// retryWaitDivisor limits the wait before a retry to a third of the time until the deadline.
 	retryWaitDivisor = 3
-	// minRetryAfter is the shortest wait that a refusal asks of callers.
+	// minRetryAfter is the shortest wait before a retry that a refusal requests.
 	minRetryAfter = 50 * time.Millisecond
 	// reconnectDelay is the wait of a caller that retries immediately.
 	reconnectDelay = 5 * time.Millisecond
@@ -162,7 +160,6 @@
 	}
 }
 
-// send forwards the request from its instance to the target.
 func (s *schedulerRun) send(a *attempt) {
 	t := a.ticket
 	s.report.recordQueueTime(a.req, s.now-a.submitted)
--- a/standin/judge/judge.go
+++ b/standin/judge/judge.go
@@ -140,19 +140,19 @@
 }
 
 // AddHold records a hold, merged with the previous one of its range and epoch if contiguous.
-func (h *History) AddHold(s Hold) {
+func (h *History) AddHold(hold Hold) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.lastHold == nil {
 		h.lastHold = map[holdKey]int{}
 	}
-	key := holdKey{s.Target, s.Service, s.First, s.Epoch}
-	if i, ok := h.lastHold[key]; ok && !s.From.After(h.Holds[i].Until) && s.Last == h.Holds[i].Last {
-		h.Holds[i].Until = s.Until
+	key := holdKey{hold.Target, hold.Service, hold.First, hold.Epoch}
+	if i, ok := h.lastHold[key]; ok && !hold.From.After(h.Holds[i].Until) && hold.Last == h.Holds[i].Last {
+		h.Holds[i].Until = hold.Until
 		return
 	}
 	h.lastHold[key] = len(h.Holds)
-	h.Holds = append(h.Holds, s)
+	h.Holds = append(h.Holds, hold)
 }
 
 // Violations counts broken guarantees by kind; all counts must be zero.
@@ -218,9 +218,9 @@
 
 // heldByOther reports whether another target held the key at the time of the execution.
 func (h *History) heldByOther(r Run) bool {
-	return slices.ContainsFunc(h.Holds, func(s Hold) bool {
-		covers := s.Service == r.Service && s.First <= r.Hash && r.Hash <= s.Last
-		return covers && s.Target != r.Target && !r.At.Before(s.From) && r.At.Before(s.Until)
+	return slices.ContainsFunc(h.Holds, func(hold Hold) bool {
+		covers := hold.Service == r.Service && hold.First <= r.Hash && r.Hash <= hold.Last
+		return covers && hold.Target != r.Target && !r.At.Before(hold.From) && r.At.Before(hold.Until)
 	})
 }
 
@@ -285,15 +285,15 @@
 	holds := slices.Clone(h.Holds)
 	slices.SortFunc(holds, func(a, b Hold) int { return cmp.Compare(a.From.UnixNano(), b.From.UnixNano()) })
 	moved := 0.0
-	for _, s := range holds {
-		if s.Service != service {
+	for _, hold := range holds {
+		if hold.Service != service {
 			continue
 		}
-		previous, known := owner[s.First]
-		if known && previous != s.Target && s.From.After(from) && s.From.Before(until) {
-			moved += float64(s.Last-s.First) / float64(^uint64(0))
+		previous, known := owner[hold.First]
+		if known && previous != hold.Target && hold.From.After(from) && hold.From.Before(until) {
+			moved += float64(hold.Last-hold.First) / float64(^uint64(0))
 		}
-		owner[s.First] = s.Target
+		owner[hold.First] = hold.Target
 	}
 	return moved
 }
--- a/standin/judge/judge_test.go
+++ b/standin/judge/judge_test.go
@@ -12,7 +12,6 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// validHistory returns a history without violations.
 func validHistory() *judge.History {
 	h := &judge.History{}
 	h.AddHold(judge.Hold{Target: "t1", Service: "menus", First: 0, Last: 99, Epoch: 1, From: at(0), Until: at(500)})
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -106,8 +106,8 @@
 func (n *Network) ResetConnections() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for p := range n.conns {
-		for _, end := range p.ends {
+	for c := range n.conns {
+		for _, end := range c.ends {
 			if tcp, ok := end.(*net.TCPConn); ok {
 				// Without linger 0, the bytes in flight would still arrive, followed by a regular close.
 				_ = tcp.SetLinger(0)
@@ -121,8 +121,8 @@
 func (n *Network) BlackholeConnections() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for p := range n.conns {
-		p.blackholed.Store(true)
+	for c := range n.conns {
+		c.blackholed.Store(true)
 	}
 }
 
@@ -213,7 +213,6 @@
 	n.forward(c, client, target, zone)
 }
 
-// connection is an open connection through the proxy.
 type connection struct {
 	network      *Network
 	egress       *Egress
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,5 +1,4 @@
-// Command basilcross-standin tests real gateways with small stand-ins for the users'
-// platform, targets and callers.
+// Command basilcross-standin tests real gateways with a simulated platform, targets and callers.
 package main
 
 import (
--- a/standin/scenario/random.go
+++ b/standin/scenario/random.go
@@ -62,17 +62,15 @@
 	return s
 }
 
-// drainNoticeMs is how long it may take until every gateway has received that a target leaves.
+// drainNoticeMs is how long it may take until every gateway has received that a target is leaving.
 const drainNoticeMs = 4000
 
 // drainHidingFaults may keep a gateway from receiving in time that a target is leaving.
-// New requests may then still be sent to the target.
 var drainHidingFaults = []string{
 	"freezeGateway", "cutZone", "cutZoneOneWay", "cutZoneFromPlatform", "cutRegions",
 	"storeDown", "storeSlow", "loseStoreAnswers", "silenceConnections",
 }
 
-// drainMayBeMissed reports whether another fault may hide this drain from a gateway.
 func drainMayBeMissed(all []Fault, drain Fault) bool {
 	return slices.ContainsFunc(all, func(f Fault) bool {
 		return slices.Contains(drainHidingFaults, f.Do) && f.AtMs < drain.AtMs+drainNoticeMs && f.AtMs+f.ForMs > drain.AtMs-drainNoticeMs
--- a/standin/scenario/scenario.go
+++ b/standin/scenario/scenario.go
@@ -59,7 +59,7 @@
 	ZoneResource
 )
 
-// FaultTypes maps the known fault types to what they are applied to.
+// FaultTypes maps the known fault types to the types of resource that they are applied to.
 var FaultTypes = map[string]ResourceType{
 	"killTarget": TargetResource, "freezeTarget": TargetResource, "drainTarget": TargetResource, "startTarget": TargetResource,
 	"killGateway": GatewayResource, "freezeGateway": GatewayResource, "stopGateway": GatewayResource, "startGateway": GatewayResource,
--- a/standin/soak.go
+++ b/standin/soak.go
@@ -28,7 +28,6 @@
 // seedRange is the value of the flag --seeds: the seeds from first to last.
 type seedRange struct{ first, last uint64 }
 
-// String returns the range as N-M.
 func (r *seedRange) String() string { return fmt.Sprintf("%d-%d", r.first, r.last) }
 
 // Type returns the name of the type for the help text.
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -52,7 +52,7 @@
 	Fenced bool
 	// MeanWork is the mean processing time of a request, by kind.
 	MeanWork map[string]time.Duration
-	// IsWrite has the kinds that write.
+	// IsWrite is true for the kinds that write.
 	IsWrite map[string]bool
 	History *judge.History
 	// Values survive restarts of the targets, as the users' own storage does.
@@ -195,7 +195,6 @@
 	w.WriteHeader(http.StatusConflict)
 }
 
-// execution is one request being processed by the target.
 type execution struct {
 	run       judge.Run
 	key       string
