--- a/ctl/client/client.go
+++ b/ctl/client/client.go
@@ -31,10 +31,9 @@
 	return fmt.Sprintf("gateway responded with status %d: %s", e.StatusCode, e.Message)
 }
 
-// timeout limits one call, including the read of its response.
+// timeout limits one call, including the reading of its response.
 const timeout = 15 * time.Second
 
-// maxResponseBytes limits how much of a response body is read.
 const maxResponseBytes = 64 << 20
 
 // Get requests a path and decodes the JSON response into v.
--- a/ctl/command/command.go
+++ b/ctl/command/command.go
@@ -33,7 +33,6 @@
 
 func (e *ExitError) Error() string { return e.Cause.Error() }
 
-// Unwrap returns the cause.
 func (e *ExitError) Unwrap() error { return e.Cause }
 
 // withExitCode adds the exit code for a client error; without an HTTP status it is ExitUnreachable.
--- a/ctl/command/command_test.go
+++ b/ctl/command/command_test.go
@@ -13,7 +13,6 @@
 	"gotest.tools/v3/golden"
 )
 
-// responses are the gateway's response bodies by path.
 var responses = map[string]string{
 	"/v1/status": `{"instance":"gw-graz-1","zone":"graz","ready":true,"versions":{"$config":3,"menus":7},
 		"leader":{"leading":true,"tableOk":true,"record":{"holder":"gw-graz-1","term":2},
@@ -79,8 +78,7 @@
 	}
 }
 
-// Another operator's change came first: the exit code reports the conflict, the
-// message has both versions, and nothing is changed.
+// Guards against an exit code or message that hides that another operator's change came first.
 func TestConflictExitCode(t *testing.T) {
 	_, err := run(t, "undrain", "t1", "--reason", "the disk was replaced", "--author", "bert")
 	var exit *command.ExitError
--- a/ctl/command/config.go
+++ b/ctl/command/config.go
@@ -194,10 +194,10 @@
 func (s *session) outdatedGateways(ctx context.Context, gateways []string, version uint64) []string {
 	var outdated []string
 	for _, g := range gateways {
-		gateway := s.client
-		gateway.Server = g
+		gatewayClient := s.client
+		gatewayClient.Server = g
 		var st gatewayStatus
-		if err := gateway.Get(ctx, "/v1/status", nil, &st); err != nil || st.Versions["$config"] < version {
+		if err := gatewayClient.Get(ctx, "/v1/status", nil, &st); err != nil || st.Versions["$config"] < version {
 			outdated = append(outdated, g)
 		}
 	}
--- a/ctl/command/fleet_test.go
+++ b/ctl/command/fleet_test.go
@@ -22,7 +22,6 @@
 		`"pieces":[[4095,0,0],[8191,0,91000],[65535,-1,0]]}`
 )
 
-// runFleet runs a command against a store with a small fleet's rows.
 func runFleet(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	store := &standin.Store{}
--- a/ctl/command/fleetowner.go
+++ b/ctl/command/fleetowner.go
@@ -68,20 +68,18 @@
 	fmt.Fprintf(w, "recorded\tin term %d, revision %d\n", o.Term, o.Revision)
 }
 
-// addressText describes the target at the owner's address.
 func (o *fleetOwner) addressText() string {
-	r := o.TargetAtAddress
+	t := o.TargetAtAddress
 	switch {
-	case r == nil:
+	case t == nil:
 		return o.Piece.Address + " has nobody who is named"
-	case r.ID != o.Piece.Owner || r.Started != o.Piece.Started:
-		return fmt.Sprintf("%s has %s of service %s, started %s: not the owner on record", o.Piece.Address, r.ID, r.Service, formatStarted(r.Started))
+	case t.ID != o.Piece.Owner || t.Started != o.Piece.Started:
+		return fmt.Sprintf("%s has %s of service %s, started %s: not the owner on record", o.Piece.Address, t.ID, t.Service, formatStarted(t.Started))
 	default:
-		return fmt.Sprintf("%s has it, started %s", o.Piece.Address, formatStarted(r.Started))
+		return fmt.Sprintf("%s has it, started %s", o.Piece.Address, formatStarted(t.Started))
 	}
 }
 
-// ownerText describes the owner of a piece.
 func ownerText(p *ownership.Piece) string {
 	switch {
 	case p.Owner == "":
--- a/ctl/command/fleetroutes.go
+++ b/ctl/command/fleetroutes.go
@@ -73,7 +73,6 @@
 	}
 }
 
-// readConfig reads the operator's newest configuration.
 func (f *fleet) readConfig(c *cobra.Command) (*routing.Config, error) {
 	rows, err := f.readTable(c.Context(), platform.OperatorTable)
 	if err != nil {
--- a/ctl/command/fleettargets.go
+++ b/ctl/command/fleettargets.go
@@ -80,7 +80,6 @@
 	return all.Load(), nil
 }
 
-// formatStarted formats a start time in Unix milliseconds.
 func formatStarted(ms int64) string {
 	return time.UnixMilli(ms).UTC().Format("2006-01-02T15:04:05.000Z")
 }
--- a/ctl/command/trace.go
+++ b/ctl/command/trace.go
@@ -91,8 +91,8 @@
 		if l.Fields["request"] != id {
 			continue
 		}
-		for _, known := range []string{"time", "level", "instance", "event", "msg", "request"} {
-			delete(l.Fields, known)
+		for _, name := range []string{"time", "level", "instance", "event", "msg", "request"} {
+			delete(l.Fields, name)
 		}
 		lines = append(lines, l)
 	}
