--- a/basilcross/egress/egress.go
+++ b/basilcross/egress/egress.go
@@ -13,8 +13,8 @@
 const (
 	// defaultKeepAlive is the keep-alive interval if none is set.
 	defaultKeepAlive = 5 * time.Second
-	// defaultTimeout is the dial timeout if none is set.
-	defaultTimeout = 2 * time.Second
+	// defaultDialTimeout is the dial timeout if none is set.
+	defaultDialTimeout = 2 * time.Second
 )
 
 // Dialer opens TCP connections. The zero value dials directly.
@@ -24,9 +24,9 @@
 	// UserTimeout is how long sent bytes may stay unacknowledged by the other end's
 	// kernel before the connection is aborted (TCP_USER_TIMEOUT); 0 leaves the default.
 	UserTimeout time.Duration
-	// Timeout bounds dialing, including the proxy's answer, unless the context ends
+	// DialTimeout bounds dialing, including the proxy's answer, unless the context ends
 	// earlier; 0 is two seconds.
-	Timeout time.Duration
+	DialTimeout time.Duration
 	// KeepAliveInterval is the idle time after which a keep-alive probe is sent, and the
 	// time between probes; 0 is five seconds. Probes detect connections whose other end
 	// has disappeared without a reset.
@@ -53,9 +53,9 @@
 
 // DialContext opens a connection. It fits http.Transport.DialContext.
 func (d *Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	timeout, keepAlive := d.Timeout, d.KeepAliveInterval
+	timeout, keepAlive := d.DialTimeout, d.KeepAliveInterval
 	if timeout == 0 {
-		timeout = defaultTimeout
+		timeout = defaultDialTimeout
 	}
 	if keepAlive == 0 {
 		keepAlive = defaultKeepAlive
--- a/basilcross/eviction/eviction.go
+++ b/basilcross/eviction/eviction.go
@@ -18,7 +18,7 @@
 // has not begun.
 type Eviction struct {
 	rowVersion    uint64
-	promisesEnd   map[string]time.Time
+	extensionsEnd map[string]time.Time
 	tableLeaseEnd time.Time
 }
 
@@ -28,7 +28,7 @@
 	if e.rowVersion == version {
 		return
 	}
-	*e = Eviction{rowVersion: version, tableLeaseEnd: tableLeaseEnd, promisesEnd: map[string]time.Time{}}
+	*e = Eviction{rowVersion: version, tableLeaseEnd: tableLeaseEnd, extensionsEnd: map[string]time.Time{}}
 }
 
 // Version is the row version that the attempt is against; zero before Begin.
@@ -37,25 +37,25 @@
 // Confirm records that a zone's leader refrains from extending the seat,
 // received at now, and that its earlier promises expire within left.
 func (e *Eviction) Confirm(now time.Time, zone string, version uint64, left time.Duration) {
-	if version == e.rowVersion && e.promisesEnd != nil {
-		e.promisesEnd[zone] = now.Add(lease.Wait(left))
+	if version == e.rowVersion && e.extensionsEnd != nil {
+		e.extensionsEnd[zone] = now.Add(lease.Wait(left))
 	}
 }
 
 // HasConfirmed reports whether a zone's leader has confirmed.
 func (e *Eviction) HasConfirmed(zone string) bool {
-	_, ok := e.promisesEnd[zone]
+	_, ok := e.extensionsEnd[zone]
 	return ok
 }
 
 // Complete reports whether the seat may be claimed at now, given confirmations
 // from quorum zones.
 func (e *Eviction) Complete(now time.Time, quorum int) bool {
-	if e.rowVersion == 0 || now.Before(e.tableLeaseEnd) || len(e.promisesEnd) < quorum {
+	if e.rowVersion == 0 || now.Before(e.tableLeaseEnd) || len(e.extensionsEnd) < quorum {
 		return false
 	}
-	ends := make([]time.Time, 0, len(e.promisesEnd))
-	for _, t := range e.promisesEnd {
+	ends := make([]time.Time, 0, len(e.extensionsEnd))
+	for _, t := range e.extensionsEnd {
 		ends = append(ends, t)
 	}
 	slices.SortFunc(ends, time.Time.Compare)
--- a/basilcross/ownership/simulation_test.go
+++ b/basilcross/ownership/simulation_test.go
@@ -65,12 +65,12 @@
 // fakeTarget is one process. It has ended once it is not the one running at its
 // address.
 type fakeTarget struct {
-	name    string
-	address string
-	entry   *roster.Target
-	seen    map[int]int64
-	until   map[int]time.Time
-	drift   float64
+	name         string
+	address      string
+	entry        *roster.Target
+	highestEpoch map[int]int64
+	heldUntil    map[int]time.Time
+	drift        float64
 }
 
 // fakeConnection is a connection and the process at its other end.
@@ -138,19 +138,19 @@
 	s.logf("%s applies a grant of %d to %d for %v, epoch %d, channel %d, received %v ago", to.name, o.First, o.Last, o.Owner, o.Epoch, o.Channel, s.now.Sub(arrived))
 	keys := sampledKeys(o.First, o.Last)
 	for _, k := range keys {
-		if to.seen[k] > o.Epoch {
+		if to.highestEpoch[k] > o.Epoch {
 			return ownership.Stale
 		}
 	}
 	until := arrived.Add(time.Duration(float64(o.Hold) * to.drift))
 	for _, k := range keys {
-		to.seen[k] = o.Epoch
+		to.highestEpoch[k] = o.Epoch
 		if until.Before(s.now) {
 			continue
 		}
 		s.checkExclusive(k, to, o)
-		if until.After(to.until[k]) {
-			to.until[k] = until
+		if until.After(to.heldUntil[k]) {
+			to.heldUntil[k] = until
 		}
 	}
 	return ownership.Done
@@ -158,7 +158,7 @@
 
 func (s *simulation) checkExclusive(k int, to *fakeTarget, o *ownership.Grant) {
 	for _, other := range s.running {
-		if other != to && other.until[k].After(s.now) {
+		if other != to && other.heldUntil[k].After(s.now) {
 			s.failf("key %d is held by %s and granted to %s, for %v", k, other.name, to.name, o.Owner)
 		}
 	}
@@ -253,7 +253,7 @@
 			return
 		}
 		for _, key := range sampledKeys(o.First, o.Last) {
-			delete(from.until, key)
+			delete(from.heldUntil, key)
 		}
 		s.logf("%s released %d to %d for %v", from.name, o.First, o.Last, o.Owner)
 		s.whenAwake(func() { m.Released(s.now, o, "h", ownership.Done) })
@@ -268,7 +268,7 @@
 	entry := &roster.Target{ID: id, Started: s.now.UnixMilli(), Address: address, Slots: 3}
 	s.running[address] = &fakeTarget{
 		name: fmt.Sprintf("%s/%d", id, s.startCount), address: address, entry: entry,
-		seen: map[int]int64{}, until: map[int]time.Time{}, drift: 1 + 0.02*s.rand.Float64(),
+		highestEpoch: map[int]int64{}, heldUntil: map[int]time.Time{}, drift: 1 + 0.02*s.rand.Float64(),
 	}
 	return entry
 }
--- a/basilcross/promise/promise.go
+++ b/basilcross/promise/promise.go
@@ -42,10 +42,10 @@
 	// seat's previous holder may have given promises that are not recorded here.
 	ConfirmFrom time.Time
 
-	// promisedUntil has the end of the last promise to extend, by zone.
-	promisedUntil map[string]time.Time
-	// refrained has the highest row version that is not extended, by zone.
-	refrained map[string]uint64
+	// extendedUntil has the end of the last promise to extend, by zone.
+	extendedUntil map[string]time.Time
+	// refrainedVersion has the highest row version that is not extended, by zone.
+	refrainedVersion map[string]uint64
 }
 
 // ExtendRequest is a request to extend a seat.
@@ -61,7 +61,7 @@
 // and reports whether it does. known is the seat's row as last read from the table,
 // with its version.
 func (l *Ledger) Extend(now time.Time, r ExtendRequest, known seat.Record, version uint64) bool {
-	if refrained, ok := l.refrained[r.Zone]; ok && r.Version <= refrained {
+	if refrained, ok := l.refrainedVersion[r.Zone]; ok && r.Version <= refrained {
 		return false
 	}
 	newer := version >= r.Version
@@ -73,10 +73,10 @@
 	if newer && known.Intent != "" {
 		return false
 	}
-	if l.promisedUntil == nil {
-		l.promisedUntil = map[string]time.Time{}
+	if l.extendedUntil == nil {
+		l.extendedUntil = map[string]time.Time{}
 	}
-	l.promisedUntil[r.Zone] = now.Add(lease.Wait(seat.LeaseDuration))
+	l.extendedUntil[r.Zone] = now.Add(lease.Wait(seat.LeaseDuration))
 	return true
 }
 
@@ -84,12 +84,12 @@
 // returns how long earlier promises to extend may still be valid. A renewal by the
 // holder creates a later version, which may be extended again.
 func (l *Ledger) Refrain(now time.Time, zone string, version uint64) (left time.Duration) {
-	if l.refrained == nil {
-		l.refrained = map[string]uint64{}
+	if l.refrainedVersion == nil {
+		l.refrainedVersion = map[string]uint64{}
 	}
-	l.refrained[zone] = max(l.refrained[zone], version)
+	l.refrainedVersion[zone] = max(l.refrainedVersion[zone], version)
 	until := l.ConfirmFrom
-	if promised := l.promisedUntil[zone]; promised.After(until) {
+	if promised := l.extendedUntil[zone]; promised.After(until) {
 		until = promised
 	}
 	return max(0, until.Sub(now))
--- a/basilcross/routing/config.go
+++ b/basilcross/routing/config.go
@@ -65,6 +65,6 @@
 	Signature       string
 	ExpectedTarget  string
 	AnsweringTarget string
-	NotRun          string
+	NotExecuted     string
 	ShardKey        string
 }
--- a/basilcross/schedule/choose.go
+++ b/basilcross/schedule/choose.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		switch st := t.service.stateOf(c); {
-		case !now.Before(st.pausedUntil):
+		case !now.Before(st.backoffUntil):
 			open = append(open, c)
 		case st.failures > 0:
 			failing = append(failing, c)
--- a/basilcross/schedule/state.go
+++ b/basilcross/schedule/state.go
@@ -48,8 +48,8 @@
 	// target's; answers is how many answers it was estimated from.
 	slowness float64
 	answers  int
-	// pausedUntil is the end of a backoff.
-	pausedUntil time.Time
+	// backoffUntil is the end of a backoff.
+	backoffUntil time.Time
 	// failures counts failures since the last answer.
 	failures int
 	// shedRatio is the share of requests that were shed with slots free.
@@ -147,16 +147,16 @@
 			t.service.observe(now, t, now.Sub(t.startedAt)-2*t.Request.OneWayDelay)
 		}
 		if st.failures > 0 {
-			st.failures, st.pausedUntil = 0, now
+			st.failures, st.backoffUntil = 0, now
 		}
 		st.limit = min(st.limit+limitIncrement, float64(t.Target.Slots)+extraInFlight)
 	case Shed:
 		st.limit = max(1, st.limit*shedLimitFactor)
-		st.pausedUntil = now.Add(shedBackoff)
+		st.backoffUntil = now.Add(shedBackoff)
 	case Failed:
 		st.failures++
 		if st.failures > 1 {
-			st.pausedUntil = now.Add(min(failureBackoff<<min(st.failures-2, 4), maxFailureBackoff))
+			st.backoffUntil = now.Add(min(failureBackoff<<min(st.failures-2, 4), maxFailureBackoff))
 		}
 	case Abandoned:
 	}
--- a/basilcross/seat/hints_test.go
+++ b/basilcross/seat/hints_test.go
@@ -57,7 +57,7 @@
 	term, number := record.Term, sim.holder.RenewalNumber()
 	left := lease.New(sent, seat.LeaseDuration).Left(sent)
 	if sim.random.IntN(4) > 0 {
-		sim.schedule(sim.randomDelay(300*time.Millisecond), func() { sim.observer.AddHint(sim.now, term, number, left) })
+		sim.schedule(sim.randomDelay(300*time.Millisecond), func() { sim.observer.AddAnnouncement(sim.now, term, number, left) })
 	}
 	if sim.random.IntN(4) == 0 {
 		return
@@ -75,7 +75,7 @@
 
 // Guards against two holders at a time: if a hint of an earlier renewal were
 // applied to the one in the row, the seat would expire before its holder stops.
-func TestHintNeverEndsBeforeTheRenewal(t *testing.T) {
+func TestAnnouncedEndIsNotBeforeLeaseEnd(t *testing.T) {
 	hinted := 0
 	for n := range uint64(200) {
 		sim := &renewalSim{
@@ -108,7 +108,7 @@
 			if !known || !sim.observer.Expired(sim.now) {
 				continue
 			}
-			if sim.observer.HasHint() {
+			if sim.observer.HasAnnouncement() {
 				hinted++
 			}
 			left := lease.New(sent, seat.LeaseDuration).Left(sim.now)
--- a/basilcross/seat/seat.go
+++ b/basilcross/seat/seat.go
@@ -64,7 +64,7 @@
 	priorLeases   bool
 	evicting      bool
 	renewedAt     time.Time
-	hints         Hints
+	announcements Announcements
 }
 
 // pendingWrite is a claim or renewal whose outcome is not known.
@@ -201,15 +201,15 @@
 
 // TableLeaseEnd is when the authority that the holder has from the table ends.
 func (s *Seat) TableLeaseEnd() time.Time {
-	if end, ok := s.hints.authorityEnd(s.record.Term, s.record.Renewals); ok {
+	if end, ok := s.announcements.authorityEnd(s.record.Term, s.record.Renewals); ok {
 		return end
 	}
 	return s.renewalSeenAt.Add(lease.Wait(LeaseDuration))
 }
 
-// HasHint reports whether the holder has announced the renewal in the row.
-func (s *Seat) HasHint() bool {
-	_, ok := s.hints.authorityEnd(s.record.Term, s.record.Renewals)
+// HasAnnouncement reports whether the holder has announced the renewal in the row.
+func (s *Seat) HasAnnouncement() bool {
+	_, ok := s.announcements.authorityEnd(s.record.Term, s.record.Renewals)
 	return ok
 }
 
@@ -219,15 +219,15 @@
 	return s.observed && now.Sub(s.renewalSeenAt) > lease.Wait(OutageLimit+LeaseDuration)
 }
 
-// AddHint records a renewal that the holder announced, received at now; see
+// AddAnnouncement records a renewal that the holder announced, received at now; see
 // Hints. With it a candidate need not wait for a whole LeaseDuration after its
 // own first read of the row.
-func (s *Seat) AddHint(now time.Time, term, renewals uint64, left time.Duration) {
-	s.hints.Add(now, term, renewals, left)
+func (s *Seat) AddAnnouncement(now time.Time, term, renewals uint64, left time.Duration) {
+	s.announcements.Add(now, term, renewals, left)
 }
 
-// SetHints replaces the hints by those that were received elsewhere.
-func (s *Seat) SetHints(h Hints) { s.hints = h }
+// SetAnnouncements replaces the hints by those that were received elsewhere.
+func (s *Seat) SetAnnouncements(h Announcements) { s.announcements = h }
 
 // UnchangedFor returns the time since this instance first saw the last renewal
 // or change of holder in the row.
--- a/basilcross/seat/seat_test.go
+++ b/basilcross/seat/seat_test.go
@@ -79,7 +79,7 @@
 // Guards against a holder with authority for too long: if the response to a
 // renewal is lost and the holder reads the row back later, its authority must
 // count from when it sent the write.
-func TestAuthorityCountsFromSendTimeAfterLostAnswer(t *testing.T) {
+func TestAuthorityCountsFromSendTimeAfterLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newInstance(t, &table.Memory{}, "a")
 		assert.Assert(t, a.claim("a1"))
--- a/gateway/broker/broker_test.go
+++ b/gateway/broker/broker_test.go
@@ -118,7 +118,7 @@
 
 // The callers of many requests go away. A request that stayed at its scheduler would
 // hold the only slot.
-func TestCanceledRequestIsWithdrawn(t *testing.T) {
+func TestCanceledRequestFreesItsSlot(t *testing.T) {
 	all := startInstances(t, "a", "b", "c")
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/gateway/coordinator/address_test.go
+++ b/gateway/coordinator/address_test.go
@@ -72,11 +72,11 @@
 	table := routing.New(config)
 	log := slog.New(slog.NewTextHandler(testLogWriter{t}, nil))
 	c := New(Options{
-		Self:     peers.Instance{Name: "one", Incarnation: "a", Cores: 1},
-		Store:    &platform.Store{Address: strings.TrimPrefix(store.URL, "http://"), HTTP: store.Client()},
-		Channels: &channel.Set{Dial: (&net.Dialer{}).DialContext},
-		Releases: &platform.GrantClient{HTTP: &http.Client{Transport: &http.Transport{}}},
-		Peers:    &peers.Peers{Log: log}, Roster: f.roster, Table: func() *routing.Table { return table },
+		Self:          peers.Instance{Name: "one", Incarnation: "a", Cores: 1},
+		Store:         &platform.Store{Address: strings.TrimPrefix(store.URL, "http://"), HTTP: store.Client()},
+		Channels:      &channel.Set{Dial: (&net.Dialer{}).DialContext},
+		ReleaseClient: &platform.GrantClient{HTTP: &http.Client{Transport: &http.Transport{}}},
+		Peers:         &peers.Peers{Log: log}, Roster: f.roster, Table: func() *routing.Table { return table },
 		Revisions: func() map[string]uint64 { return nil }, OnLeading: func(int, bool) {}, RestartFeeds: func() {},
 		OnUpdate: func(*peers.AssignmentUpdate) {}, OnOversizedUpdate: func() {}, Log: log, Joined: func() bool { return true },
 		Holds: ownership.Holds{Normal: 3200 * time.Millisecond, Long: 6 * time.Second, RenewInterval: 800 * time.Millisecond, AddressReuse: 2 * time.Second},
@@ -245,7 +245,7 @@
 // write renews it. The release must be reported as unsent: otherwise the piece waits for its
 // outcome forever, and its keys have no owner for the rest of the term.
 func TestUnsentReleaseIsReported(t *testing.T) {
-	c := New(Options{Log: slog.New(slog.DiscardHandler), Releases: &platform.GrantClient{HTTP: http.DefaultClient}})
+	c := New(Options{Log: slog.New(slog.DiscardHandler), ReleaseClient: &platform.GrantClient{HTTP: http.DefaultClient}})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l := newLeadership(ctx, cancel, Lease{Term: 1}, 1)
--- a/gateway/coordinator/coordinator.go
+++ b/gateway/coordinator/coordinator.go
@@ -49,8 +49,8 @@
 	// that most see the first one succeed instead of writing too. Instances with
 	// less than the largest share of a processor wait weakTakeoverDelay longer: the
 	// coordinator sends all renewals, which can be more than a small instance can do.
-	takeoverSpread    = 10 * time.Millisecond
-	weakTakeoverDelay = 250 * time.Millisecond
+	takeoverSpread          = 10 * time.Millisecond
+	fewerCoresTakeoverDelay = 250 * time.Millisecond
 	// memberTimeout is how long an instance counts as a member after its last message.
 	memberTimeout = 2 * time.Second
 	// inDoubtAfter is the time without an answer to a write after which longer holds
@@ -69,10 +69,10 @@
 	Store *platform.Store
 	// Channels are for grants, each of which belongs to one connection. Releases is for
 	// orders that any target at the address may receive.
-	Channels *channel.Set
-	Releases *platform.GrantClient
-	Peers    *peers.Peers
-	Roster   *roster.Roster
+	Channels      *channel.Set
+	ReleaseClient *platform.GrantClient
+	Peers         *peers.Peers
+	Roster        *roster.Roster
 	// Table returns the routing table in force, or nil.
 	Table func() *routing.Table
 	// Revisions returns the newest revisions of this instance's mirrors, by table.
@@ -372,7 +372,7 @@
 	}
 	delay := rand.N(takeoverSpread * time.Duration(equal))
 	if weak {
-		delay += weakTakeoverDelay
+		delay += fewerCoresTakeoverDelay
 	}
 	return delay
 }
--- a/gateway/coordinator/lease.go
+++ b/gateway/coordinator/lease.go
@@ -114,7 +114,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan storeAnswer, 1)
+	answers := make(chan storeResponse, 1)
 	var group errgroup.Group
 	send := func() {
 		group.Go(func() error {
@@ -122,7 +122,7 @@
 			defer cancelAttempt()
 			rows, err := c.Store.Transact(attemptCtx, tx)
 			select {
-			case answers <- storeAnswer{rows, err, time.Now()}:
+			case answers <- storeResponse{rows, err, time.Now()}:
 			case <-ctx.Done():
 			}
 			return nil
@@ -148,18 +148,18 @@
 	}
 }
 
-// storeAnswer is the outcome of one attempt, received at a time.
-type storeAnswer struct {
-	rows platform.Response
-	err  error
-	at   time.Time
+// storeResponse is the outcome of one attempt, received at a time.
+type storeResponse struct {
+	response platform.Response
+	err      error
+	at       time.Time
 }
 
 // evaluate returns what an answer proves, and whether that is final. A conflicting row with
 // this write's own Seq shows that an earlier attempt took effect, though its answer was lost.
-func (c *Coordinator) evaluate(lease *Lease, a storeAnswer) (result writeResult, final bool) {
+func (c *Coordinator) evaluate(lease *Lease, a storeResponse) (result writeResult, final bool) {
 	if a.err == nil {
-		return writeResult{ok: true, revision: a.rows.Revision, storeClock: time.Duration(a.rows.Now), storeClockAt: a.at}, true
+		return writeResult{ok: true, revision: a.response.Revision, storeClock: time.Duration(a.response.Now), storeClockAt: a.at}, true
 	}
 	var conflict *platform.ConflictError
 	var rejected *platform.RejectedError
--- a/gateway/coordinator/lease_test.go
+++ b/gateway/coordinator/lease_test.go
@@ -66,7 +66,7 @@
 
 // The write of the lease takes effect, but its answer is lost. The condition of the retry then
 // fails; the row's Seq shows that this write succeeded.
-func TestLeaseWriteWithLostAnswerSucceeds(t *testing.T) {
+func TestLeaseWriteWithLostResponseSucceeds(t *testing.T) {
 	store, c := newWithStore(t)
 	store.LoseResponses(1)
 	mine := Lease{Term: 1, Holder: "one", Incarnation: "a", LeaseMs: 2000, Seq: 1}
@@ -98,7 +98,7 @@
 // The coordinator sends all renewals, which can be too much for a small instance. A small one
 // must wait until the strong ones had the chance to take over; among instances of the same
 // strength, the order is random.
-func TestStrongInstancesTakeOverFirst(t *testing.T) {
+func TestInstancesWithMoreCoresTakeOverFirst(t *testing.T) {
 	all := map[string]peers.Instance{}
 	for i := range 40 {
 		name := "small" + strconv.Itoa(i)
@@ -107,8 +107,8 @@
 	all["strong"] = peers.Instance{Name: "strong", Cores: 0.8}
 	list := slices.Collect(maps.Values(all))
 	for range 100 {
-		assert.Assert(t, takeoverDelay(all["strong"], list) < weakTakeoverDelay)
-		assert.Assert(t, takeoverDelay(all["small7"], list) >= weakTakeoverDelay)
+		assert.Assert(t, takeoverDelay(all["strong"], list) < fewerCoresTakeoverDelay)
+		assert.Assert(t, takeoverDelay(all["small7"], list) >= fewerCoresTakeoverDelay)
 	}
 	delete(all, "strong")
 	assert.Assert(t, takeoverDelay(all["small7"], slices.Collect(maps.Values(all))) < 40*takeoverSpread)
--- a/gateway/coordinator/orders.go
+++ b/gateway/coordinator/orders.go
@@ -191,7 +191,7 @@
 		c.enqueue(l.ctx, func() { manager.Released(time.Now(), o, "", ownership.Unsent) })
 		return
 	}
-	handover, err := c.Releases.Release(ctx, o.Address, o.Owner.ID, o.First, o.Last, o.Epoch)
+	handover, err := c.ReleaseClient.Release(ctx, o.Address, o.Owner.ID, o.First, o.Last, o.Epoch)
 	now := time.Now()
 	event.KeysReleased.Log(c.Log, "service", manager.Service, "target", o.Owner.ID, "first", o.First, "last", o.Last,
 		"epoch", o.Epoch, "handover", handover != "", "tookMs", now.Sub(sent).Milliseconds(),
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -103,7 +103,7 @@
 	d.buildTasks(backend, client, peers, auth, loads)
 	d.front = entry.New(entry.Options{
 		Zone: s.Zone, Region: s.Region, View: d.view, Authority: auth, Lanes: d.lanes,
-		Heat: loads, Metrics: entry.NewMetrics(registry), Log: log,
+		Loads: loads, Metrics: entry.NewMetrics(registry), Log: log,
 	})
 	d.admin = admin.New(admin.Options{
 		Instance: s.Instance, Zone: s.Zone, View: d.view, Table: d.table, Leader: d.leader,
@@ -128,7 +128,7 @@
 		Instance: s.Instance, Incarnation: incarnation, Address: s.AdvertisedAddress(), Zone: s.Zone, PeerAddresses: s.Peers,
 		View: d.view, Authority: auth, Renewer: d.renewer, Loads: loads, Caller: peers, Log: d.log,
 		OnRenewal: func(now time.Time, term, renewals uint64, left time.Duration) {
-			d.leader.Hint(now, term, renewals, left)
+			d.leader.AddHint(now, term, renewals, left)
 		},
 	}
 	relayed := &relay.Client{
--- a/gateway/entry/attempt.go
+++ b/gateway/entry/attempt.go
@@ -75,7 +75,7 @@
 		return f.chooseTarget(s, service)
 	}
 	sh, _ := service.ShardMap.Find(c.keyHash)
-	f.Heat.Add(c.service, c.key, sh.First, *c.kind.Rules.Weight)
+	f.Loads.Add(c.service, c.key, sh.First, *c.kind.Rules.Weight)
 	target := service.Targets[sh.Owner]
 	if target == nil || target.State == assignment.Lost {
 		return nil, newOwnerFailure(refusal.NoOwner, "the key has no owner at present")
--- a/gateway/entry/entry.go
+++ b/gateway/entry/entry.go
@@ -25,7 +25,7 @@
 	View      *view.View
 	Authority *authority.Authority
 	Lanes     *lane.Set
-	Heat      *heat.Collector
+	Loads     *heat.Collector
 	Metrics   *Metrics
 	Log       *slog.Logger
 }
--- a/gateway/entry/entry_test.go
+++ b/gateway/entry/entry_test.go
@@ -40,7 +40,7 @@
 	t.Helper()
 	f := &fixture{t: t, view: view.View{Zone: "graz"}}
 	front := entry.New(entry.Options{
-		Zone: "graz", Region: "ost", View: &f.view, Authority: &f.authority, Lanes: &lane.Set{}, Heat: &heat.Collector{},
+		Zone: "graz", Region: "ost", View: &f.view, Authority: &f.authority, Lanes: &lane.Set{}, Loads: &heat.Collector{},
 		Metrics: entry.NewMetrics(prometheus.NewRegistry()), Log: slog.New(slog.DiscardHandler),
 	})
 	s := httptest.NewServer(front)
--- a/gateway/evictor/evictor.go
+++ b/gateway/evictor/evictor.go
@@ -106,7 +106,7 @@
 	}
 	record, _ := s.Record()
 	event.EvictionBegan.Log(e.Log, "seat", s.Name, "term", record.Term, "committed", res.Committed, "holder", record.Holder,
-		"unchangedMs", s.UnchangedFor(now).Milliseconds(), "told", s.HasHint(), "authorityLeftMs", s.TableLeaseEnd().Sub(now).Milliseconds())
+		"unchangedMs", s.UnchangedFor(now).Milliseconds(), "told", s.HasAnnouncement(), "authorityLeftMs", s.TableLeaseEnd().Sub(now).Milliseconds())
 }
 
 // requestRefrain sends the request to every leader that has not confirmed yet.
--- a/gateway/follower/follower.go
+++ b/gateway/follower/follower.go
@@ -39,7 +39,7 @@
 
 // Loads returns the loads since the last call, for the report.
 type Loads interface {
-	Take(now time.Time) (shards []*control.ShardLoad, hot []*control.HotKey)
+	TakeReport(now time.Time) (shards []*control.ShardLoad, hot []*control.HotKey)
 }
 
 // Follower polls the leader. All fields up to Log must be set.
@@ -201,7 +201,7 @@
 	for name, version := range f.View.Load().Versions() {
 		req.Known = append(req.Known, &control.Known{Name: name, Version: version})
 	}
-	req.Loads, req.Hot = f.Loads.Take(now)
+	req.Loads, req.Hot = f.Loads.TakeReport(now)
 	return req
 }
 
--- a/gateway/front/attempt.go
+++ b/gateway/front/attempt.go
@@ -179,7 +179,7 @@
 // readResponse reads the response's body. It returns a refusal if the response must
 // not be forwarded to the caller.
 func (f *Front) readResponse(ctx context.Context, c *call, reservation *broker.Reservation, res *http.Response) (*targetResponse, *refusal) {
-	if res.Header.Get(f.Headers.NotRun) != "" || res.StatusCode == http.StatusMisdirectedRequest {
+	if res.Header.Get(f.Headers.NotExecuted) != "" || res.StatusCode == http.StatusMisdirectedRequest {
 		return nil, f.notExecuted(c, reservation, res)
 	}
 	body, err := io.ReadAll(io.LimitReader(res.Body, bufferLimit))
--- a/gateway/front/failure_test.go
+++ b/gateway/front/failure_test.go
@@ -30,13 +30,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
-			f.route(5 * time.Second)
+			f.setRoutes(5 * time.Second)
 			for _, id := range targets {
 				if id == "shed" {
-					f.handler(id, http.HandlerFunc(shed))
+					f.startTarget(id, http.HandlerFunc(shed))
 					continue
 				}
-				f.handler(id, failing(id))
+				f.startTarget(id, failing(id))
 			}
 			// More requests than the retry budget covers.
 			for range 80 {
@@ -56,9 +56,9 @@
 // answer the request.
 func TestFailureIsReplacedByAnotherTargetsResponse(t *testing.T) {
 	f := newFixture(t)
-	f.route(5 * time.Second)
-	f.handler("a", failing("a"))
-	f.handler("b", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	f.setRoutes(5 * time.Second)
+	f.startTarget("a", failing("a"))
+	f.startTarget("b", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(platform.RequestID, r.Header.Get(platform.RequestID))
 		w.Header().Set(platform.Signature, "s")
 	}))
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -97,7 +97,7 @@
 		}
 	}
 	if r.Context().Err() != nil {
-		f.Metrics.callerGone(c)
+		f.Metrics.recordCallerGone(c)
 		f.logRefused(c, refused, "callerGone")
 		panic(http.ErrAbortHandler)
 	}
--- a/gateway/front/front_test.go
+++ b/gateway/front/front_test.go
@@ -62,8 +62,8 @@
 	return f
 }
 
-// route puts two routes in force: /safe/ is idempotent, /book/ is not.
-func (f *fixture) route(timeout time.Duration) {
+// setRoutes puts two routes in force: /safe/ is idempotent, /book/ is not.
+func (f *fixture) setRoutes(timeout time.Duration) {
 	share := []routing.Share{{Service: "s", Weight: 1}}
 	f.table.Store(routing.New(&routing.Config{
 		Version: 1, Services: []routing.Service{{Name: "s"}}, Limits: routing.Limits{BodyBytes: 1000},
@@ -74,21 +74,21 @@
 	}))
 }
 
-// target adds a target to the roster.
-func (f *fixture) target(id, address string) {
+// addTarget adds a target to the roster.
+func (f *fixture) addTarget(id, address string) {
 	f.targets = append(f.targets, &roster.Target{ID: id, Started: 1, Service: "s", Zone: "z", Slots: 3, Address: address})
 	f.roster.Replace(time.Now(), f.targets, 1)
 }
 
-// handler starts a server with the handler and adds it as a target.
-func (f *fixture) handler(id string, h http.Handler) {
+// startTarget starts a server with the handler and adds it as a target.
+func (f *fixture) startTarget(id string, h http.Handler) {
 	server := httptest.NewServer(h)
 	f.t.Cleanup(server.Close)
-	f.target(id, strings.TrimPrefix(server.URL, "http://"))
+	f.addTarget(id, strings.TrimPrefix(server.URL, "http://"))
 }
 
-// raw adds a target that writes the bytes that answer returns for the request's ID.
-func (f *fixture) raw(id string, answer func(requestID string) string) {
+// startRawTarget adds a target that writes the bytes that answer returns for the request's ID.
+func (f *fixture) startRawTarget(id string, answer func(requestID string) string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(f.t, err)
 	f.t.Cleanup(func() { _ = l.Close() })
@@ -108,7 +108,7 @@
 			}()
 		}
 	}()
-	f.target(id, l.Addr().String())
+	f.addTarget(id, l.Addr().String())
 }
 
 // call sends a request with the next request ID. If it fails, the response is nil and
@@ -135,7 +135,7 @@
 // shed responds that the request was not executed.
 func shed(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(platform.RequestID, r.Header.Get(platform.RequestID))
-	w.Header().Set(platform.NotRun, "1")
+	w.Header().Set(platform.NotExecuted, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
@@ -146,7 +146,7 @@
 	res, _ := f.call(t.Context(), http.MethodGet, "/safe/x", "")
 	assert.Equal(t, res.StatusCode, http.StatusServiceUnavailable)
 	assert.Assert(t, res.Header.Get("Retry-After") != "")
-	f.route(time.Second)
+	f.setRoutes(time.Second)
 	res, _ = f.call(t.Context(), http.MethodGet, "/elsewhere", "")
 	assert.Equal(t, res.StatusCode, http.StatusNotFound)
 }
@@ -154,8 +154,8 @@
 // Guards against a request URI or a response that changes on its way.
 func TestResponseIsForwardedUnchanged(t *testing.T) {
 	f := newFixture(t)
-	f.route(5 * time.Second)
-	f.handler("t1", &standin.Target{ID: "t1"})
+	f.setRoutes(5 * time.Second)
+	f.startTarget("t1", &standin.Target{ID: "t1"})
 	res, body := f.call(t.Context(), http.MethodPost, "/book/a%2Fb/../c?x=1", "hello")
 	assert.Equal(t, res.StatusCode, http.StatusOK)
 	assert.Equal(t, body, "t1 POST /book/a%2Fb/../c?x=1 5")
@@ -164,7 +164,7 @@
 
 func TestBodyOverLimitIsRefused(t *testing.T) {
 	f := newFixture(t)
-	f.route(time.Second)
+	f.setRoutes(time.Second)
 	res, _ := f.call(t.Context(), http.MethodPost, "/book/x", strings.Repeat("x", 1001))
 	assert.Equal(t, res.StatusCode, http.StatusRequestEntityTooLarge)
 }
@@ -172,10 +172,10 @@
 // Guards against the refusal of a request that one target shed and another can run.
 func TestShedRequestGoesToAnotherTarget(t *testing.T) {
 	f := newFixture(t)
-	f.route(5 * time.Second)
-	f.handler("a", http.HandlerFunc(shed))
+	f.setRoutes(5 * time.Second)
+	f.startTarget("a", http.HandlerFunc(shed))
 	next := &standin.Target{ID: "b"}
-	f.handler("b", next)
+	f.startTarget("b", next)
 	res, _ := f.call(t.Context(), http.MethodPost, "/book/x", "")
 	assert.Equal(t, res.StatusCode, http.StatusOK)
 	assert.Equal(t, next.RunCount("id1"), 1)
@@ -186,10 +186,10 @@
 // get it, and the status must not state that it did not run.
 func TestNonIdempotentRequestInDoubtIsNotRetried(t *testing.T) {
 	f := newFixture(t)
-	f.route(5 * time.Second)
-	f.handler("a", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
+	f.setRoutes(5 * time.Second)
+	f.startTarget("a", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	next := &standin.Target{ID: "b"}
-	f.handler("b", next)
+	f.startTarget("b", next)
 	for range 4 {
 		res, _ := f.call(t.Context(), http.MethodPost, "/book/x", "")
 		if res.StatusCode != http.StatusOK {
@@ -203,9 +203,9 @@
 
 func TestIdempotentRequestInDoubtIsRetried(t *testing.T) {
 	f := newFixture(t)
-	f.route(5 * time.Second)
-	f.handler("a", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
-	f.handler("b", &standin.Target{ID: "b"})
+	f.setRoutes(5 * time.Second)
+	f.startTarget("a", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
+	f.startTarget("b", &standin.Target{ID: "b"})
 	for range 4 {
 		res, _ := f.call(t.Context(), http.MethodGet, "/safe/x", "")
 		assert.Equal(t, res.StatusCode, http.StatusOK)
@@ -216,8 +216,8 @@
 // run, but callers would conclude that it did not.
 func TestPlain503IsNotForwarded(t *testing.T) {
 	f := newFixture(t)
-	f.route(5 * time.Second)
-	f.raw("a", func(id string) string {
+	f.setRoutes(5 * time.Second)
+	f.startRawTarget("a", func(id string) string {
 		return "HTTP/1.1 503 Service Unavailable\r\n" + platform.RequestID + ": " + id + "\r\nContent-Length: 0\r\n\r\n"
 	})
 	res, _ := f.call(t.Context(), http.MethodPost, "/book/x", "")
@@ -233,8 +233,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
-			f.route(5 * time.Second)
-			f.raw("a", func(id string) string { return fmt.Sprintf(answer, platform.RequestID, id) })
+			f.setRoutes(5 * time.Second)
+			f.startRawTarget("a", func(id string) string { return fmt.Sprintf(answer, platform.RequestID, id) })
 			res, body := f.call(t.Context(), http.MethodPost, "/book/x", "")
 			assert.Equal(t, res.StatusCode, http.StatusBadGateway, body)
 		})
@@ -245,8 +245,8 @@
 // before this request's own response.
 func TestResponseToAnotherRequestIsDropped(t *testing.T) {
 	f := newFixture(t)
-	f.route(5 * time.Second)
-	f.raw("a", func(id string) string {
+	f.setRoutes(5 * time.Second)
+	f.startRawTarget("a", func(id string) string {
 		one := "HTTP/1.1 200 OK\r\n" + platform.RequestID + ": %s\r\n" + platform.Signature + ": s\r\nContent-Length: 4\r\n\r\n%s"
 		return fmt.Sprintf(one, "another", "him!") + fmt.Sprintf(one, id, "mine")
 	})
@@ -257,9 +257,9 @@
 
 func TestRouteTimeoutCancelsRequest(t *testing.T) {
 	f := newFixture(t)
-	f.route(50 * time.Millisecond)
+	f.setRoutes(50 * time.Millisecond)
 	left := make(chan struct{})
-	f.handler("a", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	f.startTarget("a", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		close(left)
 	}))
@@ -271,9 +271,9 @@
 // Guards against targets that keep working on requests whose callers disconnected.
 func TestCallerDisconnectCancelsRequestAtTarget(t *testing.T) {
 	f := newFixture(t)
-	f.route(time.Minute)
+	f.setRoutes(time.Minute)
 	arrived, left := make(chan struct{}), make(chan struct{})
-	f.handler("a", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	f.startTarget("a", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(arrived)
 		<-r.Context().Done()
 		close(left)
@@ -291,9 +291,9 @@
 // work on when the process exits.
 func TestAbortAnswersOpenRequests(t *testing.T) {
 	f := newFixture(t)
-	f.route(time.Minute)
+	f.setRoutes(time.Minute)
 	arrived := make(chan struct{})
-	f.handler("a", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	f.startTarget("a", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(arrived)
 		<-r.Context().Done()
 	}))
@@ -311,8 +311,8 @@
 // the request has not run.
 func TestAddressReusedByAnotherTarget(t *testing.T) {
 	f := newFixture(t)
-	f.route(5 * time.Second)
-	f.handler("old", &standin.Target{ID: "new"})
+	f.setRoutes(5 * time.Second)
+	f.startTarget("old", &standin.Target{ID: "new"})
 	res, _ := f.call(t.Context(), http.MethodPost, "/book/x", "")
 	assert.Equal(t, res.StatusCode, http.StatusServiceUnavailable)
 }
@@ -325,11 +325,11 @@
 	for name, id := range map[string]string{"with an ID": "new", "without an ID": ""} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
-			f.route(5 * time.Second)
+			f.setRoutes(5 * time.Second)
 			var replaced atomic.Bool
 			misdirected := 0
 			fast := &standin.Target{ID: "a"}
-			f.handler("a", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			f.startTarget("a", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if !replaced.Load() {
 					fast.ServeHTTP(w, r)
 					return
@@ -341,8 +341,8 @@
 				w.WriteHeader(http.StatusMisdirectedRequest)
 			}))
 			slow := func(*http.Request) { time.Sleep(20 * time.Millisecond) }
-			f.handler("b", &standin.Target{ID: "b", OnRun: slow})
-			f.handler("c", &standin.Target{ID: "c", OnRun: slow})
+			f.startTarget("b", &standin.Target{ID: "b", OnRun: slow})
+			f.startTarget("c", &standin.Target{ID: "c", OnRun: slow})
 			for range 30 {
 				res, _ := f.call(t.Context(), http.MethodGet, "/safe/x", "")
 				assert.Equal(t, res.StatusCode, http.StatusOK)
@@ -365,8 +365,8 @@
 	var group sync.WaitGroup
 	group.Go(func() {
 		time.Sleep(60 * time.Millisecond)
-		f.route(time.Second)
-		f.handler("t1", &standin.Target{ID: "t1"})
+		f.setRoutes(time.Second)
+		f.startTarget("t1", &standin.Target{ID: "t1"})
 	})
 	res, _ := f.call(t.Context(), http.MethodGet, "/safe/x", "")
 	group.Wait()
--- a/gateway/front/metrics.go
+++ b/gateway/front/metrics.go
@@ -37,19 +37,19 @@
 	return m
 }
 
-func (m *Metrics) answered(c *call, status int) {
+func (m *Metrics) recordResponse(c *call, status int) {
 	m.requests.WithLabelValues(c.service, strconv.Itoa(status), "").Inc()
 	m.durations.WithLabelValues(c.service).Observe(time.Since(c.arrived).Seconds())
 	m.queueTimes.WithLabelValues(c.service).Observe(c.queueTime.Seconds())
 }
 
-func (m *Metrics) refused(c *call, r *refusal, status int) {
+func (m *Metrics) recordRefusal(c *call, r *refusal, status int) {
 	m.requests.WithLabelValues(c.service, strconv.Itoa(status), r.cause).Inc()
 	if c.service != "" {
 		m.queueTimes.WithLabelValues(c.service).Observe(c.queueTime.Seconds())
 	}
 }
 
-func (m *Metrics) callerGone(c *call) {
+func (m *Metrics) recordCallerGone(c *call) {
 	m.requests.WithLabelValues(c.service, "", "callerGone").Inc()
 }
--- a/gateway/front/owner_test.go
+++ b/gateway/front/owner_test.go
@@ -80,13 +80,13 @@
 	f := newShardedFixture(t)
 	f.front.RetryLimits = func() front.RetryLimits { return front.RetryLimits{Ratio: 0.2, Slack: 4, Instances: 1} }
 	var misdirected, served atomic.Int64
-	f.handler("former", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	f.startTarget("former", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		misdirected.Add(1)
 		w.Header().Set(platform.RequestID, r.Header.Get(platform.RequestID))
-		w.Header().Set(platform.NotRun, "1")
+		w.Header().Set(platform.NotExecuted, "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	}))
-	f.handler("next", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	f.startTarget("next", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		served.Add(1)
 		w.Header().Set(platform.RequestID, r.Header.Get(platform.RequestID))
 		w.Header().Set(platform.Signature, "next")
@@ -115,7 +115,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(platform.RequestID, r.Header.Get(platform.RequestID))
 		if received.Add(1) == 1 {
-			w.Header().Set(platform.NotRun, "1")
+			w.Header().Set(platform.NotExecuted, "1")
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			return
 		}
@@ -136,7 +136,7 @@
 func TestRequestIsNotRetriedAtOwnerThatRegainedItsKey(t *testing.T) {
 	f := newShardedFixture(t)
 	var runs atomic.Int64
-	f.handler("a", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	f.startTarget("a", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(platform.RequestID, r.Header.Get(platform.RequestID))
 		w.Header().Set(platform.Signature, "a")
 		if runs.Add(1) == 1 {
@@ -144,10 +144,10 @@
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	}))
-	f.handler("b", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	f.startTarget("b", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.AfterFunc(400*time.Millisecond, func() { f.assign("a", "a") })
 		w.Header().Set(platform.RequestID, r.Header.Get(platform.RequestID))
-		w.Header().Set(platform.NotRun, "1")
+		w.Header().Set(platform.NotExecuted, "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	}))
 	f.assign("a", "a")
--- a/gateway/front/reply.go
+++ b/gateway/front/reply.go
@@ -75,7 +75,7 @@
 	w.WriteHeader(status)
 	// A failed write means that the caller has disconnected.
 	_, _ = io.WriteString(w, body)
-	f.Metrics.refused(c, r, status)
+	f.Metrics.recordRefusal(c, r, status)
 	f.logRefused(c, r, strconv.Itoa(status))
 }
 
@@ -114,7 +114,7 @@
 	} else {
 		f.stream(w, c, response)
 	}
-	f.Metrics.answered(c, response.head.StatusCode)
+	f.Metrics.recordResponse(c, response.head.StatusCode)
 	event.RequestAnswered.Log(f.Log, "request", c.id, "route", c.route.Name, "service", c.service, "key", c.key, "target", c.lastTarget,
 		"status", response.head.StatusCode, "sends", c.sends, "waitedMs", c.queueTime.Milliseconds(), "tookMs", time.Since(c.arrived).Milliseconds())
 }
--- a/gateway/heat/heat.go
+++ b/gateway/heat/heat.go
@@ -52,10 +52,10 @@
 	sketch.Add(key, work)
 }
 
-// Take returns the loads and the hot keys that are due for a report, and resets them. Both
+// TakeReport returns the loads and the hot keys that are due for a report, and resets them. Both
 // are nil if the last report was less than reportInterval ago; hot is nil if the last one
 // with hot keys was less than hotKeyInterval ago.
-func (c *Collector) Take(now time.Time) (shards []*control.ShardLoad, hot []*control.HotKey) {
+func (c *Collector) TakeReport(now time.Time) (shards []*control.ShardLoad, hot []*control.HotKey) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if now.Sub(c.lastReport) < reportInterval {
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -122,10 +122,10 @@
 	i.state.log = log
 	i.state.roster = &roster.Roster{}
 	i.state.zone = s.Zone
-	storeDialer := &egress.Dialer{Timeout: storeDialTimeout, UserTimeout: storeUserTimeout, KeepAliveInterval: keepAliveInterval}
+	storeDialer := &egress.Dialer{DialTimeout: storeDialTimeout, UserTimeout: storeUserTimeout, KeepAliveInterval: keepAliveInterval}
 	i.store = &platform.Store{Address: s.Store, HTTP: newHTTPClient(storeDialer)}
-	i.peerClient = newHTTPClient(&egress.Dialer{Timeout: storeDialTimeout, UserTimeout: storeUserTimeout, KeepAliveInterval: keepAliveInterval})
-	targetDialer := &egress.Dialer{Timeout: targetDialTimeout, UserTimeout: targetUserTimeout, KeepAliveInterval: keepAliveInterval, ResetOnClose: true}
+	i.peerClient = newHTTPClient(&egress.Dialer{DialTimeout: storeDialTimeout, UserTimeout: storeUserTimeout, KeepAliveInterval: keepAliveInterval})
+	targetDialer := &egress.Dialer{DialTimeout: targetDialTimeout, UserTimeout: targetUserTimeout, KeepAliveInterval: keepAliveInterval, ResetOnClose: true}
 	i.peers = &peers.Peers{Log: log, Receive: i.receive, Self: peers.Instance{
 		Name: s.Instance, Incarnation: rand.Text()[:incarnationLength], Zone: s.Zone, Datagram: s.DatagramListen, Control: s.ControlListen,
 		Cores: s.Cores,
@@ -133,7 +133,7 @@
 	i.buildMirrors()
 	i.coordinator = coordinator.New(coordinator.Options{
 		Self: i.peers.Self, Store: i.store,
-		Channels: &channel.Set{Dial: targetDialer.DialContext}, Releases: &platform.GrantClient{HTTP: newHTTPClient(targetDialer)},
+		Channels: &channel.Set{Dial: targetDialer.DialContext}, ReleaseClient: &platform.GrantClient{HTTP: newHTTPClient(targetDialer)},
 		RestartFeeds: i.replicator.restartFeeds,
 		Joined:       i.replicator.joined.Load,
 		OnLeading:    i.recordLeading, OnUpdate: i.applyAssignmentUpdate, OnOversizedUpdate: i.assignments.Refresh,
--- a/gateway/instance/instance_test.go
+++ b/gateway/instance/instance_test.go
@@ -184,8 +184,8 @@
 	return res.StatusCode, string(content)
 }
 
-// awaitAnswer repeats a request until the body of a 200 response has a prefix.
-func (f *fleet) awaitAnswer(r *runningInstance, path string, key int, prefix string) {
+// awaitResponse repeats a request until the body of a 200 response has a prefix.
+func (f *fleet) awaitResponse(r *runningInstance, path string, key int, prefix string) {
 	f.t.Helper()
 	eventually(f.t, func() bool {
 		status, body := f.call(r, path, key)
@@ -214,11 +214,11 @@
 	one, two := f.start("one"), f.start("two")
 	one.awaitReady(t)
 	two.awaitReady(t)
-	f.awaitAnswer(one, "/menus/today", 0, "m1 GET /menus/today 0")
-	f.awaitAnswer(two, "/menus/today?day=2", 0, "m1 GET /menus/today?day=2 0")
+	f.awaitResponse(one, "/menus/today", 0, "m1 GET /menus/today 0")
+	f.awaitResponse(two, "/menus/today?day=2", 0, "m1 GET /menus/today?day=2 0")
 	for _, key := range []int{0, 30000, 65535} {
-		f.awaitAnswer(one, "/lists/x", key, "l")
-		f.awaitAnswer(two, "/lists/x", key, "l")
+		f.awaitResponse(one, "/lists/x", key, "l")
+		f.awaitResponse(two, "/lists/x", key, "l")
 	}
 	status, _ := f.call(one, "/unknown/", 0)
 	assert.Equal(t, status, http.StatusNotFound)
@@ -234,14 +234,14 @@
 	one, two := f.start("one"), f.start("two")
 	one.awaitReady(t)
 	two.awaitReady(t)
-	f.awaitAnswer(one, "/menus/x", 0, "m1")
+	f.awaitResponse(one, "/menus/x", 0, "m1")
 	f.configure(3, "other")
-	f.awaitAnswer(one, "/menus/x", 0, "o1")
-	f.awaitAnswer(two, "/menus/x", 0, "o1")
+	f.awaitResponse(one, "/menus/x", 0, "o1")
+	f.awaitResponse(two, "/menus/x", 0, "o1")
 	// An older version must not be applied.
 	f.configure(2, "menus")
 	f.configure(4, "other")
-	f.awaitAnswer(one, "/menus/x", 0, "o1")
+	f.awaitResponse(one, "/menus/x", 0, "o1")
 }
 
 // Guards against keys that stay with a draining target: they must be granted to the
@@ -253,12 +253,12 @@
 	f.startTarget("l2", "lists", true)
 	one := f.start("one")
 	one.awaitReady(t)
-	f.awaitAnswer(one, "/lists/x", 5, "l")
+	f.awaitResponse(one, "/lists/x", 5, "l")
 	eventually(t, func() bool { return len(f.assignment().Pieces) == 2 })
 	owner := f.assignment().Find(5).Owner
 	other := map[string]string{"l1": "l2", "l2": "l1"}[owner]
 	f.setTarget(owner, "lists", "draining")
-	f.awaitAnswer(one, "/lists/x", 5, other)
+	f.awaitResponse(one, "/lists/x", 5, other)
 	eventually(t, func() bool { return !f.targets[owner].Holds(5) && f.targets[other].Holds(5) })
 }
 
@@ -271,7 +271,7 @@
 	running := map[string]*runningInstance{"one": f.start("one"), "two": f.start("two")}
 	for _, r := range running {
 		r.awaitReady(t)
-		f.awaitAnswer(r, "/lists/x", 5, "l1")
+		f.awaitResponse(r, "/lists/x", 5, "l1")
 	}
 	lease := func() (l struct {
 		Term    int64
@@ -286,7 +286,7 @@
 	assert.NilError(t, running[first.Holder].stop())
 	other := map[string]string{"one": "two", "two": "one"}[first.Holder]
 	eventually(t, func() bool { l := lease(); return l.Holder == other && l.LeaseMs > 0 && l.Term > first.Term })
-	f.awaitAnswer(running[other], "/lists/x", 5, "l1")
+	f.awaitResponse(running[other], "/lists/x", 5, "l1")
 }
 
 // Guards against an instance that cannot serve if the store is unavailable when it
@@ -297,7 +297,7 @@
 	f.startTarget("m1", "menus", false)
 	one := f.start("one")
 	one.awaitReady(t)
-	f.awaitAnswer(one, "/menus/x", 0, "m1")
+	f.awaitResponse(one, "/menus/x", 0, "m1")
 	var i struct{ Control string }
 	eventually(t, func() bool {
 		return json.Unmarshal(f.store.Row(coordinator.InstanceTable, "one").Value, &i) == nil
@@ -305,7 +305,7 @@
 	f.store.SetRefusal(http.StatusServiceUnavailable)
 	two := f.start("two", i.Control)
 	two.awaitReady(t)
-	f.awaitAnswer(two, "/menus/x", 0, "m1")
+	f.awaitResponse(two, "/menus/x", 0, "m1")
 	f.store.SetRefusal(0)
 }
 
@@ -317,7 +317,7 @@
 	f.targets["m1"].OnRun = func(*http.Request) { time.Sleep(300 * time.Millisecond) }
 	one := f.start("one")
 	one.awaitReady(t)
-	f.awaitAnswer(one, "/menus/x", 0, "m1")
+	f.awaitResponse(one, "/menus/x", 0, "m1")
 	got := make(chan int, 3)
 	for range 3 {
 		go func() {
@@ -354,7 +354,7 @@
 	two := f.start("two", i.Control)
 	f.address = address
 	two.awaitReady(t)
-	f.awaitAnswer(two, "/menus/x", 0, "m1")
+	f.awaitResponse(two, "/menus/x", 0, "m1")
 	f.configure(3, "other")
-	f.awaitAnswer(two, "/menus/x", 0, "o1")
+	f.awaitResponse(two, "/menus/x", 0, "o1")
 }
--- a/gateway/instance/reader_test.go
+++ b/gateway/instance/reader_test.go
@@ -51,14 +51,14 @@
 	f.startTarget("l1", "lists", true)
 	one, _ := f.startBehindGate("one", 0.8)
 	one.awaitReady(t)
-	f.awaitAnswer(one, "/lists/x", 5, "l1")
+	f.awaitResponse(one, "/lists/x", 5, "l1")
 	eventually(t, func() bool { return f.store.Row(coordinator.InstanceTable, "one").Revision > 0 })
 	configReads, targetReads := f.store.RangeCount(platform.OperatorTable), f.store.RangeCount(platform.TargetTable)
 	for _, name := range []string{"two", "three", "four"} {
 		r, _ := f.startBehindGate(name, 0.1)
 		r.awaitReady(t)
-		f.awaitAnswer(r, "/menus/x", 0, "m1")
-		f.awaitAnswer(r, "/lists/x", 5, "l1")
+		f.awaitResponse(r, "/menus/x", 0, "m1")
+		f.awaitResponse(r, "/lists/x", 5, "l1")
 	}
 	assert.Equal(t, f.store.RangeCount(platform.OperatorTable), configReads)
 	assert.Equal(t, f.store.RangeCount(platform.TargetTable), targetReads)
@@ -77,11 +77,11 @@
 	three, _ := f.startBehindGate("three", 0.1)
 	for _, r := range []*runningInstance{one, two, three} {
 		r.awaitReady(t)
-		f.awaitAnswer(r, "/menus/x", 0, "m1")
+		f.awaitResponse(r, "/menus/x", 0, "m1")
 	}
 	oneGate.blocked.Store(true)
 	f.configure(3, "other")
 	for _, r := range []*runningInstance{two, three, one} {
-		f.awaitAnswer(r, "/menus/x", 0, "o1")
+		f.awaitResponse(r, "/menus/x", 0, "o1")
 	}
 }
--- a/gateway/leader/leader.go
+++ b/gateway/leader/leader.go
@@ -356,11 +356,11 @@
 	return 0
 }
 
-// Hint records the leader's renewal and the authority that it had left from the table.
-func (l *Leader) Hint(now time.Time, term, renewals uint64, left time.Duration) {
+// AddHint records the leader's renewal and the authority that it had left from the table.
+func (l *Leader) AddHint(now time.Time, term, renewals uint64, left time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.seat.AddHint(now, term, renewals, left)
+	l.seat.AddAnnouncement(now, term, renewals, left)
 }
 
 // broadcast wakes all polls that wait for a change. It is called with the lock held.
--- a/gateway/leader/poll.go
+++ b/gateway/leader/poll.go
@@ -36,7 +36,7 @@
 		return l.notLeading(), nil
 	}
 	for {
-		res, changed := l.tryAnswer(req)
+		res, changed := l.responseIfChanged(req)
 		if res != nil {
 			return res, nil
 		}
@@ -44,7 +44,7 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-timeout.C:
-			return l.answerAtTimeout(req), nil
+			return l.responseAtTimeout(req), nil
 		case <-changed:
 		}
 	}
@@ -116,9 +116,9 @@
 	return res
 }
 
-// tryAnswer returns the answer if there is a change to send, else the channel that is
+// responseIfChanged returns the answer if there is a change to send, else the channel that is
 // closed at the next change.
-func (l *Leader) tryAnswer(req *control.PollRequest) (*control.PollResponse, <-chan struct{}) {
+func (l *Leader) responseIfChanged(req *control.PollRequest) (*control.PollResponse, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -136,7 +136,7 @@
 	return l.buildResponse(now, req), nil
 }
 
-func (l *Leader) answerAtTimeout(req *control.PollRequest) *control.PollResponse {
+func (l *Leader) responseAtTimeout(req *control.PollRequest) *control.PollResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
--- a/gateway/planner/decide.go
+++ b/gateway/planner/decide.go
@@ -64,7 +64,7 @@
 	for name, z := range p.zoneSeats {
 		r, _ := z.Record()
 		p.applyHints(name, z)
-		suspect := z.HasHint() || z.UnchangedFor(time.Now()) >= evictor.SuspectAfter
+		suspect := z.HasAnnouncement() || z.UnchangedFor(time.Now()) >= evictor.SuspectAfter
 		if r.Holder == "" || !suspect || p.leaderAlive(name) {
 			continue
 		}
@@ -81,7 +81,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if h := p.hints[zone]; h != nil {
-		z.SetHints(h.Clone())
+		z.SetAnnouncements(h.Clone())
 	}
 }
 
--- a/gateway/planner/planner.go
+++ b/gateway/planner/planner.go
@@ -82,7 +82,7 @@
 	mu       sync.Mutex
 	seat     seat.Seat
 	reports  map[string]zoneReport
-	hints    map[string]*seat.Hints
+	hints    map[string]*seat.Announcements
 	wake     chan struct{}
 	loads    loadAverage
 	hot      hotKeys
@@ -115,7 +115,7 @@
 			Holder: o.Instance, Incarnation: o.Incarnation, Address: o.Address,
 		}},
 		reports:       map[string]zoneReport{},
-		hints:         map[string]*seat.Hints{},
+		hints:         map[string]*seat.Announcements{},
 		wake:          make(chan struct{}, 1),
 		chain:         audit.Chain{Stream: audit.System},
 		deltaLogs:     map[string]*deltalog.Log{},
@@ -155,7 +155,7 @@
 	defer p.mu.Unlock()
 	h := p.hints[beat.GetZone()]
 	if h == nil {
-		h = &seat.Hints{}
+		h = &seat.Announcements{}
 		p.hints[beat.GetZone()] = h
 	}
 	h.Add(now, beat.GetTerm(), beat.GetRenewals(), time.Duration(beat.GetTableLeftUs())*time.Microsecond)
