--- a/standin/demo/demo.go
+++ b/standin/demo/demo.go
@@ -48,7 +48,6 @@
 	return f.runScenario(ctx, s, out)
 }
 
-// runScenario runs the load and the faults of a scenario on a fleet that is running.
 func (f *fleet) runScenario(ctx context.Context, s *scenario.Scenario, out io.Writer) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/standin/demo/fault.go
+++ b/standin/demo/fault.go
@@ -172,13 +172,12 @@
 	}
 }
 
-// lostRange is a range of hashes whose owner a fault makes unavailable.
 type lostRange struct {
 	service     string
 	first, last uint64
 }
 
-// lostRanges returns the ranges whose owners the fault makes unavailable or drains.
+// lostRanges returns the hash ranges whose owners the fault makes unavailable or drains.
 func (f *fleet) lostRanges(fault scenario.Fault) []lostRange {
 	var owners []string
 	switch fault.Do {
--- a/standin/demo/fleet.go
+++ b/standin/demo/fleet.go
@@ -65,7 +65,6 @@
 	group      sync.WaitGroup
 }
 
-// buildGateway compiles the gateway into the folder and returns the path of the binary.
 func buildGateway(folder string) (string, error) {
 	binary := filepath.Join(folder, "basilcross-gateway")
 	out, err := exec.Command("go", "build", "-o", binary, "basilcross.example/gateway").CombinedOutput()
@@ -300,7 +299,6 @@
 	} `json:"leader"`
 }
 
-// configVersionKey is the key of the configuration in status.Versions.
 const configVersionKey = "$config"
 
 // configure submits the first configuration and waits until every shard has an owner.
@@ -319,7 +317,6 @@
 	})
 }
 
-// allShardsOwned reports whether every shard of every sharded service has an owner.
 func (f *fleet) allShardsOwned() bool {
 	for _, s := range f.deployment.Services {
 		var a struct {
--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -34,7 +34,7 @@
 	Region string
 }
 
-// Service is a set of targets; Slots and Shards are those of a target and of the service.
+// Service is a set of targets. Slots is the number per target, Shards that of the whole service.
 type Service struct {
 	Name    string
 	Sharded bool
@@ -43,7 +43,7 @@
 	Shards  int
 }
 
-// Kind is a kind of request with its share of the load and its mean execution time.
+// Kind is a kind of request, with its share of the load and its mean processing time.
 type Kind struct {
 	Name       string
 	Service    string
