--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -25,7 +25,7 @@
 	"basilcross.example/gateway/entry"
 	"basilcross.example/gateway/evictor"
 	"basilcross.example/gateway/follower"
-	"basilcross.example/gateway/heat"
+	"basilcross.example/gateway/keyload"
 	"basilcross.example/gateway/keys"
 	"basilcross.example/gateway/lane"
 	"basilcross.example/gateway/leader"
@@ -94,7 +94,7 @@
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	d.lanes = &lane.Set{Dial: dialer.DialContext}
 	auth := &authority.Authority{}
-	loads := &heat.Collector{}
+	loads := &keyload.Collector{}
 	d.tlsFiles = &keys.Files{Certificate: s.TLSCertFile, Key: s.TLSKeyFile, Authority: s.TLSAuthorityFile}
 	if err := d.tlsFiles.Check(); err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 	return d, nil
 }
 
-func (d *Daemon) buildTasks(b *backend, external *http.Client, peers *peer.Caller, auth *authority.Authority, loads *heat.Collector) {
+func (d *Daemon) buildTasks(b *backend, external *http.Client, peers *peer.Caller, auth *authority.Authority, loads *keyload.Collector) {
 	s := d.settings
 	incarnation := rand.Text()
 	d.renewer = renewer.New(renewer.Options{
--- a/gateway/entry/entry.go
+++ b/gateway/entry/entry.go
@@ -13,7 +13,7 @@
 	"basilcross.example/basilcross/refusal"
 	"basilcross.example/basilcross/retry"
 	"basilcross.example/gateway/authority"
-	"basilcross.example/gateway/heat"
+	"basilcross.example/gateway/keyload"
 	"basilcross.example/gateway/lane"
 	"basilcross.example/gateway/view"
 )
@@ -25,7 +25,7 @@
 	View      *view.View
 	Authority *authority.Authority
 	Lanes     *lane.Set
-	Loads     *heat.Collector
+	Loads     *keyload.Collector
 	Metrics   *Metrics
 	Log       *slog.Logger
 }
--- a/gateway/heat/heat.go
+++ b/gateway/keyload/keyload.go
@@ -1,6 +1,6 @@
-// Package heat adds up the work that requests cause per shard and per key, for the reports
-// to the zone's leader.
-package heat
+// Package keyload adds up the work that requests cause per shard and per key, for the
+// reports to the zone's leader.
+package keyload
 
 import (
 	"sync"
