--- a/gateway/entry/call.go
+++ b/gateway/entry/call.go
@@ -14,7 +14,7 @@
 	"basilcross.example/basilcross/grant"
 	"basilcross.example/basilcross/refusal"
 	"basilcross.example/basilcross/shard"
-	"basilcross.example/gateway/hop"
+	"basilcross.example/gateway/hopheader"
 	"basilcross.example/gateway/view"
 )
 
@@ -182,7 +182,7 @@
 // gateways are removed, so that callers cannot forge them.
 func forwardedHeader(r *http.Request) http.Header {
 	h := r.Header.Clone()
-	hop.Remove(h)
+	hopheader.Remove(h)
 	for _, name := range []string{"Expect", "Content-Length", grant.EpochHeader, grant.HashHeader, grant.DeadlineHeader} {
 		h.Del(name)
 	}
--- a/gateway/entry/response.go
+++ b/gateway/entry/response.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"basilcross.example/basilcross/event"
-	"basilcross.example/gateway/hop"
+	"basilcross.example/gateway/hopheader"
 )
 
 // streamBufferSize is the size of the chunks in which long responses are forwarded.
@@ -21,7 +21,7 @@
 	for name, values := range res.Header {
 		h[name] = values
 	}
-	hop.Remove(h)
+	hopheader.Remove(h)
 	if out.buffered {
 		h.Set("Content-Length", strconv.Itoa(len(out.body)))
 		w.WriteHeader(res.StatusCode)
--- a/gateway/front/call.go
+++ b/gateway/front/call.go
@@ -11,7 +11,7 @@
 
 	"basilcross.example/basilcross/ownership"
 	"basilcross.example/basilcross/routing"
-	"basilcross.example/gateway/hop"
+	"basilcross.example/gateway/hopheader"
 	"github.com/cespare/xxhash/v2"
 )
 
@@ -137,7 +137,7 @@
 	}
 	c.deadline = c.arrived.Add(timeout)
 	c.header = r.Header.Clone()
-	hop.Remove(c.header)
+	hopheader.Remove(c.header)
 	for _, name := range []string{"Expect", "Content-Length", f.Headers.TimeLeft, f.Headers.ExpectedTarget} {
 		c.header.Del(name)
 	}
--- a/gateway/front/reply.go
+++ b/gateway/front/reply.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"basilcross.example/basilcross/event"
-	"basilcross.example/gateway/hop"
+	"basilcross.example/gateway/hopheader"
 )
 
 // The retry delays that callers get in the Retry-After header.
@@ -94,7 +94,7 @@
 	for name, values := range response.head.Header {
 		h[name] = values
 	}
-	hop.Remove(h)
+	hopheader.Remove(h)
 	if f.keepAliveDisabled.Load() {
 		h.Set("Connection", "close")
 	}
--- a/gateway/hop/hop.go
+++ b/gateway/hopheader/hopheader.go
@@ -1,5 +1,5 @@
-// Package hop removes hop-by-hop headers, which a proxy must not forward.
-package hop
+// Package hopheader removes hop-by-hop headers, which a proxy must not forward.
+package hopheader
 
 import (
 	"net/http"
