--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -27,7 +27,6 @@
 	"basilcross.example/gateway/follower"
 	"basilcross.example/gateway/keyload"
 	"basilcross.example/gateway/keys"
-	"basilcross.example/gateway/lane"
 	"basilcross.example/gateway/leader"
 	"basilcross.example/gateway/operator"
 	"basilcross.example/gateway/peer"
@@ -35,6 +34,7 @@
 	"basilcross.example/gateway/relay"
 	"basilcross.example/gateway/renewer"
 	"basilcross.example/gateway/settings"
+	"basilcross.example/gateway/upstream"
 	"basilcross.example/gateway/view"
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
@@ -65,20 +65,20 @@
 
 // Daemon is one gateway process. Create it with New, then call Run.
 type Daemon struct {
-	settings settings.Settings
-	log      *slog.Logger
-	view     *view.View
-	lanes    *lane.Set
-	leader   *leader.Leader
-	planner  *planner.Planner
-	follower *follower.Follower
-	renewer  *renewer.Renewer
-	front    http.Handler
-	admin    http.Handler
-	control  http.Handler
-	table    table.Client
-	tlsFiles *keys.Files
-	draining atomic.Bool
+	settings  settings.Settings
+	log       *slog.Logger
+	view      *view.View
+	upstreams *upstream.Set
+	leader    *leader.Leader
+	planner   *planner.Planner
+	follower  *follower.Follower
+	renewer   *renewer.Renewer
+	front     http.Handler
+	admin     http.Handler
+	control   http.Handler
+	table     table.Client
+	tlsFiles  *keys.Files
+	draining  atomic.Bool
 }
 
 // New returns a Daemon. It fails if the TLS files or the target list are invalid.
@@ -92,7 +92,7 @@
 	}
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	d.lanes = &lane.Set{Dial: dialer.DialContext}
+	d.upstreams = &upstream.Set{Dial: dialer.DialContext}
 	auth := &authority.Authority{}
 	loads := &keyload.Collector{}
 	d.tlsFiles = &keys.Files{Certificate: s.TLSCertFile, Key: s.TLSKeyFile, Authority: s.TLSAuthorityFile}
@@ -102,7 +102,7 @@
 	peers := &peer.Caller{Client: newPeerClient(dialer, d.tlsFiles), TLS: d.tlsFiles.Set()}
 	d.buildTasks(backend, client, peers, auth, loads)
 	d.front = entry.New(entry.Options{
-		Zone: s.Zone, Region: s.Region, View: d.view, Authority: auth, Lanes: d.lanes,
+		Zone: s.Zone, Region: s.Region, View: d.view, Authority: auth, Upstreams: d.upstreams,
 		Loads: loads, Metrics: entry.NewMetrics(registry), Log: log,
 	})
 	d.admin = admin.New(admin.Options{
@@ -255,7 +255,7 @@
 	root.Add(d.planner)
 	root.Add(d.follower)
 	root.Add(d.renewer)
-	root.Add(&housekeeper{view: d.view, lanes: d.lanes})
+	root.Add(&housekeeper{view: d.view, upstreams: d.upstreams})
 	return root
 }
 
@@ -335,11 +335,11 @@
 	return err
 }
 
-// housekeeper drops expired exceptions from the rules and closes lanes to removed
+// housekeeper drops expired exceptions from the rules and closes the upstreams of removed
 // targets.
 type housekeeper struct {
-	view  *view.View
-	lanes *lane.Set
+	view      *view.View
+	upstreams *upstream.Set
 }
 
 // Serve does both every refreshInterval until the context ends.
@@ -358,7 +358,7 @@
 					current[id] = true
 				}
 			}
-			h.lanes.Retain(current)
+			h.upstreams.Retain(current)
 		}
 	}
 }
--- a/gateway/entry/attempt.go
+++ b/gateway/entry/attempt.go
@@ -14,7 +14,7 @@
 	"basilcross.example/basilcross/pool"
 	"basilcross.example/basilcross/refusal"
 	"basilcross.example/basilcross/slot"
-	"basilcross.example/gateway/lane"
+	"basilcross.example/gateway/upstream"
 	"basilcross.example/gateway/view"
 )
 
@@ -29,7 +29,7 @@
 
 // route is the destination of one attempt.
 type route struct {
-	lane     *lane.Lane
+	upstream *upstream.Upstream
 	target   *assignment.Target
 	epoch    uint64
 	snapshot *view.Snapshot
@@ -43,7 +43,7 @@
 		fail.snapshot = snapshot
 		return fail
 	}
-	release, err := r.lane.Slots.Acquire(ctx, *c.kind.Rules.Priority)
+	release, err := r.upstream.Slots.Acquire(ctx, *c.kind.Rules.Priority)
 	if err != nil {
 		return queueFailure(err)
 	}
@@ -86,7 +86,7 @@
 		// now, and the planner waits until all have stopped.
 		return nil, newOwnerFailure(refusal.OwnerMoving, "the key is moving to another target")
 	}
-	return &route{lane: f.Lanes.Get(target), target: target, epoch: sh.Epoch, snapshot: s}, nil
+	return &route{upstream: f.Upstreams.Get(target), target: target, epoch: sh.Epoch, snapshot: s}, nil
 }
 
 func newOwnerFailure(cause refusal.Cause, detail string) *failed {
@@ -97,7 +97,7 @@
 
 // send writes the request to the target and reads the response's header.
 func (f *Front) send(ctx context.Context, c *call, r *route, release func(slot.Result)) outcome {
-	overdueAfter := overdueDelay(r.lane)
+	overdueAfter := overdueDelay(r.upstream)
 	attemptCtx, cancel := f.attemptContext(ctx, c, overdueAfter)
 	body, length := c.newBodyReader()
 	c.streamSent = c.streamSent || !c.buffered
@@ -113,7 +113,7 @@
 		BeforeSend:    func(now time.Time) error { return f.checkAuthority(now, r) },
 	}
 	f.setTargetHeaders(req.Header, ctx, c, r)
-	res, err := r.lane.Pool.Do(attemptCtx, req)
+	res, err := r.upstream.Pool.Do(attemptCtx, req)
 	if err != nil {
 		cancel()
 		return f.sendFailure(ctx, c, r, err, release)
@@ -128,7 +128,7 @@
 		_ = res.Body.Close()
 		cancel()
 		if complete {
-			r.lane.RecordSuccess()
+			r.upstream.RecordSuccess()
 			release(slot.Answered)
 			return
 		}
@@ -150,8 +150,8 @@
 }
 
 // overdueDelay returns the time after which a target's response is overdue.
-func overdueDelay(l *lane.Lane) time.Duration {
-	normal := time.Duration(l.Slots.State().Latency * float64(time.Second))
+func overdueDelay(u *upstream.Upstream) time.Duration {
+	normal := time.Duration(u.Slots.State().Latency * float64(time.Second))
 	return max(minOverdueDelay, overdueFactor*normal)
 }
 
@@ -191,7 +191,7 @@
 	out.done(err == nil)
 	if err != nil {
 		event.AnswerCut.Log(f.Log, "target", r.target.ID, "error", err)
-		r.lane.RecordFailure(time.Now())
+		r.upstream.RecordFailure(time.Now())
 		return &failed{refusal: refusal.NewUnknown(refusal.AnswerCut, "the target's answer ended early"), retryWhen: c.retryIfBuffered()}
 	}
 	out.body, out.buffered = body, true
@@ -246,9 +246,9 @@
 	now := time.Now()
 	if pe.Stage == pool.Waiting && isDeadlineExceeded(pe.Cause) {
 		event.TargetSilent.Log(f.Log, "target", r.target.ID)
-		r.lane.Pool.Invalidate(now)
+		r.upstream.Pool.Invalidate(now)
 	}
-	if r.lane.RecordFailure(now) {
+	if r.upstream.RecordFailure(now) {
 		event.TargetEjected.Log(f.Log, "target", r.target.ID)
 	}
 }
--- a/gateway/entry/choose.go
+++ b/gateway/entry/choose.go
@@ -6,7 +6,7 @@
 
 	"basilcross.example/basilcross/assignment"
 	"basilcross.example/basilcross/refusal"
-	"basilcross.example/gateway/lane"
+	"basilcross.example/gateway/upstream"
 	"basilcross.example/gateway/view"
 )
 
@@ -40,7 +40,7 @@
 }
 
 func (f *Front) routeTo(s *view.Snapshot, t *assignment.Target) *route {
-	return &route{lane: f.Lanes.Get(t), target: t, snapshot: s}
+	return &route{upstream: f.Upstreams.Get(t), target: t, snapshot: s}
 }
 
 // groupByDistance groups targets by this zone, this region and other regions.
@@ -64,14 +64,14 @@
 func (f *Front) pickLessLoaded(now time.Time, s *view.Snapshot, tier []*assignment.Target) (r *route, free bool) {
 	least := 0.0
 	for range 2 {
-		t, l := f.randomAvailable(now, tier)
+		t, u := f.randomAvailable(now, tier)
 		if t == nil {
 			return r, free
 		}
-		state := l.Slots.State()
+		state := u.Slots.State()
 		load := float64(state.InFlight+state.Waiting+1) / max(state.Limit, 0.01)
 		if r == nil || load < least {
-			r = &route{lane: l, target: t, snapshot: s}
+			r = &route{upstream: u, target: t, snapshot: s}
 			free = load <= 1 || state.InFlight == 0
 			least = load
 		}
@@ -80,15 +80,15 @@
 }
 
 // randomAvailable returns a random target that is not ejected, or nil.
-func (f *Front) randomAvailable(now time.Time, tier []*assignment.Target) (*assignment.Target, *lane.Lane) {
+func (f *Front) randomAvailable(now time.Time, tier []*assignment.Target) (*assignment.Target, *upstream.Upstream) {
 	if len(tier) == 0 {
 		return nil, nil
 	}
 	start := rand.IntN(len(tier))
 	for i := range tier {
 		t := tier[(start+i)%len(tier)]
-		if l := f.Lanes.Get(t); !l.Ejected(now) {
-			return t, l
+		if u := f.Upstreams.Get(t); !u.Ejected(now) {
+			return t, u
 		}
 	}
 	return nil, nil
--- a/gateway/entry/entry.go
+++ b/gateway/entry/entry.go
@@ -14,7 +14,7 @@
 	"basilcross.example/basilcross/retry"
 	"basilcross.example/gateway/authority"
 	"basilcross.example/gateway/keyload"
-	"basilcross.example/gateway/lane"
+	"basilcross.example/gateway/upstream"
 	"basilcross.example/gateway/view"
 )
 
@@ -24,7 +24,7 @@
 	Region    string
 	View      *view.View
 	Authority *authority.Authority
-	Lanes     *lane.Set
+	Upstreams *upstream.Set
 	Loads     *keyload.Collector
 	Metrics   *Metrics
 	Log       *slog.Logger
--- a/gateway/entry/entry_test.go
+++ b/gateway/entry/entry_test.go
@@ -22,7 +22,7 @@
 	"basilcross.example/gateway/authority"
 	"basilcross.example/gateway/entry"
 	"basilcross.example/gateway/keyload"
-	"basilcross.example/gateway/lane"
+	"basilcross.example/gateway/upstream"
 	"basilcross.example/gateway/view"
 	"github.com/prometheus/client_golang/prometheus"
 	"gotest.tools/v3/assert"
@@ -40,7 +40,7 @@
 	t.Helper()
 	f := &fixture{t: t, view: view.View{Zone: "graz"}}
 	front := entry.New(entry.Options{
-		Zone: "graz", Region: "ost", View: &f.view, Authority: &f.authority, Lanes: &lane.Set{}, Loads: &keyload.Collector{},
+		Zone: "graz", Region: "ost", View: &f.view, Authority: &f.authority, Upstreams: &upstream.Set{}, Loads: &keyload.Collector{},
 		Metrics: entry.NewMetrics(prometheus.NewRegistry()), Log: slog.New(slog.DiscardHandler),
 	})
 	s := httptest.NewServer(front)
--- a/gateway/lane/lane.go
+++ b/gateway/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package lane holds a gateway's state of each target: the connections, the gateway's
+// Package upstream holds a gateway's state of each target: the connections, the gateway's
 // share of the target's slots, and the target's health as seen by the gateway.
-package lane
+package upstream
 
 import (
 	"sync"
@@ -18,12 +18,12 @@
 	// up to maxEjection.
 	minEjection = time.Second
 	maxEjection = 30 * time.Second
-	// queueLimit is the queue limit of every lane; the rules' limit is not applied.
+	// queueLimit is the queue limit of every upstream; the rules' limit is not applied.
 	queueLimit = 64
 )
 
-// Lane is the state of one target: connections, slots and failures.
-type Lane struct {
+// Upstream is the state of one target: connections, slots and failures.
+type Upstream struct {
 	Target string
 	Pool   *pool.Pool
 	Slots  *slot.Limiter
@@ -35,41 +35,41 @@
 }
 
 // RecordSuccess records a request with a response, and resets the failures.
-func (l *Lane) RecordSuccess() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.failures, l.ejections = 0, 0
+func (u *Upstream) RecordSuccess() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.failures, u.ejections = 0, 0
 }
 
 // RecordFailure records a request without a response, and reports whether the target
 // was ejected for it.
-func (l *Lane) RecordFailure(now time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.failures++
-	if l.failures < ejectAfter || now.Before(l.ejectedUntil) {
+func (u *Upstream) RecordFailure(now time.Time) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.failures++
+	if u.failures < ejectAfter || now.Before(u.ejectedUntil) {
 		return false
 	}
-	length := min(minEjection<<min(l.ejections, 10), maxEjection)
-	l.ejections++
-	l.failures = 0
-	l.ejectedUntil = now.Add(length)
+	length := min(minEjection<<min(u.ejections, 10), maxEjection)
+	u.ejections++
+	u.failures = 0
+	u.ejectedUntil = now.Add(length)
 	return true
 }
 
 // Ejected reports whether the target is ejected at now.
-func (l *Lane) Ejected(now time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return now.Before(l.ejectedUntil)
+func (u *Upstream) Ejected(now time.Time) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return now.Before(u.ejectedUntil)
 }
 
-// Set holds the lanes of all targets.
+// Set holds the upstreams of all targets, by target ID.
 type Set struct {
 	Dial pool.DialFunc
 
-	mu    sync.RWMutex
-	lanes map[string]*Lane
+	mu        sync.RWMutex
+	upstreams map[string]*Upstream
 
 	overdueMu         sync.Mutex
 	lastOverdueTarget string
@@ -94,54 +94,54 @@
 	}
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	for _, l := range s.lanes {
-		l.Pool.Invalidate(now)
+	for _, u := range s.upstreams {
+		u.Pool.Invalidate(now)
 	}
 }
 
-// Get returns the lane of a target, a new one if the target's address has changed.
-func (s *Set) Get(t *assignment.Target) *Lane {
+// Get returns the upstream of a target, a new one if the target's address has changed.
+func (s *Set) Get(t *assignment.Target) *Upstream {
 	s.mu.RLock()
-	l := s.lanes[t.ID]
+	u := s.upstreams[t.ID]
 	s.mu.RUnlock()
-	if l != nil && l.Pool.Address == t.Address {
-		return l
+	if u != nil && u.Pool.Address == t.Address {
+		return u
 	}
 	return s.open(t)
 }
 
-func (s *Set) open(t *assignment.Target) *Lane {
+func (s *Set) open(t *assignment.Target) *Upstream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old := s.lanes[t.ID]
+	old := s.upstreams[t.ID]
 	if old != nil && old.Pool.Address == t.Address {
 		return old
 	}
 	if old != nil {
 		old.Pool.Close()
 	}
-	if s.lanes == nil {
-		s.lanes = map[string]*Lane{}
+	if s.upstreams == nil {
+		s.upstreams = map[string]*Upstream{}
 	}
-	l := &Lane{
+	u := &Upstream{
 		Target: t.ID,
 		Pool: &pool.Pool{Address: t.Address, Dial: s.Dial, OnOverdue: func(now time.Time) {
 			s.handleOverdue(t.ID, now)
 		}},
 		Slots: &slot.Limiter{Slots: t.Slots, QueueLimit: queueLimit},
 	}
-	s.lanes[t.ID] = l
-	return l
+	s.upstreams[t.ID] = u
+	return u
 }
 
-// Retain closes the lanes of all targets but the given ones.
+// Retain closes the upstreams of all targets but the given ones.
 func (s *Set) Retain(targets map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, l := range s.lanes {
+	for id, u := range s.upstreams {
 		if !targets[id] {
-			l.Pool.Close()
-			delete(s.lanes, id)
+			u.Pool.Close()
+			delete(s.upstreams, id)
 		}
 	}
 }
