--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -26,7 +26,6 @@
 	"basilcross.example/gateway/evictor"
 	"basilcross.example/gateway/follower"
 	"basilcross.example/gateway/keyload"
-	"basilcross.example/gateway/keys"
 	"basilcross.example/gateway/leader"
 	"basilcross.example/gateway/operator"
 	"basilcross.example/gateway/peer"
@@ -34,6 +33,7 @@
 	"basilcross.example/gateway/relay"
 	"basilcross.example/gateway/renewer"
 	"basilcross.example/gateway/settings"
+	"basilcross.example/gateway/tlsfiles"
 	"basilcross.example/gateway/upstream"
 	"basilcross.example/gateway/view"
 	"github.com/prometheus/client_golang/prometheus"
@@ -77,7 +77,7 @@
 	admin     http.Handler
 	control   http.Handler
 	table     table.Client
-	tlsFiles  *keys.Files
+	tlsFiles  *tlsfiles.Files
 	draining  atomic.Bool
 }
 
@@ -95,7 +95,7 @@
 	d.upstreams = &upstream.Set{Dial: dialer.DialContext}
 	auth := &authority.Authority{}
 	loads := &keyload.Collector{}
-	d.tlsFiles = &keys.Files{Certificate: s.TLSCertFile, Key: s.TLSKeyFile, Authority: s.TLSAuthorityFile}
+	d.tlsFiles = &tlsfiles.Files{Certificate: s.TLSCertFile, Key: s.TLSKeyFile, Authority: s.TLSAuthorityFile}
 	if err := d.tlsFiles.Check(); err != nil {
 		return nil, err
 	}
@@ -155,7 +155,7 @@
 // newPeerClient returns the client for other instances. It uses HTTP/2, whose
 // header compression saves most of a poll's header bytes. Pings detect
 // unresponsive connections, since timeouts of streams do not close them.
-func newPeerClient(dialer *egress.Dialer, files *keys.Files) *http.Client {
+func newPeerClient(dialer *egress.Dialer, files *tlsfiles.Files) *http.Client {
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(!files.Set())
 	protocols.SetHTTP2(files.Set())
--- a/gateway/keys/keys.go
+++ b/gateway/tlsfiles/tlsfiles.go
@@ -1,7 +1,7 @@
-// Package keys provides the TLS configuration for calls between instances. Both ends
+// Package tlsfiles provides the TLS configuration for calls between instances. Both ends
 // present a certificate signed by the fleet's authority, and only TLS 1.3 is accepted. The
 // files are read again when they change, so certificates are replaced without a restart.
-package keys
+package tlsfiles
 
 import (
 	"crypto/tls"
--- a/gateway/keys/keys_test.go
+++ b/gateway/tlsfiles/tlsfiles_test.go
@@ -1,4 +1,4 @@
-package keys_test
+package tlsfiles_test
 
 import (
 	"crypto/ecdsa"
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"basilcross.example/gateway/keys"
+	"basilcross.example/gateway/tlsfiles"
 	"gotest.tools/v3/assert"
 )
 
@@ -43,7 +43,7 @@
 }
 
 // issue writes the files of an instance whose certificate expires at a time.
-func (a *authority) issue(dir string, expires time.Time) *keys.Files {
+func (a *authority) issue(dir string, expires time.Time) *tlsfiles.Files {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(a.t, err)
@@ -55,7 +55,7 @@
 	assert.NilError(a.t, err)
 	private, err := x509.MarshalECPrivateKey(key)
 	assert.NilError(a.t, err)
-	f := &keys.Files{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authority: filepath.Join(dir, "ca")}
+	f := &tlsfiles.Files{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authority: filepath.Join(dir, "ca")}
 	for name, block := range map[string]*pem.Block{
 		f.Certificate: {Type: "CERTIFICATE", Bytes: der},
 		f.Key:         {Type: "EC PRIVATE KEY", Bytes: private},
@@ -66,7 +66,7 @@
 	return f
 }
 
-func serve(t *testing.T, f *keys.Files) string {
+func serve(t *testing.T, f *tlsfiles.Files) string {
 	t.Helper()
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	s.TLS = f.Server()
@@ -113,6 +113,6 @@
 
 // A certificate that cannot be loaded must be reported at the start, not by the first call.
 func TestCheckReportsUnreadableFiles(t *testing.T) {
-	f := &keys.Files{Certificate: "missing", Key: "missing", Authority: "missing"}
+	f := &tlsfiles.Files{Certificate: "missing", Key: "missing", Authority: "missing"}
 	assert.ErrorContains(t, f.Check(), "load certificate")
 }
