--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -28,7 +28,7 @@
 	"basilcross.example/gateway/keyload"
 	"basilcross.example/gateway/leader"
 	"basilcross.example/gateway/operator"
-	"basilcross.example/gateway/peer"
+	"basilcross.example/gateway/peerclient"
 	"basilcross.example/gateway/planner"
 	"basilcross.example/gateway/relay"
 	"basilcross.example/gateway/renewer"
@@ -99,7 +99,7 @@
 	if err := d.tlsFiles.Check(); err != nil {
 		return nil, err
 	}
-	peers := &peer.Caller{Client: newPeerClient(dialer, d.tlsFiles), TLS: d.tlsFiles.Set()}
+	peers := &peerclient.Caller{Client: newPeerClient(dialer, d.tlsFiles), TLS: d.tlsFiles.Set()}
 	d.buildTasks(backend, client, peers, auth, loads)
 	d.front = entry.New(entry.Options{
 		Zone: s.Zone, Region: s.Region, View: d.view, Authority: auth, Upstreams: d.upstreams,
@@ -117,7 +117,7 @@
 	return d, nil
 }
 
-func (d *Daemon) buildTasks(b *backend, external *http.Client, peers *peer.Caller, auth *authority.Authority, loads *keyload.Collector) {
+func (d *Daemon) buildTasks(b *backend, external *http.Client, peers *peerclient.Caller, auth *authority.Authority, loads *keyload.Collector) {
 	s := d.settings
 	incarnation := rand.Text()
 	d.renewer = renewer.New(renewer.Options{
--- a/gateway/evictor/evictor.go
+++ b/gateway/evictor/evictor.go
@@ -14,7 +14,7 @@
 	"basilcross.example/basilcross/seat"
 	"basilcross.example/basilcross/table"
 	"basilcross.example/gateway/control"
-	"basilcross.example/gateway/peer"
+	"basilcross.example/gateway/peerclient"
 	"golang.org/x/sync/errgroup"
 )
 
@@ -32,7 +32,7 @@
 type Evictor struct {
 	Instance string
 	Table    table.Client
-	Peers    *peer.Caller
+	Peers    *peerclient.Caller
 	NewToken func() string
 	Log      *slog.Logger
 
--- a/gateway/follower/follower.go
+++ b/gateway/follower/follower.go
@@ -20,7 +20,7 @@
 	"basilcross.example/basilcross/zone"
 	"basilcross.example/gateway/authority"
 	"basilcross.example/gateway/control"
-	"basilcross.example/gateway/peer"
+	"basilcross.example/gateway/peerclient"
 	"basilcross.example/gateway/renewer"
 	"basilcross.example/gateway/view"
 )
@@ -55,7 +55,7 @@
 	Loads         Loads
 	// OnRenewal receives the leader's renewal and what it had left from the table.
 	OnRenewal func(now time.Time, term, renewals uint64, left time.Duration)
-	Caller    *peer.Caller
+	Caller    *peerclient.Caller
 	Log       *slog.Logger
 
 	mu            sync.Mutex
--- a/gateway/leader/leader.go
+++ b/gateway/leader/leader.go
@@ -20,7 +20,7 @@
 	"basilcross.example/gateway/control"
 	"basilcross.example/gateway/evictor"
 	"basilcross.example/gateway/follower"
-	"basilcross.example/gateway/peer"
+	"basilcross.example/gateway/peerclient"
 	"basilcross.example/gateway/view"
 )
 
@@ -66,7 +66,7 @@
 	Follower  *follower.Follower
 	Authority *authority.Authority
 	Planner   Planner
-	Peers     *peer.Caller
+	Peers     *peerclient.Caller
 	Log       *slog.Logger
 	// NewToken returns a new unique token.
 	NewToken func() string
--- a/gateway/peer/peer.go
+++ b/gateway/peerclient/peerclient.go
@@ -1,5 +1,5 @@
-// Package peer makes RPC clients for other instances.
-package peer
+// Package peerclient makes RPC clients for other instances.
+package peerclient
 
 import (
 	"net/http"
--- a/gateway/planner/planner.go
+++ b/gateway/planner/planner.go
@@ -18,7 +18,7 @@
 	"basilcross.example/basilcross/table"
 	"basilcross.example/gateway/control"
 	"basilcross.example/gateway/evictor"
-	"basilcross.example/gateway/peer"
+	"basilcross.example/gateway/peerclient"
 	"basilcross.example/gateway/view"
 )
 
@@ -63,7 +63,7 @@
 	Table       table.Client
 	Objects     object.Client
 	View        *view.View
-	Peers       *peer.Caller
+	Peers       *peerclient.Caller
 	Log         *slog.Logger
 	NewToken    func() string
 	// Instances reads the platform's instance list.
--- a/gateway/relay/relay.go
+++ b/gateway/relay/relay.go
@@ -17,7 +17,7 @@
 	"basilcross.example/basilcross/event"
 	"basilcross.example/basilcross/table"
 	"basilcross.example/gateway/control"
-	"basilcross.example/gateway/peer"
+	"basilcross.example/gateway/peerclient"
 )
 
 const (
@@ -34,7 +34,7 @@
 	// Peers returns the control addresses of other zones' leaders.
 	Peers func() []string
 	// Caller calls the leaders that relay.
-	Caller *peer.Caller
+	Caller *peerclient.Caller
 	Log    *slog.Logger
 
 	mu               sync.Mutex
