--- a/gateway/admin/admin.go
+++ b/gateway/admin/admin.go
@@ -19,8 +19,8 @@
 	"basilcross.example/basilcross/event"
 	"basilcross.example/basilcross/shard"
 	"basilcross.example/basilcross/table"
+	"basilcross.example/gateway/adminauth"
 	"basilcross.example/gateway/leader"
-	"basilcross.example/gateway/operator"
 	"basilcross.example/gateway/view"
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
@@ -42,7 +42,7 @@
 	Registry   *prometheus.Registry
 	Log        *slog.Logger
 	Pprof      bool
-	Authorizer operator.Authorizer
+	Authorizer adminauth.Authorizer
 }
 
 // Handler is the HTTP handler of the admin address.
--- a/gateway/operator/operator.go
+++ b/gateway/adminauth/adminauth.go
@@ -1,5 +1,5 @@
-// Package operator authorizes requests to the admin address.
-package operator
+// Package adminauth authorizes requests to the admin address.
+package adminauth
 
 import (
 	"crypto/sha256"
--- a/gateway/operator/operator_test.go
+++ b/gateway/adminauth/adminauth_test.go
@@ -1,4 +1,4 @@
-package operator_test
+package adminauth_test
 
 import (
 	"net/http"
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"testing"
 
-	"basilcross.example/gateway/operator"
+	"basilcross.example/gateway/adminauth"
 	"gotest.tools/v3/assert"
 )
 
@@ -18,7 +18,7 @@
 	return name
 }
 
-func statusOf(g *operator.Authorizer, method, token string) int {
+func statusOf(g *adminauth.Authorizer, method, token string) int {
 	r := httptest.NewRequest(method, "/v1/config", http.NoBody)
 	if token != "" {
 		r.Header.Set("Authorization", "Bearer "+token)
@@ -30,7 +30,7 @@
 
 // The read token must permit reading only, and a prefix of a token nothing.
 func TestTokenPermissions(t *testing.T) {
-	g := &operator.Authorizer{ReadFile: tokenFile(t, "look"), ChangeFile: tokenFile(t, "touch")}
+	g := &adminauth.Authorizer{ReadFile: tokenFile(t, "look"), ChangeFile: tokenFile(t, "touch")}
 	for _, tt := range []struct {
 		method, token string
 		want          int
@@ -49,14 +49,14 @@
 // The token file is empty, as after a failed replacement. It must not permit requests
 // without a token or with an empty one.
 func TestEmptyTokenFileDeniesAccess(t *testing.T) {
-	g := &operator.Authorizer{ReadFile: tokenFile(t, ""), ChangeFile: tokenFile(t, "")}
+	g := &adminauth.Authorizer{ReadFile: tokenFile(t, ""), ChangeFile: tokenFile(t, "")}
 	assert.Equal(t, statusOf(g, http.MethodPost, ""), http.StatusUnauthorized)
 	assert.Equal(t, statusOf(g, http.MethodGet, " "), http.StatusForbidden)
 }
 
 func TestTokenChangesWithoutRestart(t *testing.T) {
 	name := tokenFile(t, "old")
-	g := &operator.Authorizer{ChangeFile: name}
+	g := &adminauth.Authorizer{ChangeFile: name}
 	assert.NilError(t, os.WriteFile(name, []byte("new"), 0o600))
 	assert.Equal(t, statusOf(g, http.MethodPost, "new"), http.StatusOK)
 	assert.Equal(t, statusOf(g, http.MethodPost, "old"), http.StatusForbidden)
--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -20,6 +20,7 @@
 	"basilcross.example/basilcross/platform"
 	"basilcross.example/basilcross/table"
 	"basilcross.example/gateway/admin"
+	"basilcross.example/gateway/adminauth"
 	"basilcross.example/gateway/authority"
 	"basilcross.example/gateway/control"
 	"basilcross.example/gateway/entry"
@@ -27,7 +28,6 @@
 	"basilcross.example/gateway/follower"
 	"basilcross.example/gateway/keyload"
 	"basilcross.example/gateway/leader"
-	"basilcross.example/gateway/operator"
 	"basilcross.example/gateway/peerclient"
 	"basilcross.example/gateway/planner"
 	"basilcross.example/gateway/relay"
@@ -108,7 +108,7 @@
 	d.admin = admin.New(admin.Options{
 		Instance: s.Instance, Zone: s.Zone, View: d.view, Table: d.table, Leader: d.leader,
 		Ready: d.Ready, Planning: d.planner.Planning, Registry: registry, Log: log, Pprof: s.Pprof,
-		Authorizer: operator.Authorizer{ReadFile: s.ReadTokenFile, ChangeFile: s.ChangeTokenFile},
+		Authorizer: adminauth.Authorizer{ReadFile: s.ReadTokenFile, ChangeFile: s.ChangeTokenFile},
 	})
 	mux := http.NewServeMux()
 	mux.Handle(control.ZonePathPrefix, control.NewZoneServer(d.leader))
