--- a/basilcross/eviction/eviction_test.go
+++ b/basilcross/eviction/eviction_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"basilcross.example/basilcross/eviction"
-	"basilcross.example/basilcross/promise"
+	"basilcross.example/basilcross/quorum"
 	"basilcross.example/basilcross/seat"
 	"gotest.tools/v3/assert"
 )
@@ -17,15 +17,15 @@
 func Example() {
 	now := time.Unix(1000, 0)
 	holder := seat.Record{Zone: "wien", Holder: "gw-9", Incarnation: "a"}
-	var graz, salzburg promise.Ledger
-	graz.Extend(now, promise.ExtendRequest{Zone: "wien", Holder: "gw-9", Incarnation: "a", Version: 7}, holder, 7)
+	var graz, salzburg quorum.Ledger
+	graz.Extend(now, quorum.ExtendRequest{Zone: "wien", Holder: "gw-9", Incarnation: "a", Version: 7}, holder, 7)
 
 	var e eviction.Eviction
 	e.Begin(8, now)
-	for zone, ledger := range map[string]*promise.Ledger{"graz": &graz, "salzburg": &salzburg} {
+	for zone, ledger := range map[string]*quorum.Ledger{"graz": &graz, "salzburg": &salzburg} {
 		e.Confirm(now, zone, 8, ledger.Refrain(now, "wien", 8))
 	}
-	needed := promise.EvictQuorum(4)
+	needed := quorum.EvictQuorum(4)
 	fmt.Println("at once:", e.Complete(now, needed))
 	fmt.Println("later:", e.Complete(now.Add(2*seat.LeaseDuration), needed))
 	// Output:
@@ -38,8 +38,8 @@
 func TestRefrainEndsWithARenewal(t *testing.T) {
 	now := time.Unix(1000, 0)
 	holder := seat.Record{Zone: "wien", Holder: "gw-9", Incarnation: "a"}
-	request := promise.ExtendRequest{Zone: "wien", Holder: "gw-9", Incarnation: "a", Version: 8}
-	var ledger promise.Ledger
+	request := quorum.ExtendRequest{Zone: "wien", Holder: "gw-9", Incarnation: "a", Version: 8}
+	var ledger quorum.Ledger
 	ledger.Refrain(now, "wien", 8)
 	assert.Assert(t, !ledger.Extend(now, request, holder, 8))
 	request.Version = 9
@@ -51,9 +51,9 @@
 // duration. It must not extend a holder whose row has an intent.
 func TestNewLeaderDelaysItsConfirmation(t *testing.T) {
 	now := time.Unix(1000, 0)
-	ledger := promise.Ledger{ConfirmFrom: now.Add(seat.LeaseDuration)}
+	ledger := quorum.Ledger{ConfirmFrom: now.Add(seat.LeaseDuration)}
 	evicted := seat.Record{Zone: "wien", Holder: "gw-9", Incarnation: "a", Intent: "gw-1"}
-	request := promise.ExtendRequest{Zone: "wien", Holder: "gw-9", Incarnation: "a", Version: 7}
+	request := quorum.ExtendRequest{Zone: "wien", Holder: "gw-9", Incarnation: "a", Version: 7}
 	assert.Assert(t, !ledger.Extend(now, request, evicted, 8))
 	assert.Equal(t, ledger.Refrain(now, "wien", 8), seat.LeaseDuration)
 }
@@ -73,10 +73,10 @@
 // have a leader in common for every number of zones.
 func TestExtendAndEvictQuorumsOverlap(t *testing.T) {
 	for n := 2; n <= 20; n++ {
-		extend, ok := promise.ExtendQuorum(n)
+		extend, ok := quorum.ExtendQuorum(n)
 		assert.Assert(t, ok)
-		assert.Assert(t, extend+promise.EvictQuorum(n) > n-1, "n = %d", n)
+		assert.Assert(t, extend+quorum.EvictQuorum(n) > n-1, "n = %d", n)
 	}
-	_, ok := promise.ExtendQuorum(1)
+	_, ok := quorum.ExtendQuorum(1)
 	assert.Assert(t, !ok)
 }
--- a/basilcross/promise/promise.go
+++ b/basilcross/quorum/quorum.go
@@ -1,11 +1,12 @@
-// Package promise records what a zone's leader has promised for other zones' seats while
-// the table service is unreachable: an extension of a seat, that is to take no part in
-// evicting its holder for the next period, or to refrain from extending it.
+// Package quorum counts how many leaders must agree to extend or evict a zone's seat while
+// the table service is unreachable, and records what one leader has granted for other zones'
+// seats: an extension of a seat, that is to take no part in evicting its holder for the next
+// period, or to refrain from extending it.
 //
 // With n seats and f tolerated failures, a holder keeps its seat while n-f leaders,
 // itself included, extend it, and is evicted only if f+1 others refrain. Any two such
 // sets share a leader, and no leader does both at a time.
-package promise
+package quorum
 
 import (
 	"time"
--- a/gateway/evictor/evictor.go
+++ b/gateway/evictor/evictor.go
@@ -10,7 +10,7 @@
 
 	"basilcross.example/basilcross/event"
 	"basilcross.example/basilcross/eviction"
-	"basilcross.example/basilcross/promise"
+	"basilcross.example/basilcross/quorum"
 	"basilcross.example/basilcross/seat"
 	"basilcross.example/basilcross/table"
 	"basilcross.example/gateway/control"
@@ -58,7 +58,7 @@
 	attempt := e.attemptFor(s.Name)
 	attempt.Begin(version, tableLeaseEnd)
 	e.requestRefrain(ctx, attempt, s.Name, others)
-	return attempt.Complete(time.Now(), promise.EvictQuorum(len(others)+1))
+	return attempt.Complete(time.Now(), quorum.EvictQuorum(len(others)+1))
 }
 
 func (e *Evictor) attemptFor(name string) *eviction.Eviction {
--- a/gateway/leader/heads.go
+++ b/gateway/leader/heads.go
@@ -11,7 +11,7 @@
 	"basilcross.example/basilcross/deltalog"
 	"basilcross.example/basilcross/event"
 	"basilcross.example/basilcross/lease"
-	"basilcross.example/basilcross/promise"
+	"basilcross.example/basilcross/quorum"
 	"basilcross.example/basilcross/seat"
 	"basilcross.example/basilcross/table"
 	"basilcross.example/basilcross/zone"
@@ -91,7 +91,7 @@
 	switch {
 	case after && l.zoneState == nil:
 		l.zoneState = &zone.Leader{Zone: l.Zone, PriorLeasesEnd: l.seat.PriorLeasesEnd()}
-		l.ledger = &promise.Ledger{ConfirmFrom: time.Now().Add(lease.Wait(seat.LeaseDuration))}
+		l.ledger = &quorum.Ledger{ConfirmFrom: time.Now().Add(lease.Wait(seat.LeaseDuration))}
 		l.ready = false
 		event.SeatGained.Log(l.Log, "seat", l.Zone, "term", r.Term)
 	case before && !after:
--- a/gateway/leader/leader.go
+++ b/gateway/leader/leader.go
@@ -12,7 +12,7 @@
 	"basilcross.example/basilcross/deltalog"
 	"basilcross.example/basilcross/event"
 	"basilcross.example/basilcross/object"
-	"basilcross.example/basilcross/promise"
+	"basilcross.example/basilcross/quorum"
 	"basilcross.example/basilcross/seat"
 	"basilcross.example/basilcross/table"
 	"basilcross.example/basilcross/zone"
@@ -91,7 +91,7 @@
 	mu         sync.Mutex
 	seat       seat.Seat
 	seats      map[string]*seat.Seat
-	ledger     *promise.Ledger
+	ledger     *quorum.Ledger
 	zoneState  *zone.Leader
 	ready      bool
 	started    time.Time
--- a/gateway/leader/outage.go
+++ b/gateway/leader/outage.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"basilcross.example/basilcross/promise"
+	"basilcross.example/basilcross/quorum"
 	"basilcross.example/basilcross/seat"
 	"basilcross.example/gateway/control"
 	"golang.org/x/sync/errgroup"
@@ -66,7 +66,7 @@
 		return nil, nil, 0
 	}
 	others = l.otherSeats()
-	needed, ok := promise.ExtendQuorum(len(others) + 1)
+	needed, ok := quorum.ExtendQuorum(len(others) + 1)
 	if !ok {
 		return nil, nil, 0
 	}
@@ -104,8 +104,8 @@
 	return extended
 }
 
-// Extend promises another leader to take no part in its eviction for a
-// seat.LeaseDuration.
+// Extend grants another leader an extension of its seat: this one takes no part in its
+// eviction for a seat.LeaseDuration.
 func (l *Leader) Extend(_ context.Context, req *control.ExtendRequest) (*control.ExtendResponse, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,7 +119,7 @@
 	if s, ok := l.seats[req.GetZone()]; ok {
 		known, version = s.Record()
 	}
-	res.Extended = l.ledger.Extend(now, promise.ExtendRequest{
+	res.Extended = l.ledger.Extend(now, quorum.ExtendRequest{
 		Zone: req.GetZone(), Holder: req.GetHolder(), Incarnation: req.GetIncarnation(), Version: req.GetRowVersion(),
 	}, known, version)
 	return res, nil
