--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -128,7 +128,7 @@
 		Instance: s.Instance, Incarnation: incarnation, Address: s.AdvertisedAddress(), Zone: s.Zone, PeerAddresses: s.Peers,
 		View: d.view, Authority: auth, Renewer: d.renewer, Loads: loads, Caller: peers, Log: d.log,
 		OnRenewal: func(now time.Time, term, renewals uint64, left time.Duration) {
-			d.leader.AddHint(now, term, renewals, left)
+			d.leader.AddAnnouncement(now, term, renewals, left)
 		},
 	}
 	relayed := &relay.Client{
--- a/gateway/leader/leader.go
+++ b/gateway/leader/leader.go
@@ -356,8 +356,9 @@
 	return 0
 }
 
-// AddHint records the leader's renewal and the authority that it had left from the table.
-func (l *Leader) AddHint(now time.Time, term, renewals uint64, left time.Duration) {
+// AddAnnouncement records the leader's renewal and the authority that it had left from the
+// table.
+func (l *Leader) AddAnnouncement(now time.Time, term, renewals uint64, left time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seat.AddAnnouncement(now, term, renewals, left)
--- a/gateway/planner/decide.go
+++ b/gateway/planner/decide.go
@@ -63,7 +63,7 @@
 	var unused sync.Mutex
 	for name, z := range p.zoneSeats {
 		r, _ := z.Record()
-		p.applyHints(name, z)
+		p.applyAnnouncements(name, z)
 		suspect := z.HasAnnouncement() || z.UnchangedFor(time.Now()) >= evictor.SuspectAfter
 		if r.Holder == "" || !suspect || p.leaderAlive(name) {
 			continue
@@ -76,12 +76,12 @@
 	return evicted
 }
 
-// applyHints copies the renewals that the zone's leader announced to its seat.
-func (p *Planner) applyHints(zone string, z *seat.Seat) {
+// applyAnnouncements copies the renewals that the zone's leader announced to its seat.
+func (p *Planner) applyAnnouncements(zone string, z *seat.Seat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if h := p.hints[zone]; h != nil {
-		z.SetAnnouncements(h.Clone())
+	if a := p.announcements[zone]; a != nil {
+		z.SetAnnouncements(a.Clone())
 	}
 }
 
--- a/gateway/planner/planner.go
+++ b/gateway/planner/planner.go
@@ -81,14 +81,14 @@
 type Planner struct {
 	Options
 
-	mu       sync.Mutex
-	seat     seat.Seat
-	reports  map[string]zoneReport
-	hints    map[string]*seat.Announcements
-	wake     chan struct{}
-	loads    loadAverage
-	hot      hotKeys
-	stopping bool
+	mu            sync.Mutex
+	seat          seat.Seat
+	reports       map[string]zoneReport
+	announcements map[string]*seat.Announcements
+	wake          chan struct{}
+	loads         loadAverage
+	hot           hotKeys
+	stopping      bool
 
 	// The fields below are used by Serve only.
 	chain           audit.Chain
@@ -117,7 +117,7 @@
 			Holder: o.Instance, Incarnation: o.Incarnation, Address: o.Address,
 		}},
 		reports:       map[string]zoneReport{},
-		hints:         map[string]*seat.Announcements{},
+		announcements: map[string]*seat.Announcements{},
 		wake:          make(chan struct{}, 1),
 		chain:         audit.Chain{Stream: audit.System},
 		deltaLogs:     map[string]*deltalog.Log{},
@@ -155,19 +155,19 @@
 func (p *Planner) ReceiveHeartbeat(now time.Time, beat *control.BeatRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hints[beat.GetZone()]
-	if h == nil {
-		h = &seat.Announcements{}
-		p.hints[beat.GetZone()] = h
+	a := p.announcements[beat.GetZone()]
+	if a == nil {
+		a = &seat.Announcements{}
+		p.announcements[beat.GetZone()] = a
 	}
-	h.Add(now, beat.GetTerm(), beat.GetRenewals(), time.Duration(beat.GetTableLeftUs())*time.Microsecond)
+	a.Add(now, beat.GetTerm(), beat.GetRenewals(), time.Duration(beat.GetTableLeftUs())*time.Microsecond)
 }
 
 // lastHeartbeat returns when the zone leader's last heartbeat was received. It is
 // called with the lock held.
 func (p *Planner) lastHeartbeat(zone string) time.Time {
-	if h := p.hints[zone]; h != nil {
-		return h.ReceivedAt()
+	if a := p.announcements[zone]; a != nil {
+		return a.ReceivedAt()
 	}
 	return time.Time{}
 }
