--- a/basilcross/seat/announcements.go
+++ b/basilcross/seat/announcements.go
@@ -28,35 +28,35 @@
 
 // Add records the holder's announcement, received at now, that the renewal of
 // this term and number gives it authority from the table for at most left.
-func (h *Announcements) Add(now time.Time, term, renewals uint64, left time.Duration) {
-	h.receivedAt = now
+func (a *Announcements) Add(now time.Time, term, renewals uint64, left time.Duration) {
+	a.receivedAt = now
 	end := now.Add(lease.Wait(left))
-	for i, kept := range h.list {
+	for i, kept := range a.list {
 		if kept.term == term && kept.renewals == renewals {
 			if end.Before(kept.end) {
-				h.list[i].end = end
+				a.list[i].end = end
 			}
 			return
 		}
 	}
-	if len(h.list) == maxAnnouncements {
-		h.list = h.list[1:]
+	if len(a.list) == maxAnnouncements {
+		a.list = a.list[1:]
 	}
-	h.list = append(h.list, announcement{term: term, renewals: renewals, end: end})
+	a.list = append(a.list, announcement{term: term, renewals: renewals, end: end})
 }
 
 // ReceivedAt is when the last announcement was received.
-func (h *Announcements) ReceivedAt() time.Time { return h.receivedAt }
+func (a *Announcements) ReceivedAt() time.Time { return a.receivedAt }
 
 // Clone returns a copy that is not changed by Add.
-func (h *Announcements) Clone() Announcements {
-	return Announcements{list: append([]announcement(nil), h.list...), receivedAt: h.receivedAt}
+func (a *Announcements) Clone() Announcements {
+	return Announcements{list: append([]announcement(nil), a.list...), receivedAt: a.receivedAt}
 }
 
 // authorityEnd is when the authority from a renewal ends; ok is false if the holder
 // has not announced the renewal.
-func (h *Announcements) authorityEnd(term, renewals uint64) (end time.Time, ok bool) {
-	for _, kept := range h.list {
+func (a *Announcements) authorityEnd(term, renewals uint64) (end time.Time, ok bool) {
+	for _, kept := range a.list {
 		if kept.term == term && kept.renewals == renewals {
 			return kept.end, true
 		}
--- a/basilcross/seat/seat.go
+++ b/basilcross/seat/seat.go
@@ -227,7 +227,7 @@
 }
 
 // SetAnnouncements replaces the announcements by those received elsewhere.
-func (s *Seat) SetAnnouncements(h Announcements) { s.announcements = h }
+func (s *Seat) SetAnnouncements(a Announcements) { s.announcements = a }
 
 // UnchangedFor returns the time since this instance first saw the last renewal
 // or change of holder in the row.
