--- a/gateway/daemon/daemon.go
+++ b/gateway/daemon/daemon.go
@@ -20,21 +20,21 @@
 	"basilcross.example/basilcross/platform"
 	"basilcross.example/basilcross/table"
 	"basilcross.example/gateway/admin"
+	"basilcross.example/gateway/adminauth"
 	"basilcross.example/gateway/authority"
 	"basilcross.example/gateway/control"
 	"basilcross.example/gateway/entry"
 	"basilcross.example/gateway/evictor"
 	"basilcross.example/gateway/follower"
-	"basilcross.example/gateway/heat"
-	"basilcross.example/gateway/keys"
-	"basilcross.example/gateway/lane"
+	"basilcross.example/gateway/keyload"
 	"basilcross.example/gateway/leader"
-	"basilcross.example/gateway/operator"
-	"basilcross.example/gateway/peer"
+	"basilcross.example/gateway/peerclient"
 	"basilcross.example/gateway/planner"
 	"basilcross.example/gateway/relay"
 	"basilcross.example/gateway/renewer"
 	"basilcross.example/gateway/settings"
+	"basilcross.example/gateway/tlsfiles"
+	"basilcross.example/gateway/upstream"
 	"basilcross.example/gateway/view"
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
@@ -65,20 +65,20 @@
 
 // Daemon is one gateway process. Create it with New, then call Run.
 type Daemon struct {
-	settings settings.Settings
-	log      *slog.Logger
-	view     *view.View
-	lanes    *lane.Set
-	leader   *leader.Leader
-	planner  *planner.Planner
-	follower *follower.Follower
-	renewer  *renewer.Renewer
-	front    http.Handler
-	admin    http.Handler
-	control  http.Handler
-	table    table.Client
-	tlsFiles *keys.Files
-	draining atomic.Bool
+	settings  settings.Settings
+	log       *slog.Logger
+	view      *view.View
+	upstreams *upstream.Set
+	leader    *leader.Leader
+	planner   *planner.Planner
+	follower  *follower.Follower
+	renewer   *renewer.Renewer
+	front     http.Handler
+	admin     http.Handler
+	control   http.Handler
+	table     table.Client
+	tlsFiles  *tlsfiles.Files
+	draining  atomic.Bool
 }
 
 // New returns a Daemon. It fails if the TLS files or the target list are invalid.
@@ -92,23 +92,23 @@
 	}
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	d.lanes = &lane.Set{Dial: dialer.DialContext}
+	d.upstreams = &upstream.Set{Dial: dialer.DialContext}
 	auth := &authority.Authority{}
-	loads := &heat.Collector{}
-	d.tlsFiles = &keys.Files{Certificate: s.TLSCertFile, Key: s.TLSKeyFile, Authority: s.TLSAuthorityFile}
+	loads := &keyload.Collector{}
+	d.tlsFiles = &tlsfiles.Files{Certificate: s.TLSCertFile, Key: s.TLSKeyFile, Authority: s.TLSAuthorityFile}
 	if err := d.tlsFiles.Check(); err != nil {
 		return nil, err
 	}
-	peers := &peer.Caller{Client: newPeerClient(dialer, d.tlsFiles), TLS: d.tlsFiles.Set()}
+	peers := &peerclient.Caller{Client: newPeerClient(dialer, d.tlsFiles), TLS: d.tlsFiles.Set()}
 	d.buildTasks(backend, client, peers, auth, loads)
 	d.front = entry.New(entry.Options{
-		Zone: s.Zone, Region: s.Region, View: d.view, Authority: auth, Lanes: d.lanes,
+		Zone: s.Zone, Region: s.Region, View: d.view, Authority: auth, Upstreams: d.upstreams,
 		Loads: loads, Metrics: entry.NewMetrics(registry), Log: log,
 	})
 	d.admin = admin.New(admin.Options{
 		Instance: s.Instance, Zone: s.Zone, View: d.view, Table: d.table, Leader: d.leader,
 		Ready: d.Ready, Planning: d.planner.Planning, Registry: registry, Log: log, Pprof: s.Pprof,
-		Authorizer: operator.Authorizer{ReadFile: s.ReadTokenFile, ChangeFile: s.ChangeTokenFile},
+		Authorizer: adminauth.Authorizer{ReadFile: s.ReadTokenFile, ChangeFile: s.ChangeTokenFile},
 	})
 	mux := http.NewServeMux()
 	mux.Handle(control.ZonePathPrefix, control.NewZoneServer(d.leader))
@@ -117,7 +117,7 @@
 	return d, nil
 }
 
-func (d *Daemon) buildTasks(b *backend, external *http.Client, peers *peer.Caller, auth *authority.Authority, loads *heat.Collector) {
+func (d *Daemon) buildTasks(b *backend, external *http.Client, peers *peerclient.Caller, auth *authority.Authority, loads *keyload.Collector) {
 	s := d.settings
 	incarnation := rand.Text()
 	d.renewer = renewer.New(renewer.Options{
@@ -128,7 +128,7 @@
 		Instance: s.Instance, Incarnation: incarnation, Address: s.AdvertisedAddress(), Zone: s.Zone, PeerAddresses: s.Peers,
 		View: d.view, Authority: auth, Renewer: d.renewer, Loads: loads, Caller: peers, Log: d.log,
 		OnRenewal: func(now time.Time, term, renewals uint64, left time.Duration) {
-			d.leader.AddHint(now, term, renewals, left)
+			d.leader.AddAnnouncement(now, term, renewals, left)
 		},
 	}
 	relayed := &relay.Client{
@@ -155,7 +155,7 @@
 // newPeerClient returns the client for other instances. It uses HTTP/2, whose
 // header compression saves most of a poll's header bytes. Pings detect
 // unresponsive connections, since timeouts of streams do not close them.
-func newPeerClient(dialer *egress.Dialer, files *keys.Files) *http.Client {
+func newPeerClient(dialer *egress.Dialer, files *tlsfiles.Files) *http.Client {
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(!files.Set())
 	protocols.SetHTTP2(files.Set())
@@ -255,7 +255,7 @@
 	root.Add(d.planner)
 	root.Add(d.follower)
 	root.Add(d.renewer)
-	root.Add(&housekeeper{view: d.view, lanes: d.lanes})
+	root.Add(&housekeeper{view: d.view, upstreams: d.upstreams})
 	return root
 }
 
@@ -335,11 +335,11 @@
 	return err
 }
 
-// housekeeper drops expired exceptions from the rules and closes lanes to removed
+// housekeeper drops expired exceptions from the rules and closes the upstreams of removed
 // targets.
 type housekeeper struct {
-	view  *view.View
-	lanes *lane.Set
+	view      *view.View
+	upstreams *upstream.Set
 }
 
 // Serve does both every refreshInterval until the context ends.
@@ -358,7 +358,7 @@
 					current[id] = true
 				}
 			}
-			h.lanes.Retain(current)
+			h.upstreams.Retain(current)
 		}
 	}
 }
--- a/gateway/entry/entry.go
+++ b/gateway/entry/entry.go
@@ -13,8 +13,8 @@
 	"basilcross.example/basilcross/refusal"
 	"basilcross.example/basilcross/retry"
 	"basilcross.example/gateway/authority"
-	"basilcross.example/gateway/heat"
-	"basilcross.example/gateway/lane"
+	"basilcross.example/gateway/keyload"
+	"basilcross.example/gateway/upstream"
 	"basilcross.example/gateway/view"
 )
 
@@ -24,8 +24,8 @@
 	Region    string
 	View      *view.View
 	Authority *authority.Authority
-	Lanes     *lane.Set
-	Loads     *heat.Collector
+	Upstreams *upstream.Set
+	Loads     *keyload.Collector
 	Metrics   *Metrics
 	Log       *slog.Logger
 }
--- a/gateway/leader/leader.go
+++ b/gateway/leader/leader.go
@@ -12,7 +12,7 @@
 	"basilcross.example/basilcross/deltalog"
 	"basilcross.example/basilcross/event"
 	"basilcross.example/basilcross/object"
-	"basilcross.example/basilcross/promise"
+	"basilcross.example/basilcross/quorum"
 	"basilcross.example/basilcross/seat"
 	"basilcross.example/basilcross/table"
 	"basilcross.example/basilcross/zone"
@@ -20,7 +20,7 @@
 	"basilcross.example/gateway/control"
 	"basilcross.example/gateway/evictor"
 	"basilcross.example/gateway/follower"
-	"basilcross.example/gateway/peer"
+	"basilcross.example/gateway/peerclient"
 	"basilcross.example/gateway/view"
 )
 
@@ -66,7 +66,7 @@
 	Follower  *follower.Follower
 	Authority *authority.Authority
 	Planner   Planner
-	Peers     *peer.Caller
+	Peers     *peerclient.Caller
 	Log       *slog.Logger
 	// NewToken returns a new unique token.
 	NewToken func() string
@@ -91,7 +91,7 @@
 	mu         sync.Mutex
 	seat       seat.Seat
 	seats      map[string]*seat.Seat
-	ledger     *promise.Ledger
+	ledger     *quorum.Ledger
 	zoneState  *zone.Leader
 	ready      bool
 	started    time.Time
@@ -356,8 +356,9 @@
 	return 0
 }
 
-// AddHint records the leader's renewal and the authority that it had left from the table.
-func (l *Leader) AddHint(now time.Time, term, renewals uint64, left time.Duration) {
+// AddAnnouncement records the leader's renewal and the authority that it had left from the
+// table.
+func (l *Leader) AddAnnouncement(now time.Time, term, renewals uint64, left time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seat.AddAnnouncement(now, term, renewals, left)
