--- a/basilcross/egress/egress.go
+++ b/basilcross/egress/egress.go
@@ -11,6 +11,8 @@
 )
 
 const (
+	// defaultKeepAlive is the KeepAliveInterval if none is set. Its probes detect idle
+	// connections whose other end is gone.
 	defaultKeepAlive = 5 * time.Second
 	// defaultDialTimeout is the dial timeout if none is set.
 	defaultDialTimeout = 2 * time.Second
--- a/basilcross/grant/guard.go
+++ b/basilcross/grant/guard.go
@@ -191,9 +191,10 @@
 // returns a RefusedError otherwise.
 //
 // It guards against a pause of the process between Admit and the effect, during
-// which the lease expires and another target takes the key over. An effect on
-// external storage should also send the epoch there as a fencing token, since
-// the process can be paused between the check and the effect as well.
+// which the lease expires and another target takes the key over, so it checks
+// immediately before the effect. An effect on external storage should also send
+// the epoch there as a fencing token, since the process can be paused between the
+// check and the effect as well.
 func (a *Admission) Commit(effect func(now time.Time)) error {
 	g := a.guard
 	g.mu.Lock()
--- a/basilcross/ownership/balance.go
+++ b/basilcross/ownership/balance.go
@@ -244,9 +244,9 @@
 func (l *targetLoad) keepsLoadWithout(load float64) bool { return l.load > 1.01*load }
 
 // edgeRange returns the longest range at one end of a piece whose load is at most
-// limit. If that load is negligible because a busy key follows, the range includes
-// that key if the load is then at most maxLoad. It is empty (first > last) if no
-// key fits.
+// limit. If the next key is so busy that it would more than double that load, the
+// range includes it if the load is then at most maxLoad. It is empty (first > last)
+// if no key fits.
 func edgeRange(sums []float64, p *piece, atStart bool, limit, maxLoad float64) (first, last int) {
 	rangeOf := func(n int) (int, int) {
 		if atStart {
--- a/basilcross/ownership/imbalance_test.go
+++ b/basilcross/ownership/imbalance_test.go
@@ -8,6 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// Guards against moves between targets whose loads differ only by chance.
 func TestRandomLoadDifferencesMoveNoKeys(t *testing.T) {
 	const targets, seconds = 100, 10
 	s := newLoadSimulation(targets)
@@ -20,7 +21,8 @@
 	assert.Assert(t, moved <= targets, "more than one move per target in %d s", seconds)
 }
 
-// Guards against overload that lasts: a tenth of the targets get twice the load.
+// Guards against moves that wait for statistical evidence while targets stay
+// overloaded: a tenth of the targets get twice the load of the others.
 func TestLastingLoadDifferenceIsBalanced(t *testing.T) {
 	const targets = 100
 	s := newLoadSimulation(targets)
@@ -40,6 +42,8 @@
 	assert.Assert(t, s.overloadShare() < before/3)
 }
 
+// Guards against randomness that does not come from the seed: a simulation that
+// fails must fail again with the same seed.
 func TestSimulationIsDeterministic(t *testing.T) {
 	run := func() (*ownership.Assignment, ownership.MoveCounts) {
 		s := newLoadSimulation(60)
--- a/basilcross/ownership/order.go
+++ b/basilcross/ownership/order.go
@@ -183,8 +183,9 @@
 
 // OwnerReplaced reports that an incarnation has ended, as another service's target
 // has its address now. If that service is sharded, its target may hold misdirected
-// grants: those sent since a target of this service was last confirmed there. It
-// returns whether the incarnation was not reported before.
+// grants: those sent since a target of this service was last confirmed there. A
+// target of an unsharded service holds no keys. It returns whether the incarnation
+// was not reported before.
 func (m *Manager) OwnerReplaced(owner roster.Incarnation, sharded bool) bool {
 	s := m.owner(owner)
 	changed := !s.ended
--- a/basilcross/ownership/owner.go
+++ b/basilcross/ownership/owner.go
@@ -17,7 +17,8 @@
 	lastAnswered, answeringSince time.Time
 	// unansweredSince is when the first order since the last answer failed, if any.
 	unansweredSince time.Time
-	// trials counts how often the owner was given keys again since its last answer.
+	// trials counts how often the owner was made eligible for keys again since its
+	// last answer.
 	trials int
 	// ended is set when the incarnation is proved to have ended, and misdirected if
 	// the target now at its address may hold keys from grants meant for it.
--- a/basilcross/ownership/step.go
+++ b/basilcross/ownership/step.go
@@ -77,6 +77,7 @@
 	}
 	switch {
 	case !s.unansweredSince.IsZero() && now.Sub(s.unansweredSince) > unresponsiveTimeout:
+		// The owner may still hold the keys, whatever is sent to it now.
 		p.phase, p.cause = awaitingExpiry, OwnerLost
 		m.dirty = true
 	case listed == nil || listed.Draining:
--- a/basilcross/pool/pool.go
+++ b/basilcross/pool/pool.go
@@ -329,7 +329,8 @@
 	}
 }
 
-// pop removes and returns the connection that received a response last.
+// pop removes and returns the connection that received a response last, which is the
+// freshest.
 func (p *Pool) pop() *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/basilcross/retry/retry_test.go
+++ b/basilcross/retry/retry_test.go
@@ -21,7 +21,8 @@
 }
 
 // Guards against retries that amplify the load while targets fail half of their
-// requests: the load may grow by at most a tenth.
+// requests: retries must stay within a tenth of the successes, besides the reserve, so
+// that the load grows by at most a tenth.
 func TestBudgetBoundsAmplification(t *testing.T) {
 	var b retry.Budget
 	const requests = 10_000
--- a/basilcross/schedule/queue.go
+++ b/basilcross/schedule/queue.go
@@ -7,7 +7,8 @@
 	// objective, since work varies around its mean.
 	safetyFactor = 1.4
 	// lateWaitShare is the share of the time left until its deadline that a request waits
-	// if it cannot meet its objective. Requests of its priority that can precede it.
+	// if it cannot meet its objective. Requests of its priority that can meet theirs go
+	// first.
 	lateWaitShare = 0.4
 	// answerMessages is how many one-way delays pass from a reservation to the answer:
 	// the reservation, the request and the answer itself.
--- a/basilcross/slot/overload_test.go
+++ b/basilcross/slot/overload_test.go
@@ -85,7 +85,7 @@
 }
 
 // runLoad sends requests at a multiple of the capacity: confirmations at a tenth of the
-// capacity, and pulls of the lowest class.
+// capacity, and for the rest pulls of the lowest class.
 func runLoad(times float64, send func(ctx context.Context, gateway, priority int, work time.Duration) bool) *runResult {
 	random := rand.New(rand.NewPCG(1, 2))
 	o := &runResult{}
--- a/basilcross/slot/slot.go
+++ b/basilcross/slot/slot.go
@@ -1,5 +1,6 @@
-// Package slot limits the requests that one gateway sends to a target. The limit adapts
-// to the target's answers, so that gateways share its slots without communicating.
+// Package slot limits the requests that one gateway sends to a target, and shares the
+// target's few slots among them by priority. The limit adapts to the target's answers, so
+// that gateways share the slots without communicating.
 package slot
 
 import (
@@ -380,7 +381,8 @@
 	Limit    float64
 	InFlight int
 	Waiting  int
-	Latency  float64
+	// Latency is the recent average, in seconds.
+	Latency float64
 }
 
 // State returns the current state.
--- a/basilcross/table/table.go
+++ b/basilcross/table/table.go
@@ -39,7 +39,8 @@
 // the writes, and also if a condition is not met, so that the result of a conflict
 // has the conflicting rows without another round trip.
 type Transaction struct {
-	// Token identifies the transaction; retries have the same one.
+	// Token is unique to the transaction, not to the attempt: retries have the same
+	// one.
 	Token        string      `json:"token"`
 	Conditions   []Condition `json:"conditions,omitempty"`
 	Puts         []Put       `json:"puts,omitempty"`
@@ -47,7 +48,7 @@
 	ReadPrefixes []string    `json:"readPrefixes,omitempty"`
 }
 
-// Result is the outcome of a transaction.
+// Result is the outcome of a transaction whose response was received.
 type Result struct {
 	Committed bool `json:"committed"`
 	// Revision is the version of all written rows; zero if not committed.
