--- a/basilcross/table/table.go
+++ b/basilcross/table/table.go
@@ -127,7 +127,8 @@
 	}
 }
 
-// resolveConflict turns a conflict with an earlier attempt into a commit.
+// resolveConflict turns a conflict with an earlier attempt of the same transaction
+// into a commit.
 func resolveConflict(res Result, key, token string) Result {
 	if res.Committed {
 		return res
