--- a/gateway/broker/broker.go
+++ b/gateway/broker/broker.go
@@ -35,7 +35,7 @@
 	// with each failure, up to maxBackoff.
 	minBackoff = time.Second
 	maxBackoff = 8 * time.Second
-	// fullTTL is how long a zone without free slots is skipped.
+	// fullTTL is how long another zone without free slots is skipped.
 	fullTTL = 60 * time.Millisecond
 	// releaseGrace is how long after its request's deadline a slot is released, in
 	// case the release message is lost.
--- a/gateway/broker/scheduler.go
+++ b/gateway/broker/scheduler.go
@@ -44,7 +44,7 @@
 	replies := b.pending[r.Seq]
 	b.mu.Unlock()
 	if replies == nil {
-		// The request has ended and a release was sent.
+		// The request has had a reply already, or it was abandoned with a release.
 		return
 	}
 	select {
--- a/gateway/coordinator/coordinator.go
+++ b/gateway/coordinator/coordinator.go
@@ -294,9 +294,10 @@
 	c.readLease(ctx)
 }
 
-// leaseReadDue reports whether the lease should be read: the observed row says that it
-// has ended, so that the store call is worth its price. Each instance then waits for its
-// takeover delay, so that most receive the next coordinator's heartbeat before they read.
+// leaseReadDue reports whether the lease should be read: no row was observed yet, or the
+// observed row says that it has ended, so that the store call is worth its price. In the
+// latter case each instance first waits for its takeover delay, so that most receive the
+// next coordinator's heartbeat before they read.
 func (c *Coordinator) leaseReadDue(now time.Time) bool {
 	if !c.observed.known {
 		return true
--- a/gateway/coordinator/lease_test.go
+++ b/gateway/coordinator/lease_test.go
@@ -171,7 +171,7 @@
 	})
 }
 
-// When a fleet starts, a small instance may become the coordinator. It must hand over once a
+// When a fleet starts, a small instance may become the coordinator. It must hand over once an
 // instance with more cores has reported and all keys are held, and not before.
 func TestSmallCoordinatorHandsOver(t *testing.T) {
 	now := time.Now()
--- a/gateway/front/reply.go
+++ b/gateway/front/reply.go
@@ -24,7 +24,7 @@
 	cause  string
 	// mayHaveRun is set unless it is certain that no target ran the request or will.
 	mayHaveRun bool
-	// reachedTarget is set if a target received at least a part of the request.
+	// reachedTarget is set if any part of the request was written to a target.
 	reachedTarget bool
 	// awaitOwner makes the next attempt wait for the key's next owner.
 	awaitOwner bool
--- a/gateway/instance/forward.go
+++ b/gateway/instance/forward.go
@@ -56,8 +56,8 @@
 	return parts
 }
 
-// maxResentRows bounds the rows that are sent with an update, resent ones included:
-// four datagrams' worth.
+// maxResentRows bounds the rows of an update together with those resent before it:
+// four datagrams' worth. A larger update is sent alone.
 const maxResentRows = 20
 
 // recentUpdates keeps the last forwarded changes of each table, without a gap
--- a/gateway/instance/instance.go
+++ b/gateway/instance/instance.go
@@ -69,7 +69,8 @@
 	// the time allowed for a target that leaves.
 	minorDelay = time.Second
 	// idleTimeout closes callers' idle connections. It is longer than the
-	// operators' limits, so that no request arrives while its connection is closed.
+	// operators' limits, so that no request arrives while its connection is being
+	// closed.
 	idleTimeout   = 2 * time.Minute
 	headerTimeout = 10 * time.Second
 	// maxHeaderBytes is above the configuration's own limit.
@@ -155,6 +156,7 @@
 	return i
 }
 
+// incarnationLength is enough to distinguish the incarnations of one instance.
 const incarnationLength = 8
 
 // longHoldMargin is how far a long hold stays below the platform's limit.
@@ -310,8 +312,8 @@
 	resignTimeout = time.Second
 )
 
-// shutDown waits until the platform sends no new connections, and then lets requests
-// in flight finish.
+// shutDown fails the readiness probes, resigns as coordinator, waits until the platform
+// sends no new connections, and then lets requests in flight finish.
 func (i *Instance) shutDown(ctx context.Context, servers []*server) {
 	event.Stopping.Log(i.log)
 	ctx, cancel := context.WithTimeout(ctx, i.settings.StopTimeout-exitMargin)
--- a/gateway/instance/settings.go
+++ b/gateway/instance/settings.go
@@ -41,7 +41,7 @@
 	Bootstrap      bool
 	LogLevel       string
 	Pprof          bool
-	// File and Reload, which reads all settings again, may be unset.
+	// File is the settings file, and Reload reads all settings again. Both may be unset.
 	File   string
 	Reload func() (Settings, error)
 }
--- a/gateway/instance/tasks.go
+++ b/gateway/instance/tasks.go
@@ -19,8 +19,8 @@
 	reportInterval       = 500 * time.Millisecond
 	housekeepingInterval = 2 * time.Second
 	registerRetryDelay   = 500 * time.Millisecond
-	// registerTimeout bounds the write of that row: the store writes the rows of a
-	// fleet one after the other.
+	// registerTimeout bounds the write of this instance's row: the store writes the
+	// rows of a fleet one after the other.
 	registerTimeout = 1500 * time.Millisecond
 )
 
@@ -224,7 +224,7 @@
 
 type housekeeper struct{ *Instance }
 
-// Serve cleans up periodically until the context ends.
+// Serve drops the connections and the state of ended targets until the context ends.
 func (h *housekeeper) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		sleep(ctx, housekeepingInterval)
--- a/gateway/peers/message.go
+++ b/gateway/peers/message.go
@@ -166,7 +166,8 @@
 
 	Service string
 	Key     int
-	// Ms is the time for which slots of targets were in use, in milliseconds.
+	// Ms is the estimated time for which the key's requests used slots of targets, in
+	// milliseconds.
 	Ms int
 }
 
--- a/gateway/relay/relay.go
+++ b/gateway/relay/relay.go
@@ -44,7 +44,8 @@
 }
 
 // Transact sends the transaction directly and, if that fails, through the leader of
-// another zone. The order is reversed for a while after a direct call failed.
+// another zone. For directBackoff after a direct call failed and the relayed one succeeded,
+// the relayed call is tried first.
 func (c *Client) Transact(ctx context.Context, tx table.Transaction) (table.Result, error) {
 	peers := c.Peers()
 	if len(peers) == 0 {
--- a/gateway/tlsfiles/tlsfiles.go
+++ b/gateway/tlsfiles/tlsfiles.go
@@ -39,7 +39,7 @@
 	return err
 }
 
-// load returns the certificate and the authority, read again if a file has changed. While
+// load returns the certificate and the authority, read again if a file is newer. While
 // the files cannot be loaded, as in the middle of a replacement, the last valid ones are
 // used.
 func (f *Files) load() (*tls.Certificate, *x509.CertPool, error) {
