--- a/gateway/entry/attempt.go
+++ b/gateway/entry/attempt.go
@@ -155,7 +155,8 @@
 	return max(minOverdueDelay, overdueFactor*normal)
 }
 
-// setTargetHeaders sets the epoch, the key's hash and the remaining time in ms.
+// setTargetHeaders sets the remaining time in ms and, for a sharded service, the epoch
+// and the key's hash.
 func (f *Front) setTargetHeaders(h http.Header, ctx context.Context, c *call, r *route) {
 	if r.epoch != 0 {
 		h.Set(grant.EpochHeader, strconv.FormatUint(r.epoch, 10))
--- a/gateway/follower/follower.go
+++ b/gateway/follower/follower.go
@@ -37,7 +37,8 @@
 	authorityLossDelay = 1500 * time.Millisecond
 )
 
-// Loads adds up the loads of requests; Take returns those due for a report.
+// Loads adds up the loads of requests; TakeReport returns those due for a report, and
+// resets them.
 type Loads interface {
 	TakeReport(now time.Time) (shards []*control.ShardLoad, hot []*control.HotKey)
 }
--- a/gateway/leader/leader.go
+++ b/gateway/leader/leader.go
@@ -168,7 +168,8 @@
 	return time.Since(l.reportAcceptedAt) > plannerTimeout
 }
 
-// Holding reports whether this instance holds the seat; its authority may have expired.
+// Holding reports whether this instance holds the seat as last read; its authority may
+// have expired.
 func (l *Leader) Holding() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -326,7 +327,8 @@
 	return others
 }
 
-// updateFollower makes the follower poll the holder of the seat as last read.
+// updateFollower makes the follower poll the holder of the seat as last read, unless the
+// seat is free.
 func (l *Leader) updateFollower() {
 	r, _ := l.seat.Record()
 	if r.Holder != "" && r.Address != l.Address && !l.seat.Free() {
--- a/gateway/planner/planner.go
+++ b/gateway/planner/planner.go
@@ -143,7 +143,7 @@
 	return r.Address
 }
 
-// Planning reports whether this instance holds the planner's seat at now.
+// Planning reports whether this instance has the planner's authority at now.
 func (p *Planner) Planning(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -383,7 +383,8 @@
 	p.instances = listed
 }
 
-// Stop releases the planner's seat, so that another leader can claim it at once.
+// Stop hands the planner's seat over on shutdown, so that another leader can claim it at
+// once.
 func (p *Planner) Stop(ctx context.Context) {
 	p.mu.Lock()
 	p.stopping = true
--- a/gateway/renewer/renewer.go
+++ b/gateway/renewer/renewer.go
@@ -170,7 +170,8 @@
 	return ids
 }
 
-// callTarget sends one order, or two if the target needs another; see recordStatus.
+// callTarget sends one order, and another if the target did not apply the lease, for
+// instance because it lacks the grants.
 func (r *Renewer) callTarget(ctx context.Context, id string) {
 	defer r.scheduleNext(id)
 	for range 2 {
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -154,7 +154,9 @@
 	return Kind{Idempotent: found.Idempotent, Rules: s.Config.Resolve(query, time.Now())}, true
 }
 
-// ApplyDelta puts a newer version of an assignment in force; older ones are ignored.
+// ApplyDelta puts a newer version of an assignment in force; one that is not newer is
+// ignored. The error is a *assignment.VersionError if the delta starts neither at the
+// current version nor at 0.
 func (v *View) ApplyDelta(d assignment.Delta) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -211,8 +213,8 @@
 	return s, err
 }
 
-// DeltasSince returns the deltas from a version to the current one, or a single
-// delta from the empty assignment if they are no longer kept.
+// DeltasSince returns the deltas from a version to the current one, or a single delta
+// from version 0, which replaces all, if they are not kept.
 func (v *View) DeltasSince(service string, from uint64) []assignment.Delta {
 	v.mu.Lock()
 	defer v.mu.Unlock()
