--- a/basilcross/internal/seatmodel/seatmodel.go
+++ b/basilcross/internal/seatmodel/seatmodel.go
@@ -67,7 +67,7 @@
 // leader is another zone's leader.
 type leader struct {
 	// extendedFor is the ticks left of the extension that it granted; confirmWait
-	// the ticks until it may confirm an eviction, as a successor.
+	// the ticks until its confirmation of an eviction may count, as a successor.
 	extendedFor int8
 	confirmWait int8
 	// refrainBound and intentBound are one above the row version at which it
--- a/basilcross/plan/plan_test.go
+++ b/basilcross/plan/plan_test.go
@@ -51,8 +51,9 @@
 }
 
 // Guards against changes to other shards when a target's lease has ended, and
-// against a report of an earlier generation that is applied again. The decision
-// must be conditional on the term of the zone's leader.
+// against a report of an earlier generation that is applied again. Its own shards
+// must get a new owner and a higher epoch, and the decision must be conditional on
+// the term of the zone's leader.
 func TestOnlyShardsOfLostTargetAreReassigned(t *testing.T) {
 	a := initialAssignment(t)
 	in := fourTargets()
--- a/ctl/command/drain.go
+++ b/ctl/command/drain.go
@@ -6,7 +6,8 @@
 )
 
 const usageDrain = `Take a target out of use: its shards move to other targets, it gets no new
-requests, and its running requests complete. A drain is stored as an exception.
+requests, and its running requests complete. A drain is stored as an exception
+with a reason.
 
 Examples:
   basilcross drain menus-graz-1 --reason "its disk is being replaced"
--- a/standin/demo/demo_test.go
+++ b/standin/demo/demo_test.go
@@ -13,7 +13,7 @@
 
 // Guards against violations under load when targets and gateways are killed, frozen, drained
 // or stopped, responses of the table are lost and a zone is cut off. Requests may be refused
-// meanwhile, but must be answered in the end.
+// meanwhile, but some must be answered, and running gateways must get the newest configuration.
 func TestNoViolationsUnderFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts twelve gateways")
--- a/standin/demo/fault.go
+++ b/standin/demo/fault.go
@@ -29,15 +29,16 @@
 	configTimeout = 10 * time.Second
 )
 
-// FaultResult holds the measured effects of a fault. Times are counted from its start.
+// FaultResult holds the measured effects of a fault.
 type FaultResult struct {
 	Do   string `json:"do"`
 	On   string `json:"on,omitempty"`
 	AtMs int    `json:"atMs"`
-	// ServedAgainMs is the time until all probed keys were served again; -1 if one was not,
-	// nil if the fault takes no key from its owner.
+	// ServedAgainMs is the time from the fault's start until all probed keys were served
+	// again; -1 if one was not, nil if the fault takes no key from its owner.
 	ServedAgainMs *int `json:"servedAgainMs,omitempty"`
-	// InForceMs is the time until a new configuration was in force on all reachable gateways, or -1.
+	// InForceMs is the time from the submission of a configuration until it was in force on
+	// all reachable gateways; -1 if it was not in time.
 	InForceMs  *int `json:"inForceMs,omitempty"`
 	Unanswered int  `json:"refused"`
 
--- a/standin/scenario/random.go
+++ b/standin/scenario/random.go
@@ -65,7 +65,8 @@
 // drainNoticeMs is how long it may take until every gateway has received that a target is leaving.
 const drainNoticeMs = 4000
 
-// drainHidingFaults may keep a gateway from receiving in time that a target is leaving.
+// drainHidingFaults may keep a gateway from receiving in time that a target is leaving. A
+// drain close to one of them is left out, since no guarantee applies to it.
 var drainHidingFaults = []string{
 	"freezeGateway", "cutZone", "cutZoneOneWay", "cutZoneFromPlatform", "cutRegions",
 	"storeDown", "storeSlow", "loseStoreAnswers", "silenceConnections",
